--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -71,12 +71,12 @@
         drawn += self.random.choices(
             self.positions, self.weights, k=_REQUESTS - count
         )
-        sketch = load_lib.Sketch()
+        sketch = load_lib.LoadSketch()
         self.random.shuffle(drawn)
         for position in drawn:
-            sketch.note(self.assignment.at(position).start, position)
+            sketch.record(self.assignment.at(position).start, position)
         self.now += 3.0
-        self.load.note(ids.Incarnation("r"), sketch.take(3.0), self.now)
+        self.load.record(ids.Incarnation("r"), sketch.flush(3.0), self.now)
         return drawn
 
     def imbalance(self, drawn: list[int]) -> float:
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -197,7 +197,7 @@
         self.fleet.publish_vms()
         begin = clocks.monotonic()
         processes.wait_until(
-            lambda: not self.fleet.assignments()[-1].of(old.name),
+            lambda: not self.fleet.assignments()[-1].owned_by(old.name),
             20,
             f"{old.name} owns nothing",
         )
--- a/src/swiftstile/commandline/looks.py
+++ b/src/swiftstile/commandline/looks.py
@@ -10,7 +10,7 @@
 from swiftstile import ids
 from swiftstile import settings as settings_lib
 from swiftstile.commandline import shared
-from swiftstile.ownership import documents
+from swiftstile.ownership import assignment_store
 
 __all__ = ["add"]
 
@@ -90,7 +90,8 @@
         ids.OrganisationId(args.organisation), ids.ServiceName(args.ownership)
     )
     changes = shared.with_platform(
-        args, lambda parts: documents.changes(parts.table, service)
+        args,
+        lambda parts: assignment_store.ownership_changes(parts.table, service),
     )
     chosen = [
         change
--- a/src/swiftstile/daemons/coordinator.py
+++ b/src/swiftstile/daemons/coordinator.py
@@ -11,7 +11,7 @@
 from swiftstile.bundles import watch as bundle_watch
 from swiftstile.daemons import inspection
 from swiftstile.membership import vms
-from swiftstile.ownership import keeper as keeper_lib
+from swiftstile.ownership import elector as elector_lib
 from swiftstile.ownership import leases
 from swiftstile.peers import links
 from swiftstile.peers import messages
@@ -28,7 +28,7 @@
         me: leases.Candidate,
         bundles: bundle_watch.BundleWatch,
         directory: vms.VmDirectory,
-        book: leases.PromiseBook,
+        book: leases.PromiseTable,
         meters: metrics.Meters,
         make_keeper,
     ):
@@ -40,7 +40,7 @@
         self._meters = meters
         self._make_keeper = make_keeper
         self._leaving = False
-        self._keepers: dict[ids.ServiceId, keeper_lib.LeaseKeeper] = {}
+        self._keepers: dict[ids.ServiceId, elector_lib.CoordinatorElector] = {}
         self._tasks: dict[ids.ServiceId, asyncio.Task] = {}
 
     async def run(self, stopping: asyncio.Event) -> None:
@@ -123,7 +123,7 @@
         duration = min(ask.duration_s, self._settings.coordinator.promise_s)
         keeper = self._keepers.get(ask.service)
         if keeper is not None:
-            keeper.note_holder(ask.holder, ask.epoch)
+            keeper.record_holder(ask.holder, ask.epoch)
         granted = (
             duration == ask.duration_s
             and not self._leaving
@@ -174,7 +174,9 @@
         }
 
 
-def _service_status(keeper: keeper_lib.LeaseKeeper) -> dict[str, object]:
+def _service_status(
+    keeper: elector_lib.CoordinatorElector,
+) -> dict[str, object]:
     known, active = keeper.known, keeper.active
     status: dict[str, object] = {
         "holder": known.holder.vm if known else None,
@@ -186,5 +188,5 @@
         status["assignment_version"] = active.assignment.version
         status["slices"] = len(active.assignment.slices)
         status["slices_moving"] = len(active.withheld)
-        status["servers_in_trouble"] = active.servers_in_trouble()
+        status["servers_in_trouble"] = active.unresponsive_servers()
     return status
--- a/src/swiftstile/ownership/announcer.py
+++ b/src/swiftstile/ownership/announcer.py
@@ -8,7 +8,7 @@
 
 # Number of past versions kept. A router that has one of them gets a delta
 # instead of the whole assignment.
-_HISTORY = 64
+_KEPT_VERSIONS = 64
 
 
 class Announcer:
@@ -34,7 +34,7 @@
         async with self._changed:
             self._newest = assignment
             self._history[assignment.version] = assignment
-            self._history.pop(assignment.version - _HISTORY, None)
+            self._history.pop(assignment.version - _KEPT_VERSIONS, None)
             self._changed.notify_all()
 
     async def wait_newer(self, version: int, wait_s: float) -> None:
--- a/src/swiftstile/ownership/documents.py
+++ b/src/swiftstile/ownership/assignment_store.py
@@ -19,7 +19,7 @@
     "change_between",
     "change_key",
     "change_prefix",
-    "changes",
+    "ownership_changes",
 ]
 
 # Longer assignments are written to the object store, and the row holds the
@@ -111,7 +111,7 @@
     )
 
 
-async def changes(
+async def ownership_changes(
     table: base.Table, service: ids.ServiceId
 ) -> list[OwnershipChange]:
     """Returns the audit records of a service's ownership, oldest first."""
--- a/src/swiftstile/ownership/coordination.py
+++ b/src/swiftstile/ownership/coordination.py
@@ -13,8 +13,8 @@
 from swiftstile.bundles import model
 from swiftstile.membership import vms
 from swiftstile.ownership import announcer
-from swiftstile.ownership import custody as custody_lib
-from swiftstile.ownership import documents
+from swiftstile.ownership import assignment_store
+from swiftstile.ownership import enforcement
 from swiftstile.ownership import holder as holder_lib
 from swiftstile.ownership import load as load_lib
 from swiftstile.ownership import placement as placement_lib
@@ -27,19 +27,19 @@
 
 _TICK_S = 0.1
 # Longest wait for all listed servers before the first assignment.
-_FIRST_SERVERS_S = 1.5
+_INITIAL_SERVERS_TIMEOUT_S = 1.5
 _REBALANCE_INTERVAL_S = 3.0
 _STORE_RETRY_S = 0.2
 # Planned moves start only if the table answers a read within this time.
-_QUICK_S = 0.1
+_RESPONSIVE_READ_S = 0.1
 # Shortest and longest pause of writes after the table failed.
-_STORE_REST_S = (0.3, 0.9)
+_WRITE_BACKOFF_S = (0.3, 0.9)
 # Longest wait for servers to confirm the slices that they gained, before an
 # assignment is announced to routers.
-_EFFECTIVE_S = 0.1
-_EFFECTIVE_LOOK_S = 0.002
+_EFFECTIVE_TIMEOUT_S = 0.1
+_EFFECTIVE_POLL_S = 0.002
 # Moves that aren't written within this time are cancelled.
-_MOVE_LIMIT_S = 5.0
+_MOVE_TIMEOUT_S = 5.0
 
 
 class Coordination:
@@ -56,11 +56,11 @@
 
     def __init__(
         self,
-        holder: holder_lib.Holder,
+        holder: holder_lib.LeaseHolder,
         spec: model.ServiceSpec,
         directory: vms.VmDirectory,
-        custody: custody_lib.Custody,
-        store: documents.AssignmentStore,
+        enforcer: enforcement.OwnershipEnforcer,
+        store: assignment_store.AssignmentStore,
         table: base.Table,
         placement: placement_lib.PlacementPolicy,
         settings: settings_lib.CoordinatorSettings,
@@ -73,7 +73,7 @@
         self._holder = holder
         self._spec = spec
         self._directory = directory
-        self._custody = custody
+        self._enforcer = enforcer
         self._store = store
         self._table = table
         self._placement = placement
@@ -86,10 +86,12 @@
         self._tasks: dict[ids.ServerId, asyncio.Task] = {}
         self._addresses: dict[ids.ServerId, str] = {}
         self._withheld_at = 0.0
-        self._write_from = 0.0
-        self._published: tuple | None = None
+        self._writes_allowed_at = 0.0
+        self._published_state: tuple | None = None
         self._rebalanced_at = clocks.monotonic()
-        self._free_from = clocks.monotonic() + custody.takeover_wait_s(released)
+        self._assigning_allowed_at = (
+            clocks.monotonic() + enforcer.takeover_wait_s(released)
+        )
 
     async def run(self) -> None:
         """Coordinates the service until the lease is lost.
@@ -97,16 +99,16 @@
         Raises:
             LeaseLostError: Another process coordinates the service.
         """
-        keeping = asyncio.create_task(self._holder.run())
+        holding = asyncio.create_task(self._holder.run())
         planning = asyncio.create_task(self._plan_forever())
         try:
             done, _ = await asyncio.wait(
-                {keeping, planning}, return_when=asyncio.FIRST_COMPLETED
+                {holding, planning}, return_when=asyncio.FIRST_COMPLETED
             )
             for task in done:
                 task.result()
         finally:
-            tasks = [keeping, planning, *self._tasks.values()]
+            tasks = [holding, planning, *self._tasks.values()]
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
@@ -114,19 +116,21 @@
     async def watch(self, request: messages.Watch) -> messages.WatchReply:
         """Answers a router's watch once there is a newer assignment."""
         received_at = clocks.monotonic()
-        self._custody.note_watch(request)
+        self._enforcer.record_watch(request)
         if request.load is not None:
-            self._load.note(request.router, request.load, received_at)
+            self._load.record(request.router, request.load, received_at)
         await self._announcer.wait_newer(request.version, request.wait_s)
         delta = self._announcer.delta_since(request.version)
         # The router counts its lease from when it sent the request, so the
         # time that the request waited here is deducted.
-        lease_s = max(0.0, self._custody.extend_routes(request) - received_at)
+        lease_s = max(
+            0.0, self._enforcer.extend_route_lease(request) - received_at
+        )
         return messages.WatchReply(self._holder.lease.epoch, delta, lease_s)
 
-    def servers_in_trouble(self) -> list[ids.ServerId]:
+    def unresponsive_servers(self) -> list[ids.ServerId]:
         """Returns the servers that missed their last call or never answered."""
-        sessions_by_server = self._custody.by_server.items()
+        sessions_by_server = self._enforcer.by_server.items()
         return [
             name for name, session in sessions_by_server if not session.live
         ]
@@ -163,13 +167,13 @@
             await asyncio.sleep(_STORE_RETRY_S)
 
     async def _wait_for_servers(self) -> None:
-        end = clocks.monotonic() + _FIRST_SERVERS_S
+        end = clocks.monotonic() + _INITIAL_SERVERS_TIMEOUT_S
         while True:
             self._sync_sessions()
             listed = self._directory.group(self._spec.upstream_group)
             complete = listed and len(self._usable()) == len(listed)
-            late = clocks.monotonic() > end and self._usable()
-            if complete or late:
+            timed_out = clocks.monotonic() > end and self._usable()
+            if complete or timed_out:
                 return
             await asyncio.sleep(_TICK_S)
 
@@ -180,15 +184,15 @@
                 self._close_session(server)
                 self._open_session(server, vm.data_address)
         for server in set(self._tasks) - set(listed):
-            if self._custody.by_server[server].failing:
+            if self._enforcer.by_server[server].failing:
                 self._close_session(server)
         for task in self._tasks.values():
             if task.done():
                 task.result()
 
     def _open_session(self, server: ids.ServerId, address: str) -> None:
-        session = self._custody.open(server, address)
-        self._custody.by_server[server] = session
+        session = self._enforcer.open_session(server, address)
+        self._enforcer.by_server[server] = session
         self._addresses[server] = address
         self._tasks[server] = asyncio.create_task(session.run())
 
@@ -196,18 +200,20 @@
         if server in self._tasks:
             self._tasks.pop(server).cancel()
             self._addresses.pop(server)
-            session = self._custody.by_server.pop(server)
-            if session.holds_anything():
+            session = self._enforcer.by_server.pop(server)
+            if session.may_own_slices():
                 # Its grants may still be valid: assign no withheld slice
                 # before they have expired.
                 lapse = clocks.monotonic() + self._settings.server_lease_s
-                self._free_from = max(self._free_from, lapse)
+                self._assigning_allowed_at = max(
+                    self._assigning_allowed_at, lapse
+                )
 
     def _usable(self) -> set[ids.ServerId]:
         listed = self._directory.group(self._spec.upstream_group)
         return {
             server
-            for server, session in self._custody.by_server.items()
+            for server, session in self._enforcer.by_server.items()
             if session.live
             and server in listed
             and listed[server].state is base.VmState.LIVE
@@ -215,17 +221,17 @@
 
     async def _step(self) -> None:
         now = clocks.monotonic()
-        self._custody.expire(now)
-        self._call_off_late(now)
+        self._enforcer.expire_leases(now)
+        self._cancel_overdue_moves(now)
         usable = self._usable()
         await self._withhold_unserved(usable)
-        if not self.withheld and now >= self._free_from:
-            await self._withhold_uneven(usable, now)
-        if now >= self._write_from:
-            await self._withdraw()
+        if not self.withheld and now >= self._assigning_allowed_at:
+            await self._rebalance(usable, now)
+        if now >= self._writes_allowed_at:
+            await self._unassign_withheld()
         self._publish()
-        if now >= max(self._free_from, self._write_from):
-            await self._give_free(usable, now)
+        if now >= max(self._assigning_allowed_at, self._writes_allowed_at):
+            await self._assign_free(usable, now)
 
     async def _withhold_unserved(self, usable: set[ids.ServerId]) -> None:
         """Withholds the slices of failed and leaving servers."""
@@ -233,44 +239,42 @@
         for piece in self.assignment.slices:
             if piece.server in usable or not usable:
                 continue
-            session = self._custody.by_server.get(piece.server)
+            session = self._enforcer.by_server.get(piece.server)
             if session is None or session.failing:
                 self._withhold(piece.start, slices.NO_OWNER)
             elif self._is_leaving(piece) and piece.start not in self.withheld:
                 leaving.append(piece.start)
-        if leaving and await self._table_is_quick():
+        if leaving and await self._is_table_responsive():
             for start in leaving:
                 self._withhold(start, slices.NO_OWNER)
 
-    async def _table_is_quick(self) -> bool:
+    async def _is_table_responsive(self) -> bool:
         """Returns whether a planned move could be written promptly.
 
         The slices of a move have no owner until it is written. That is
         acceptable after a crash, but not for a move that can wait.
         """
         now = clocks.monotonic()
-        if now < self._write_from:
+        if now < self._writes_allowed_at:
             return False
         try:
-            async with asyncio.timeout(_QUICK_S):
+            async with asyncio.timeout(_RESPONSIVE_READ_S):
                 await self._store.read()
         except (TimeoutError, errors.SwiftstileError):
-            self._put_off_writes()
+            self._back_off_writes()
             return False
         return True
 
-    def _put_off_writes(self) -> None:
+    def _back_off_writes(self) -> None:
         # Randomised, so that coordinators don't all retry at once.
-        wait = random.uniform(*_STORE_REST_S)
-        self._write_from = clocks.monotonic() + wait
+        wait = random.uniform(*_WRITE_BACKOFF_S)
+        self._writes_allowed_at = clocks.monotonic() + wait
 
     def _is_leaving(self, piece: slices.Slice) -> bool:
         vm = self._directory.by_id.get(ids.VmId(piece.server))
         return vm is not None and vm.state is base.VmState.LEAVING
 
-    async def _withhold_uneven(
-        self, usable: set[ids.ServerId], now: float
-    ) -> None:
+    async def _rebalance(self, usable: set[ids.ServerId], now: float) -> None:
         if now < self._rebalanced_at + _REBALANCE_INTERVAL_S:
             return
         self._rebalanced_at = now
@@ -280,12 +284,12 @@
             self._load.view(self.assignment, now),
             self._spec.churn_budget,
         )
-        if plan.moves and await self._table_is_quick():
+        if plan.moves and await self._is_table_responsive():
             for start, target in plan.moves.items():
                 self._withhold(start, target)
-        await self._reshape(plan)
+        await self._split_and_merge(plan)
 
-    async def _reshape(self, plan: placement_lib.Plan) -> None:
+    async def _split_and_merge(self, plan: placement_lib.Plan) -> None:
         """Splits and merges slices without changing the owner of any key."""
         epoch = self._holder.lease.epoch
         if plan.splits:
@@ -303,12 +307,12 @@
             self._withheld_at = clocks.monotonic()
         self.withheld.setdefault(start, target)
 
-    def _call_off_late(self, now: float) -> None:
+    def _cancel_overdue_moves(self, now: float) -> None:
         """Cancels all moves if the oldest one has taken too long."""
-        if self.withheld and now > self._withheld_at + _MOVE_LIMIT_S:
-            self._call_off()
+        if self.withheld and now > self._withheld_at + _MOVE_TIMEOUT_S:
+            self._cancel_moves()
 
-    def _call_off(self) -> None:
+    def _cancel_moves(self) -> None:
         """Grants withheld slices to their present owners again.
 
         Slices of failed servers are withheld again in the next step.
@@ -316,17 +320,19 @@
         self._meters.ownership.add("moves-called-off", len(self.withheld))
         self.withheld.clear()
 
-    async def _withdraw(self) -> None:
-        moves = self._custody.withdraw(self.assignment, set(self.withheld))
+    async def _unassign_withheld(self) -> None:
+        moves = self._enforcer.unassignments(
+            self.assignment, set(self.withheld)
+        )
         if moves:
             await self._move(moves, "withdrawn before a move")
 
-    async def _give_free(self, usable: set[ids.ServerId], now: float) -> None:
+    async def _assign_free(self, usable: set[ids.ServerId], now: float) -> None:
         free = [
             piece
             for start in self.withheld
             if (piece := self.assignment.at(ids.KeyHash(start)))
-            and self._custody.is_free(piece, now)
+            and self._enforcer.is_free(piece, now)
         ]
         planned = {
             piece.start: self.withheld[piece.start]
@@ -346,54 +352,54 @@
 
         Most steps change nothing.
         """
-        sessions = frozenset(self._custody.by_server.values())
+        sessions = frozenset(self._enforcer.by_server.values())
         state = (self.assignment.version, frozenset(self.withheld), sessions)
-        if state != self._published:
-            self._published = state
-            self._custody.publish(self.assignment, set(self.withheld))
+        if state != self._published_state:
+            self._published_state = state
+            self._enforcer.publish(self.assignment, set(self.withheld))
 
     async def _move(self, moves: dict[int, ids.ServerId], reason: str) -> bool:
         epoch = self._holder.lease.epoch
         wanted = self.assignment.moved(moves, epoch)
-        given = {s for s, owner in moves.items() if owner != slices.NO_OWNER}
-        return await self._write(wanted, reason, given)
+        assigned = {s for s, owner in moves.items() if owner != slices.NO_OWNER}
+        return await self._write(wanted, reason, assigned)
 
     async def _write(
         self,
         wanted: slices.Assignment,
         reason: str,
-        given: frozenset[int] | set[int] = frozenset(),
+        assigned: frozenset[int] | set[int] = frozenset(),
     ) -> bool:
         """Makes an assignment durable, then announces it.
 
         Args:
             wanted: The next version.
             reason: Reason for the change, for the audit record.
-            given: Starts of the withheld slices that it assigns to a server.
+            assigned: Starts of the withheld slices that it assigns to a server.
 
         Returns:
             Whether the assignment is in force. If not, the write has failed
             for good and can't take effect later.
         """
         actor = self._holder.lease.holder.vm
-        change = documents.change_between(
+        change = assignment_store.change_between(
             self.assignment, wanted, actor, reason
         )
         try:
             writes = await self._store.writes(wanted, self._row_version, change)
             async with self._holder.table_lock:
-                guarded = [self._holder.check_write(), *writes]
+                guarded = [self._holder.lease_condition(), *writes]
                 await settle.settled_transact(self._table, guarded, math.inf)
         except errors.PlatformUnavailableError:
-            self._put_off_writes()
-            self._call_off()
+            self._back_off_writes()
+            self._cancel_moves()
             return False
         except errors.ConflictError as error:
             raise holder_lib.LeaseLostError(
                 str(error), step="write assignment", peer=""
             ) from error
         self._row_version += 1
-        for start in given:
+        for start in assigned:
             self.withheld.pop(start, None)
         self._meters.ownership.add("slices-moved", change.moved)
         logs.logger.info(
@@ -419,8 +425,8 @@
             for piece in new.slices
             if old.at(ids.KeyHash(piece.start)).server != piece.server
         }
-        end = clocks.monotonic() + _EFFECTIVE_S
+        end = clocks.monotonic() + _EFFECTIVE_TIMEOUT_S
         while clocks.monotonic() < end:
-            if self._custody.is_effective(gained):
+            if self._enforcer.is_effective(gained):
                 return
-            await asyncio.sleep(_EFFECTIVE_LOOK_S)
+            await asyncio.sleep(_EFFECTIVE_POLL_S)
--- a/src/swiftstile/ownership/keeper.py
+++ b/src/swiftstile/ownership/elector.py
@@ -13,31 +13,31 @@
 from swiftstile.ownership import coordination
 from swiftstile.ownership import holder as holder_lib
 from swiftstile.ownership import leases
-from swiftstile.ownership import scouts
+from swiftstile.ownership import selection
 from swiftstile.provider import base
 from swiftstile.provider import settle
 
-__all__ = ["LeaseKeeper", "rank"]
+__all__ = ["CoordinatorElector", "rank"]
 
 # Interval at which a VM that isn't a candidate reads the lease row.
-_SLOW_LOOK_S = 2.0
+_ROW_POLL_S = 2.0
 # Interval at which a candidate checks its own promise, without table reads.
-_PROMISE_LOOK_S = 0.03
+_PROMISE_POLL_S = 0.03
 # Delay for each rank, so that VMs that may all take a free lease don't write
 # at the same time.
-_RANK_WAIT_S = 0.25
+_RANK_DELAY_S = 0.25
 _STORE_RETRY_S = 0.3
 
 # Builds the holder and the coordination of a newly acquired lease from the
 # lease, its row version, when its write was sent, and whether the predecessor
 # released it.
-Builder = collections.abc.Callable[
+CoordinationBuilder = collections.abc.Callable[
     [leases.CoordinatorLease, int, float, bool],
-    tuple[holder_lib.Holder, coordination.Coordination],
+    tuple[holder_lib.LeaseHolder, coordination.Coordination],
 ]
 
 
-class LeaseKeeper:
+class CoordinatorElector:
     """Acquires the coordinator lease of one service when that is allowed.
 
     Attributes:
@@ -50,45 +50,45 @@
         service: ids.ServiceId,
         me: leases.Candidate,
         table: base.Table,
-        book: leases.PromiseBook,
-        scout: scouts.Scout,
-        builder: Builder,
+        promises: leases.PromiseTable,
+        selector: selection.CandidateSelector,
+        builder: CoordinationBuilder,
         rank: int,
         tolerance_s: float,
     ):
         self.known: leases.CoordinatorLease | None = None
         self.active: coordination.Coordination | None = None
-        self._holder: holder_lib.Holder | None = None
-        self._work: asyncio.Task | None = None
+        self._holder: holder_lib.LeaseHolder | None = None
+        self._coordination_task: asyncio.Task | None = None
         self._service = service
         self._me = me
         self._table = table
-        self._book = book
-        self._scout = scout
+        self._promises = promises
+        self._selector = selector
         self._builder = builder
         self._rank = rank
         self._tolerance_s = tolerance_s
         self._seen: tuple[int, float] = (base.ABSENT, 0.0)
-        self._look_now = asyncio.Event()
+        self._poll_now = asyncio.Event()
 
     async def run(self) -> None:
         """Acquires and holds the lease, again and again until cancelled."""
         while True:
             try:
-                await self._take_when_allowed()
+                await self._acquire_when_allowed()
             except errors.PlatformError as error:
                 logs.logger.debug(
                     "could not take the coordinator lease", error=str(error)
                 )
                 await asyncio.sleep(_STORE_RETRY_S)
 
-    def note_holder(self, vm: ids.VmId, epoch: ids.Epoch) -> None:
+    def record_holder(self, vm: ids.VmId, epoch: ids.Epoch) -> None:
         """Records the holder that asks for a promise if its epoch is newer."""
         if self.known is None or self.known.epoch < epoch:
             self.known = leases.CoordinatorLease(
                 epoch, leases.Candidate(vm, ids.Incarnation(""))
             )
-            self._look_now.set()
+            self._poll_now.set()
 
     async def release(self) -> None:
         """Releases the lease if this process holds it."""
@@ -96,28 +96,28 @@
             return
         holder = self._holder
         # No grant may be sent after the lease is released.
-        self._work.cancel()
-        await asyncio.gather(self._work, return_exceptions=True)
+        self._coordination_task.cancel()
+        await asyncio.gather(self._coordination_task, return_exceptions=True)
         await holder.release()
 
-    async def _take_when_allowed(self) -> None:
+    async def _acquire_when_allowed(self) -> None:
         row = await self._table.read(leases.lease_key(self._service))
         lease = None
         if row is not None:
             lease = codec.from_json(row.value, leases.CoordinatorLease)
-            self._note(lease, row.version)
+            self._record(lease, row.version)
         if lease is None or lease.released:
             await self._wait_turn(lease)
-            await self._take(row, lease)
+            await self._acquire(row, lease)
         elif self._me in lease.candidates:
             if await self._wait_lapse(lease):
-                await self._take(row, lease)
+                await self._acquire(row, lease)
         elif self._is_stale():
-            await self._take(row, lease)
+            await self._acquire(row, lease)
         else:
-            await self._rest(_SLOW_LOOK_S)
+            await self._wait_until_poll(_ROW_POLL_S)
 
-    def _note(self, lease: leases.CoordinatorLease, version: int) -> None:
+    def _record(self, lease: leases.CoordinatorLease, version: int) -> None:
         if self.known is None or self.known.epoch <= lease.epoch:
             self.known = lease
         if self._seen[0] != version:
@@ -135,7 +135,7 @@
 
     async def _wait_turn(self, lease) -> None:
         first = lease is not None and self._me in lease.candidates
-        await asyncio.sleep(0 if first else self._rank * _RANK_WAIT_S)
+        await asyncio.sleep(0 if first else self._rank * _RANK_DELAY_S)
 
     async def _wait_lapse(self, lease: leases.CoordinatorLease) -> bool:
         """Waits until this candidate's promise has lapsed.
@@ -144,56 +144,58 @@
             False if the row should be read again instead.
         """
         # Candidates take over in the order of the row: later ones wait longer.
-        ahead = lease.candidates.index(self._me) * _RANK_WAIT_S
-        await self._rest(self._first_grace())
-        end = clocks.monotonic() + _SLOW_LOOK_S
+        ahead = lease.candidates.index(self._me) * _RANK_DELAY_S
+        await self._wait_until_poll(self._first_promise_grace_s())
+        end = clocks.monotonic() + _ROW_POLL_S
         while clocks.monotonic() < end:
-            if self._book.lapsed(self._service, clocks.monotonic() - ahead):
+            if self._promises.lapsed(self._service, clocks.monotonic() - ahead):
                 return True
-            if self._look_now.is_set():
+            if self._poll_now.is_set():
                 break
-            await asyncio.sleep(_PROMISE_LOOK_S)
-        self._look_now.clear()
+            await asyncio.sleep(_PROMISE_POLL_S)
+        self._poll_now.clear()
         return False
 
-    def _first_grace(self) -> float:
+    def _first_promise_grace_s(self) -> float:
         """Returns how long to wait for a holder's first promise request."""
-        return 0.0 if self._book.knows(self._service) else _SLOW_LOOK_S / 2
+        return (
+            0.0 if self._promises.has_record(self._service) else _ROW_POLL_S / 2
+        )
 
-    async def _rest(self, wait_s: float) -> None:
+    async def _wait_until_poll(self, wait_s: float) -> None:
         if wait_s <= 0:
             return
         try:
             async with asyncio.timeout(wait_s):
-                await self._look_now.wait()
+                await self._poll_now.wait()
         except TimeoutError:
             pass
-        self._look_now.clear()
+        self._poll_now.clear()
 
-    async def _take(self, row, old: leases.CoordinatorLease | None) -> None:
-        candidates = await self._scout.choose(self._service, [])
+    async def _acquire(self, row, old: leases.CoordinatorLease | None) -> None:
+        candidates = await self._selector.choose(self._service, [])
         epoch = ids.Epoch(old.epoch + 1 if old else 1)
         lease = leases.CoordinatorLease(epoch, self._me, candidates)
         version = row.version if row else base.ABSENT
         key = leases.lease_key(self._service)
         write = base.Write(key, version, codec.to_json(lease))
         sent_at = clocks.monotonic()
-        if not self._book.begin_take_over(self._service, sent_at):
+        if not self._promises.begin_take_over(self._service, sent_at):
             return
         try:
             await settle.settled_transact(self._table, [write], math.inf)
         except errors.ConflictError:
-            self._book.end_take_over(self._service)
+            self._promises.end_take_over(self._service)
             return
         except errors.PlatformUnavailableError:
-            self._book.end_take_over(self._service)
+            self._promises.end_take_over(self._service)
             raise
         # If this task is cancelled during the write, the outcome of the
         # take-over stays unknown, and this process never makes another promise
         # for the service.
-        self._book.end_take_over(self._service)
-        self._book.note_epoch(self._service, epoch)
-        self._note(lease, version + 1)
+        self._promises.end_take_over(self._service)
+        self._promises.record_epoch(self._service, epoch)
+        self._record(lease, version + 1)
         released = old is not None and old.released
         await self._coordinate(lease, version + 1, sent_at, released)
 
@@ -207,9 +209,9 @@
         self._holder, self.active = self._builder(
             lease, row_version, taken_at, released
         )
-        self._work = asyncio.create_task(self.active.run())
+        self._coordination_task = asyncio.create_task(self.active.run())
         try:
-            await self._work
+            await self._coordination_task
         except holder_lib.LeaseLostError as error:
             logs.logger.info(
                 "coordinator lease lost",
@@ -218,7 +220,7 @@
                 reason=str(error),
             )
         finally:
-            self._work.cancel()
+            self._coordination_task.cancel()
             self._holder = self.active = None
 
 
--- a/src/swiftstile/ownership/custody.py
+++ b/src/swiftstile/ownership/enforcement.py
@@ -14,14 +14,19 @@
 from swiftstile.ownership import slices
 from swiftstile.peers import messages
 
-__all__ = ["CLOCK_ERROR_S", "Custody", "FencedCustody", "RoutedCustody"]
+__all__ = [
+    "MAX_CLOCK_SKEW_S",
+    "FencedEnforcer",
+    "OwnershipEnforcer",
+    "RouteLeaseEnforcer",
+]
 
 # Largest difference between the wall clocks of two machines. Servers that
 # don't check fences apply request deadlines by their wall clock.
-CLOCK_ERROR_S = 0.1
+MAX_CLOCK_SKEW_S = 0.1
 
 
-class Custody(abc.ABC):
+class OwnershipEnforcer(abc.ABC):
     """Determines when a slice may be assigned to another server.
 
     Attributes:
@@ -30,7 +35,7 @@
 
     def __init__(
         self,
-        holder: holder_lib.Holder,
+        holder: holder_lib.LeaseHolder,
         control: grants.UpstreamControl,
         settings: settings_lib.CoordinatorSettings,
         changed: asyncio.Event,
@@ -42,7 +47,7 @@
         self._changed = changed
 
     @abc.abstractmethod
-    def open(
+    def open_session(
         self, server: ids.ServerId, address: str
     ) -> sessions.ServerSession:
         """Returns a new session with a server; it isn't running yet."""
@@ -54,7 +59,7 @@
         """Sends an assignment to the servers, without the withheld slices."""
 
     @abc.abstractmethod
-    def withdraw(
+    def unassignments(
         self, assignment: slices.Assignment, starts: set[int]
     ) -> dict[int, ids.ServerId]:
         """Returns the moves that must be durable before slices become free.
@@ -77,7 +82,7 @@
                 let it lapse.
         """
 
-    def expire(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Discards leases that have lapsed."""
 
     def is_effective(self, servers: set[ids.ServerId]) -> bool:
@@ -85,10 +90,10 @@
         del servers
         return True
 
-    def note_watch(self, watch: messages.Watch) -> None:
+    def record_watch(self, watch: messages.Watch) -> None:
         """Records the state that a router reports in its watch."""
 
-    def extend_routes(self, watch: messages.Watch) -> float:
+    def extend_route_lease(self, watch: messages.Watch) -> float:
         """Extends a router's lease.
 
         Returns:
@@ -98,10 +103,10 @@
         return 0.0
 
 
-class FencedCustody(Custody):
+class FencedEnforcer(OwnershipEnforcer):
     """For servers that accept fenced grants and hold the leases themselves."""
 
-    def open(
+    def open_session(
         self, server: ids.ServerId, address: str
     ) -> sessions.ServerSession:
         """See base class."""
@@ -119,17 +124,17 @@
     ) -> None:
         """See base class."""
         for server, session in self.by_server.items():
-            session.want(
+            session.set_wanted(
                 tuple(
                     grants.GrantedSlice(
                         piece.start, assignment.end_of(piece), piece.fence
                     )
-                    for piece in assignment.of(server)
+                    for piece in assignment.owned_by(server)
                     if piece.start not in withheld
                 )
             )
 
-    def withdraw(
+    def unassignments(
         self, assignment: slices.Assignment, starts: set[int]
     ) -> dict[int, ids.ServerId]:
         """See base class. The next grant, without the slice, is enough."""
@@ -140,7 +145,7 @@
         return not any(
             held.start <= piece.start < held.end
             for session in self.by_server.values()
-            for held in session.may_hold
+            for held in session.may_own
         )
 
     def takeover_wait_s(self, released: bool) -> float:
@@ -155,30 +160,30 @@
     def is_effective(self, servers: set[ids.ServerId]) -> bool:
         """See base class."""
         return all(
-            session.is_settled
+            session.is_confirmed
             for server in servers
             if (session := self.by_server.get(server)) and session.live
         )
 
-    def expire(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """See base class."""
         for session in self.by_server.values():
-            session.expire(now)
+            session.expire_leases(now)
 
 
-class _Router(msgspec.Struct):
+class _RouterState(msgspec.Struct):
     lease_until: float
     oldest_in_flight: int
 
 
-class RoutedCustody(Custody):
+class RouteLeaseEnforcer(OwnershipEnforcer):
     """For servers that don't check fences: routers hold route leases."""
 
     def __init__(self, *args):
         super().__init__(*args)
-        self._by_router: dict[ids.Incarnation, _Router] = {}
+        self._by_router: dict[ids.Incarnation, _RouterState] = {}
 
-    def open(
+    def open_session(
         self, server: ids.ServerId, address: str
     ) -> sessions.ServerSession:
         """See base class."""
@@ -191,7 +196,7 @@
     ) -> None:
         """See base class. Routers receive it in the reply to their watch."""
 
-    def withdraw(
+    def unassignments(
         self, assignment: slices.Assignment, starts: set[int]
     ) -> dict[int, ids.ServerId]:
         """See base class. Routers must learn that slices have no owner."""
@@ -205,30 +210,31 @@
         """See base class."""
         return piece.server == slices.NO_OWNER and all(
             router.oldest_in_flight >= piece.fence
-            or now > router.lease_until + CLOCK_ERROR_S + clocks.DRIFT_MARGIN_S
+            or now
+            > router.lease_until + MAX_CLOCK_SKEW_S + clocks.DRIFT_MARGIN_S
             for router in self._by_router.values()
         )
 
     def takeover_wait_s(self, released: bool) -> float:
         """See base class."""
         lease = self._settings.promise_s if released else 0.0
-        return lease + CLOCK_ERROR_S
+        return lease + MAX_CLOCK_SKEW_S
 
-    def note_watch(self, watch: messages.Watch) -> None:
+    def record_watch(self, watch: messages.Watch) -> None:
         """See base class."""
-        self._router(watch).oldest_in_flight = watch.oldest_in_flight
+        self._router_state(watch).oldest_in_flight = watch.oldest_in_flight
         self._changed.set()
 
-    def extend_routes(self, watch: messages.Watch) -> float:
+    def extend_route_lease(self, watch: messages.Watch) -> float:
         """See base class."""
-        until = self._holder.validity.until()
-        router = self._router(watch)
+        until = self._holder.validity.valid_until()
+        router = self._router_state(watch)
         router.lease_until = max(router.lease_until, until)
         return until
 
-    def _router(self, watch: messages.Watch) -> _Router:
+    def _router_state(self, watch: messages.Watch) -> _RouterState:
         router = self._by_router.get(watch.router)
         if router is None:
-            router = _Router(0.0, watch.oldest_in_flight)
+            router = _RouterState(0.0, watch.oldest_in_flight)
             self._by_router[watch.router] = router
         return router
--- a/src/swiftstile/ownership/grants.py
+++ b/src/swiftstile/ownership/grants.py
@@ -70,7 +70,9 @@
     """Sends control requests to the servers of upstream VMs."""
 
     @abc.abstractmethod
-    async def look(self, address: str, service: ids.ServiceId) -> GrantReply:
+    async def read_clock(
+        self, address: str, service: ids.ServiceId
+    ) -> GrantReply:
         """Reads a server's clock.
 
         Raises:
--- a/src/swiftstile/ownership/holder.py
+++ b/src/swiftstile/ownership/holder.py
@@ -11,20 +11,20 @@
 from swiftstile import logs
 from swiftstile import settings as settings_lib
 from swiftstile.ownership import leases
-from swiftstile.ownership import scouts
+from swiftstile.ownership import selection
 from swiftstile.peers import links
 from swiftstile.peers import messages
 from swiftstile.provider import base
 from swiftstile.provider import settle
 
-__all__ = ["Holder", "LeaseLostError"]
+__all__ = ["LeaseHolder", "LeaseLostError"]
 
 _CONFIRM_INTERVAL_S = 5.0
 # The row is rewritten after this share of the time that the lease may go
 # without a write, so that several writes may fail.
 _REFRESH_SHARE = 0.25
 # A candidate that hasn't answered for this many renewal intervals is replaced.
-_SILENT_RENEWALS = 2.0
+_MISSED_RENEWALS = 2.0
 _REPLACE_SETTLE_S = 30.0
 
 
@@ -32,7 +32,7 @@
     """Another process took the coordinator lease."""
 
 
-class Holder:
+class LeaseHolder:
     """One held lease, from take-over until it is lost or released.
 
     Attributes:
@@ -51,24 +51,26 @@
         taken_at: float,
         table: base.Table,
         peers: links.Links,
-        scout: scouts.Scout,
+        selector: selection.CandidateSelector,
         settings: settings_lib.CoordinatorSettings,
     ):
         self.service = service
         self.lease = lease
         self.row_version = row_version
-        self.validity = leases.Validity(settings.outage_tolerance_s, taken_at)
+        self.validity = leases.LeaseValidity(
+            settings.outage_tolerance_s, taken_at
+        )
         self.validity.require(lease.candidates)
         self.table_lock = asyncio.Lock()
         self._table = table
         self._peers = peers
-        self._scout = scout
+        self._selector = selector
         self._settings = settings
         self._last_replacement = 0.0
         # New candidates whose write to the row hasn't finished yet.
-        self._joining: tuple[leases.Candidate, ...] = ()
+        self._pending_candidates: tuple[leases.Candidate, ...] = ()
 
-    def check_write(self) -> base.Write:
+    def lease_condition(self) -> base.Write:
         """Returns a check that fails a transaction if the lease was lost."""
         return base.Write(leases.lease_key(self.service), self.row_version)
 
@@ -80,17 +82,17 @@
         """
         confirming = asyncio.create_task(self._confirm_forever())
         refreshing = asyncio.create_task(self._refresh_forever())
-        asking: dict[ids.Incarnation, asyncio.Task] = {}
+        renewals: dict[ids.Incarnation, asyncio.Task] = {}
         try:
             while True:
-                self._start_asking(asking)
+                self._sync_renewals(renewals)
                 await asyncio.sleep(self._settings.renew_interval_s / 2)
-                for task in [confirming, refreshing, *asking.values()]:
+                for task in [confirming, refreshing, *renewals.values()]:
                     if task.done():
                         task.result()
-                await self._replace_silent()
+                await self._replace_unresponsive()
         finally:
-            for task in [confirming, refreshing, *asking.values()]:
+            for task in [confirming, refreshing, *renewals.values()]:
                 task.cancel()
 
     async def release(self) -> None:
@@ -104,10 +106,10 @@
             )
             return
         await asyncio.gather(
-            *(self._tell_resigned(c) for c in self.lease.candidates)
+            *(self._notify_resigned(c) for c in self.lease.candidates)
         )
 
-    async def _tell_resigned(self, candidate: leases.Candidate) -> None:
+    async def _notify_resigned(self, candidate: leases.Candidate) -> None:
         message = messages.Resigned(
             self.service, self.lease.epoch, candidate.incarnation
         )
@@ -117,20 +119,20 @@
             # The candidate sees the released row at its next read.
             return
 
-    def _start_asking(self, asking: dict[ids.Incarnation, asyncio.Task]):
+    def _sync_renewals(self, renewals: dict[ids.Incarnation, asyncio.Task]):
         wanted = {c.incarnation: c for c in self.lease.candidates}
-        for gone in set(asking) - set(wanted):
-            asking.pop(gone).cancel()
-        for incarnation in set(wanted) - set(asking):
-            coroutine = self._ask_forever(wanted[incarnation])
-            asking[incarnation] = asyncio.create_task(coroutine)
+        for removed in set(renewals) - set(wanted):
+            renewals.pop(removed).cancel()
+        for incarnation in set(wanted) - set(renewals):
+            coroutine = self._renew_forever(wanted[incarnation])
+            renewals[incarnation] = asyncio.create_task(coroutine)
 
-    async def _ask_forever(self, candidate: leases.Candidate) -> None:
+    async def _renew_forever(self, candidate: leases.Candidate) -> None:
         while True:
-            await self._ask(candidate)
+            await self._request_promise(candidate)
             await asyncio.sleep(self._settings.renew_interval_s)
 
-    async def _ask(self, candidate: leases.Candidate) -> bool:
+    async def _request_promise(self, candidate: leases.Candidate) -> bool:
         duration = self._settings.promise_s
         message = messages.AskPromise(
             self.service,
@@ -139,54 +141,62 @@
             candidate.incarnation,
             duration,
         )
-        asked_at = clocks.monotonic()
+        requested_at = clocks.monotonic()
         try:
             answer = await self._call(candidate, message, messages.Promised)
         except errors.SwiftstileError:
             return False
         if answer.epoch > self.lease.epoch:
-            raise self._lost(answer.epoch)
+            raise self._lease_lost_error(answer.epoch)
         if answer.granted:
             until = duration - clocks.DRIFT_MARGIN_S
-            self.validity.note_promise(candidate.incarnation, asked_at, until)
+            self.validity.record_promise(
+                candidate.incarnation, requested_at, until
+            )
         return answer.granted
 
     async def _call(self, candidate, message, expected):
-        address = self._scout.address(candidate.vm)
+        address = self._selector.address(candidate.vm)
         return await self._peers.to(address).call(
             message, expected, self._settings.call_timeout_s
         )
 
-    async def _replace_silent(self) -> None:
-        patience = self._settings.renew_interval_s * _SILENT_RENEWALS
+    async def _replace_unresponsive(self) -> None:
+        grace = self._settings.renew_interval_s * _MISSED_RENEWALS
         now = clocks.monotonic()
         full = self._settings.promise_s - clocks.DRIFT_MARGIN_S
-        silent = [
+        unresponsive = [
             c
             for c in self.lease.candidates
-            if self.validity.promised_until(c.incarnation) - full
-            < now - patience
+            if self.validity.promised_until(c.incarnation) - full < now - grace
         ]
-        wanted = len(silent) or len(self.lease.candidates) < scouts.CANDIDATES
-        if wanted and now - self._last_replacement > patience:
+        wanted = (
+            len(unresponsive)
+            or len(self.lease.candidates) < selection.CANDIDATE_COUNT
+        )
+        if wanted and now - self._last_replacement > grace:
             self._last_replacement = now
-            await self._replace({c.incarnation for c in silent})
+            await self._replace({c.incarnation for c in unresponsive})
 
-    async def _replace(self, silent: set[ids.Incarnation]) -> None:
-        keep = [c for c in self.lease.candidates if c.incarnation not in silent]
-        candidates = await self._scout.choose(self.service, keep)
+    async def _replace(self, unresponsive: set[ids.Incarnation]) -> None:
+        keep = [
+            c
+            for c in self.lease.candidates
+            if c.incarnation not in unresponsive
+        ]
+        candidates = await self._selector.choose(self.service, keep)
         if candidates == self.lease.candidates or not candidates:
             return
         # Ask for the first promises before the write, so that the lease
         # doesn't lapse between the write and those promises.
         new = [c for c in candidates if c not in self.lease.candidates]
-        self._joining = tuple(new)
+        self._pending_candidates = tuple(new)
         self.validity.require((*self.lease.candidates, *new))
-        await asyncio.gather(*(self._ask(c) for c in new))
+        await asyncio.gather(*(self._request_promise(c) for c in new))
         try:
             await self._write_candidates(candidates)
         finally:
-            self._joining = ()
+            self._pending_candidates = ()
 
     async def _write_candidates(
         self, candidates: tuple[leases.Candidate, ...]
@@ -200,7 +210,7 @@
             return
         except errors.ConflictError as error:
             await self._confirm()
-            raise self._lost(self.lease.epoch) from error
+            raise self._lease_lost_error(self.lease.epoch) from error
         except errors.PlatformUnavailableError:
             self.validity.require(self.lease.candidates)
             return
@@ -230,7 +240,7 @@
             await settle.settled_transact(self._table, [write], settle_s)
             self.lease = lease
             self.row_version += 1
-        self.validity.note_confirmed(sent_at)
+        self.validity.record_confirmed(sent_at)
 
     async def _confirm_forever(self) -> None:
         while True:
@@ -261,13 +271,15 @@
                 return
             found = codec.from_json(row.value, leases.CoordinatorLease)
             if found.holder != self.lease.holder:
-                raise self._lost(found.epoch)
+                raise self._lease_lost_error(found.epoch)
             self.lease = found
             self.row_version = row.version
             # A write that waits for the lock may add the new candidates next.
-            self.validity.require((*found.candidates, *self._joining))
+            self.validity.require(
+                (*found.candidates, *self._pending_candidates)
+            )
 
-    def _lost(self, epoch: ids.Epoch) -> LeaseLostError:
+    def _lease_lost_error(self, epoch: ids.Epoch) -> LeaseLostError:
         return LeaseLostError(
             f"lease of epoch {self.lease.epoch} was lost to epoch {epoch}",
             step="renew coordinator lease",
--- a/src/swiftstile/ownership/leases.py
+++ b/src/swiftstile/ownership/leases.py
@@ -12,9 +12,9 @@
 __all__ = [
     "Candidate",
     "CoordinatorLease",
-    "PromiseBook",
-    "ServerClock",
-    "Validity",
+    "LeaseValidity",
+    "PromiseTable",
+    "ServerClockReading",
     "lease_key",
     "lease_prefix",
 ]
@@ -60,7 +60,7 @@
     until: float
 
 
-class PromiseBook:
+class PromiseTable:
     """A candidate's promises not to take over, kept in memory only.
 
     Promises needn't survive a restart: the restarted process has a new
@@ -69,7 +69,7 @@
 
     def __init__(self):
         self._by_service: dict[ids.ServiceId, _Promise] = {}
-        self._settling: set[ids.ServiceId] = set()
+        self._unsettled: set[ids.ServiceId] = set()
 
     def promise(
         self,
@@ -86,7 +86,7 @@
         Returns:
             Whether the promise was made.
         """
-        if service in self._settling:
+        if service in self._unsettled:
             return False
         held = self._by_service.get(service)
         if held and held.epoch > epoch:
@@ -97,7 +97,7 @@
         self._by_service[service] = _Promise(epoch, until)
         return True
 
-    def note_epoch(self, service: ids.ServiceId, epoch: ids.Epoch) -> None:
+    def record_epoch(self, service: ids.ServiceId, epoch: ids.Epoch) -> None:
         """Records a new epoch; holders of older epochs get no more promises."""
         held = self._by_service.get(service)
         if held is None or held.epoch < epoch:
@@ -118,14 +118,14 @@
         held = self._by_service.get(service)
         if held and now <= held.until + clocks.DRIFT_MARGIN_S:
             return False
-        self._settling.add(service)
+        self._unsettled.add(service)
         return True
 
     def end_take_over(self, service: ids.ServiceId) -> None:
         """Ends a take-over whose write is known to have succeeded or failed."""
-        self._settling.discard(service)
+        self._unsettled.discard(service)
 
-    def knows(self, service: ids.ServiceId) -> bool:
+    def has_record(self, service: ids.ServiceId) -> bool:
         """Returns whether any epoch of the service was recorded."""
         return service in self._by_service
 
@@ -135,7 +135,7 @@
         return held is None or now > held.until + clocks.DRIFT_MARGIN_S
 
 
-class Validity:
+class LeaseValidity:
     """How long a holder may coordinate: while every candidate's promise lasts.
 
     A promise counts from when it was requested. The candidate made it later,
@@ -161,20 +161,20 @@
             c.incarnation: old.get(c.incarnation, 0.0) for c in candidates
         }
 
-    def note_promise(
-        self, candidate: ids.Incarnation, asked_at: float, duration_s: float
+    def record_promise(
+        self, candidate: ids.Incarnation, requested_at: float, duration_s: float
     ) -> None:
         """Records a promise of a candidate; ignored if it isn't required."""
-        until = asked_at + duration_s
+        until = requested_at + duration_s
         held = self._until_by_candidate.get(candidate)
         if held is not None:
             self._until_by_candidate[candidate] = max(held, until)
 
-    def note_confirmed(self, sent_at: float) -> None:
+    def record_confirmed(self, sent_at: float) -> None:
         """Records that a write of the row, sent at that time, succeeded."""
         self._confirmed_at = max(self._confirmed_at, sent_at)
 
-    def until(self) -> float:
+    def valid_until(self) -> float:
         """Returns when the lease lapses unless it is renewed."""
         ends = [self._confirmed_at + self._tolerance_s]
         ends += self._until_by_candidate.values()
@@ -185,7 +185,7 @@
         return self._until_by_candidate.get(candidate, 0.0)
 
 
-class ServerClock(msgspec.Struct, frozen=True):
+class ServerClockReading(msgspec.Struct, frozen=True):
     """A reading of a server's clock.
 
     Attributes:
@@ -198,7 +198,7 @@
     reading: float
     received_at: float
 
-    def expiry(self, end: float) -> float:
+    def to_server_time(self, end: float) -> float:
         """Converts an end on the local clock to the server's clock.
 
         The reading was taken before it arrived, so the server's clock reaches
--- a/src/swiftstile/ownership/load.py
+++ b/src/swiftstile/ownership/load.py
@@ -7,7 +7,7 @@
 from swiftstile import ids
 from swiftstile.ownership import slices
 
-__all__ = ["LoadReport", "LoadTable", "LoadView", "Sketch"]
+__all__ = ["LoadReport", "LoadSketch", "LoadTable", "LoadView"]
 
 # Most slices and keys that one report lists. Other slices are reported as one
 # total.
@@ -15,9 +15,9 @@
 _REPORTED_KEYS = 16
 _SKETCH_KEYS = 64
 # Reports older than this are discarded.
-_STALE_S = 15.0
+_STALE_AFTER_S = 15.0
 # Weight of the newest report in the smoothed rates.
-_WEIGHT = 0.5
+_REPORT_WEIGHT = 0.5
 
 
 class LoadReport(msgspec.Struct, frozen=True):
@@ -36,7 +36,7 @@
     by_position: dict[int, int]
 
 
-class Sketch:
+class LoadSketch:
     """Counts requests by slice and estimates the busiest keys.
 
     Keys are counted in fixed space by the Space-Saving algorithm. Source:
@@ -48,7 +48,7 @@
         self._by_start: collections.Counter[int] = collections.Counter()
         self._by_position: dict[int, int] = {}
 
-    def note(self, start: int, position: int) -> None:
+    def record(self, start: int, position: int) -> None:
         """Counts one request."""
         self._by_start[start] += 1
         counts = self._by_position
@@ -60,7 +60,7 @@
             least = min(counts, key=counts.__getitem__)
             counts[position] = counts.pop(least) + 1
 
-    def take(self, seconds: float) -> LoadReport:
+    def flush(self, seconds: float) -> LoadReport:
         """Returns the counts and resets them.
 
         Args:
@@ -97,7 +97,7 @@
         return loads
 
 
-class _Smoothed:
+class _SmoothedLoad:
 
     def __init__(self):
         self.at = 0.0
@@ -105,25 +105,25 @@
         self.by_position: dict[int, float] = {}
         self.rest = 0.0
 
-    def note(self, report: LoadReport, now: float) -> None:
+    def record(self, report: LoadReport, now: float) -> None:
         self.at = now
         factor = 1 / max(report.seconds, 0.1)
-        self.by_start = _mix(self.by_start, report.by_start, factor)
-        self.by_position = _mix(self.by_position, report.by_position, factor)
-        self.rest += _WEIGHT * (report.rest * factor - self.rest)
+        self.by_start = _smooth(self.by_start, report.by_start, factor)
+        self.by_position = _smooth(self.by_position, report.by_position, factor)
+        self.rest += _REPORT_WEIGHT * (report.rest * factor - self.rest)
 
 
 class LoadTable:
     """Smoothed load from the reports of all routers."""
 
     def __init__(self):
-        self._by_router: dict[ids.Incarnation, _Smoothed] = {}
+        self._by_router: dict[ids.Incarnation, _SmoothedLoad] = {}
 
-    def note(
+    def record(
         self, router: ids.Incarnation, report: LoadReport, now: float
     ) -> None:
         """Records a router's report."""
-        self._by_router.setdefault(router, _Smoothed()).note(report, now)
+        self._by_router.setdefault(router, _SmoothedLoad()).record(report, now)
 
     def view(self, assignment: slices.Assignment, now: float) -> LoadView:
         """Returns the load on an assignment; discards stale reports."""
@@ -131,7 +131,7 @@
         by_position: dict[int, float] = {}
         rest = 0.0
         for router, entry in list(self._by_router.items()):
-            if now - entry.at > _STALE_S:
+            if now - entry.at > _STALE_AFTER_S:
                 del self._by_router[router]
                 continue
             rest += entry.rest
@@ -141,11 +141,11 @@
                 by_position[position] = by_position.get(position, 0.0) + rate
         share = rest / len(by_start)
         by_start = {start: rate + share for start, rate in by_start.items()}
-        _settle_keys(assignment, by_start, by_position)
+        _shift_to_split_slices(assignment, by_start, by_position)
         return LoadView(by_start, by_position)
 
 
-def _settle_keys(assignment, by_start, by_position) -> None:
+def _shift_to_split_slices(assignment, by_start, by_position) -> None:
     """Attributes the load of a hot key to the slice newly split off for it.
 
     Reports made before the split count that load for the undivided slice.
@@ -159,11 +159,11 @@
             by_start[position] += moved
 
 
-def _mix(
+def _smooth(
     old: dict[int, float], new: dict[int, int], factor: float
 ) -> dict[int, float]:
-    mixed = {key: rate * (1 - _WEIGHT) for key, rate in old.items()}
+    smoothed = {key: rate * (1 - _REPORT_WEIGHT) for key, rate in old.items()}
     for key, count in new.items():
-        mixed[key] = mixed.get(key, 0.0) + _WEIGHT * count * factor
+        smoothed[key] = smoothed.get(key, 0.0) + _REPORT_WEIGHT * count * factor
     # Entries that have decayed to almost nothing are dropped.
-    return {key: rate for key, rate in mixed.items() if rate > 0.01}
+    return {key: rate for key, rate in smoothed.items() if rate > 0.01}
--- a/src/swiftstile/ownership/placement.py
+++ b/src/swiftstile/ownership/placement.py
@@ -21,12 +21,12 @@
 ]
 
 # Most keys that have slices of their own at the same time.
-_MAX_HOT = 64
+_MAX_HOT_KEYS = 64
 # A key gets a slice of its own above the first share of a server's mean load
 # and keeps it until its load is below the second. With a single threshold,
 # noise would split and merge the slice in turn.
-_HOT_SHARE = 0.1
-_WARM_SHARE = 0.03
+_SPLIT_SHARE = 0.1
+_MERGE_SHARE = 0.03
 
 
 class Plan(msgspec.Struct, frozen=True):
@@ -76,7 +76,7 @@
         Slices are placed in order of decreasing load, each on the server that
         is the least loaded so far.
         """
-        counts = _counts(assignment, servers)
+        counts = _slice_counts(assignment, servers)
         loads = load.by_server(assignment, servers)
         moves: dict[int, ids.ServerId] = {}
         by_weight = sorted(orphans, key=lambda p: -load.by_start[p.start])
@@ -99,7 +99,7 @@
         budget: float,
     ) -> Plan:
         """See base class."""
-        counts = _counts(assignment, servers)
+        counts = _slice_counts(assignment, servers)
         allowed = int(budget * len(assignment.slices))
         moves: dict[int, ids.ServerId] = {}
         for piece in assignment.slices:
@@ -141,7 +141,7 @@
         loads = load.by_server(assignment, servers)
         if len(loads) < 2:
             return Plan()
-        if sum(loads.values()) <= 0 or not _owns_all(assignment, servers):
+        if sum(loads.values()) <= 0 or not _all_own_slices(assignment, servers):
             return self._fallback.rebalance(assignment, servers, load, budget)
         return Plan(moves=self._moves(assignment, loads, load, budget))
 
@@ -151,37 +151,39 @@
         moves: dict[int, ids.ServerId] = {}
         while True:
             busiest = max(loads, key=lambda s: (loads[s], s))
-            idlest = min(loads, key=lambda s: (loads[s], s))
+            least_loaded = min(loads, key=lambda s: (loads[s], s))
             if loads[busiest] <= self._target * mean:
                 return moves
-            room = loads[busiest] - loads[idlest]
-            piece = self._best(assignment, busiest, moves, load, room, left)
+            gap = loads[busiest] - loads[least_loaded]
+            piece = self._best_slice(
+                assignment, busiest, moves, load, gap, left
+            )
             if piece is None:
                 return moves
-            moves[piece.start] = idlest
+            moves[piece.start] = least_loaded
             left -= assignment.end_of(piece) - piece.start
             loads[busiest] -= load.by_start[piece.start]
-            loads[idlest] += load.by_start[piece.start]
+            loads[least_loaded] += load.by_start[piece.start]
 
-    def _best(self, assignment, server, moves, load, room, left):
+    def _best_slice(self, assignment, server, moves, load, gap, left):
         """Returns the slice whose move improves balance most, or None."""
         movable = [
             piece
-            for piece in assignment.of(server)
+            for piece in assignment.owned_by(server)
             if piece.start not in moves
-            and 0 < load.by_start[piece.start] < room
+            and 0 < load.by_start[piece.start] < gap
             and assignment.end_of(piece) - piece.start <= left
         ]
         return max(
             movable,
-            key=lambda piece: self._gain(assignment, piece, load, room),
+            key=lambda piece: self._gain(assignment, piece, load, gap),
             default=None,
         )
 
-    def _gain(self, assignment, piece, load, room) -> float:
+    def _gain(self, assignment, piece, load, gap) -> float:
         """Returns the gain of a move; the best one halves the difference."""
         del assignment
-        return -abs(load.by_start[piece.start] - room / 2)
+        return -abs(load.by_start[piece.start] - gap / 2)
 
 
 class IsolatingPlacement(GreedyPlacement):
@@ -198,7 +200,7 @@
         budget: float,
     ) -> Plan:
         """See base class."""
-        hot = self._over(_HOT_SHARE, servers, load)
+        hot = self._keys_above(_SPLIT_SHARE, servers, load)
         splits = tuple(
             start
             for position in sorted(hot)
@@ -213,25 +215,27 @@
             return plan
         # Merging slices of keys that are no longer hot improves no balance, so
         # it is done only when there is nothing else to do.
-        warm = self._over(_WARM_SHARE, servers, load)
-        merges, returns = self._cooled(assignment, warm, servers)
-        return Plan(merges=merges) if merges else Plan(moves=returns)
+        still_hot = self._keys_above(_MERGE_SHARE, servers, load)
+        merges, moves_back = self._merges_and_moves_back(
+            assignment, still_hot, servers
+        )
+        return Plan(merges=merges) if merges else Plan(moves=moves_back)
 
-    def _over(self, share, servers, load) -> set[int]:
+    def _keys_above(self, share, servers, load) -> set[int]:
         """Returns the keys whose load exceeds a share of a server's mean."""
         total = sum(load.by_start.values())
         floor = share * total / max(1, len(servers))
         by_rate = sorted(load.by_position.items(), key=lambda item: -item[1])
-        return {p for p, rate in by_rate[:_MAX_HOT] if rate > floor > 0}
+        return {p for p, rate in by_rate[:_MAX_HOT_KEYS] if rate > floor > 0}
 
-    def _cooled(self, assignment, hot, servers):
+    def _merges_and_moves_back(self, assignment, hot, servers):
         """Returns merges and moves for slices of keys that are no longer hot.
 
         A slice whose neighbour has another owner is moved back to that owner
         before it can be merged.
         """
         merges: list[int] = []
-        returns: dict[int, ids.ServerId] = {}
+        moves_back: dict[int, ids.ServerId] = {}
         for before, piece in zip(
             assignment.slices, assignment.slices[1:], strict=False
         ):
@@ -247,21 +251,21 @@
                 before.server in servers
                 and assignment.end_of(piece) - piece.start == 1
             ):
-                returns[piece.start] = before.server
-        return tuple(merges), returns
+                moves_back[piece.start] = before.server
+        return tuple(merges), moves_back
 
-    def _gain(self, assignment, piece, load, room) -> float:
+    def _gain(self, assignment, piece, load, gap) -> float:
         """Returns the gain of a move; slices of one key are preferred.
 
         A slice that carries more than half the difference is not.
         """
         rate = load.by_start[piece.start]
         width = assignment.end_of(piece) - piece.start
-        fit = 1 - abs(rate - room / 2) / room
-        return fit + (1.0 if width == 1 and rate <= room / 2 else 0.0)
+        fit = 1 - abs(rate - gap / 2) / gap
+        return fit + (1.0 if width == 1 and rate <= gap / 2 else 0.0)
 
 
-def _counts(assignment, servers) -> dict[ids.ServerId, int]:
+def _slice_counts(assignment, servers) -> dict[ids.ServerId, int]:
     counts = dict.fromkeys(sorted(servers), 0)
     for piece in assignment.slices:
         if piece.server in counts:
@@ -269,7 +273,7 @@
     return counts
 
 
-def _owns_all(assignment, servers) -> bool:
+def _all_own_slices(assignment, servers) -> bool:
     """Returns whether each server owns a slice.
 
     A new server owns none and is first filled by number of slices.
--- a/src/swiftstile/ownership/scouts.py
+++ b/src/swiftstile/ownership/selection.py
@@ -10,15 +10,15 @@
 from swiftstile.peers import messages
 from swiftstile.provider import base
 
-__all__ = ["CANDIDATES", "Scout"]
+__all__ = ["CANDIDATE_COUNT", "CandidateSelector"]
 
 # With two candidates in two other failure domains, one of them can take over
 # after the loss of any domain. Each further candidate would be one more that
 # must answer for the lease to stay valid.
-CANDIDATES = 2
+CANDIDATE_COUNT = 2
 
 
-class Scout:
+class CandidateSelector:
     """Selects candidates among the entry VMs that answer a ping."""
 
     def __init__(
@@ -73,7 +73,7 @@
 
     def _best(self, answered, keep) -> tuple[leases.Candidate, ...]:
         chosen = list(keep)
-        while len(chosen) < CANDIDATES:
+        while len(chosen) < CANDIDATE_COUNT:
             taken = [c.vm for c in chosen] + [self._me.vm]
             rest = [pong for pong in answered if pong.vm not in taken]
             if not rest:
@@ -86,7 +86,10 @@
         """Returns whether there are enough, each in a domain of its own."""
         vms_in_use = [self._me.vm, *(c.vm for c in chosen)]
         domains = {self._domain(vm) for vm in vms_in_use}
-        return len(chosen) == CANDIDATES and len(domains) == CANDIDATES + 1
+        return (
+            len(chosen) == CANDIDATE_COUNT
+            and len(domains) == CANDIDATE_COUNT + 1
+        )
 
     def _cost(self, pong: messages.Pong, taken: list[ids.VmId]):
         domains = [self._domain(vm) for vm in taken]
--- a/src/swiftstile/ownership/sessions.py
+++ b/src/swiftstile/ownership/sessions.py
@@ -12,12 +12,12 @@
 from swiftstile.ownership import holder as holder_lib
 from swiftstile.ownership import leases
 
-__all__ = ["FencedSession", "ProbedSession", "ServerSession", "set_digest"]
+__all__ = ["FencedSession", "ProbedSession", "ServerSession", "slices_digest"]
 
 # A server is failing after this many consecutive calls without an answer.
-_MISSES = 2
+_FAILING_MISSES = 2
 # Wait before the next call to a server that missed one or is draining.
-_HURRY_S = 0.02
+_RETRY_SOON_S = 0.02
 
 
 class ServerSession(abc.ABC):
@@ -44,7 +44,7 @@
         self._settings = settings
         self._misses = 0
         self._answered = False
-        self._hurry = False
+        self._retry_soon = False
         self._due = asyncio.Event()
 
     @property
@@ -55,9 +55,9 @@
     @property
     def failing(self) -> bool:
         """Whether the server has missed several consecutive calls."""
-        return self._misses >= _MISSES
+        return self._misses >= _FAILING_MISSES
 
-    def holds_anything(self) -> bool:
+    def may_own_slices(self) -> bool:
         """Returns whether the server may still own slices by its grants."""
         return False
 
@@ -81,8 +81,8 @@
             await self._pause()
 
     async def _pause(self) -> None:
-        hurry = self._hurry or 0 < self._misses < _MISSES
-        wait = _HURRY_S if hurry else self._settings.renew_interval_s
+        hurry = self._retry_soon or 0 < self._misses < _FAILING_MISSES
+        wait = _RETRY_SOON_S if hurry else self._settings.renew_interval_s
         try:
             async with asyncio.timeout(wait):
                 await self._due.wait()
@@ -105,45 +105,45 @@
     """Session with a server that accepts fenced grants.
 
     Attributes:
-        may_hold: Slices that the server may still own.
+        may_own: Slices that the server may still own.
     """
 
-    def __init__(self, *args, holder: holder_lib.Holder):
+    def __init__(self, *args, holder: holder_lib.LeaseHolder):
         super().__init__(*args)
-        self.may_hold: set[grants.GrantedSlice] = set()
+        self.may_own: set[grants.GrantedSlice] = set()
         self._holder = holder
         self._wanted: tuple[grants.GrantedSlice, ...] = ()
-        self._wanted_digest = set_digest(())
+        self._wanted_digest = slices_digest(())
         self._granted_until = 0.0
         self._sequence = 0
-        self._clock: leases.ServerClock | None = None
+        self._clock: leases.ServerClockReading | None = None
         self._held_digest = ""
 
-    def want(self, wanted: tuple[grants.GrantedSlice, ...]) -> None:
+    def set_wanted(self, wanted: tuple[grants.GrantedSlice, ...]) -> None:
         """Sets the slices to grant to the server."""
         if wanted != self._wanted:
             self._wanted = wanted
-            self._wanted_digest = set_digest(wanted)
+            self._wanted_digest = slices_digest(wanted)
             self.wake()
 
     @property
-    def is_settled(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether the server has confirmed the slices to grant."""
         return self._held_digest == self._wanted_digest
 
-    def holds_anything(self) -> bool:
+    def may_own_slices(self) -> bool:
         """See base class."""
-        return bool(self.may_hold)
+        return bool(self.may_own)
 
-    def expire(self, now: float) -> None:
-        """Clears `may_hold` once the server's lease has lapsed."""
+    def expire_leases(self, now: float) -> None:
+        """Clears `may_own` once the server's lease has lapsed."""
         if now > self._granted_until + clocks.DRIFT_MARGIN_S:
-            self.may_hold.clear()
+            self.may_own.clear()
 
     async def _call(self) -> None:
         try:
             if self._clock is None:
-                await self._look()
+                await self._read_clock()
             await self._grant()
         except errors.PeerUnavailableError:
             # Read the server's clock again before the next grant. Otherwise
@@ -151,15 +151,17 @@
             self._clock = None
             raise
 
-    async def _look(self) -> None:
-        reply = await self._control.look(self._address, self._holder.service)
-        self._note_clock(reply)
+    async def _read_clock(self) -> None:
+        reply = await self._control.read_clock(
+            self._address, self._holder.service
+        )
+        self._record_clock(reply)
         self._held_digest = reply.digest
 
     async def _grant(self) -> None:
         now = clocks.monotonic()
         lease_end = now + self._settings.server_lease_s
-        end = min(lease_end, self._holder.validity.until())
+        end = min(lease_end, self._holder.validity.valid_until())
         if end <= now:
             return
         wanted, digest = self._wanted, self._wanted_digest
@@ -171,18 +173,18 @@
             self._clock.instance,
             self._holder.lease.epoch,
             self._sequence,
-            self._clock.expiry(end),
+            self._clock.to_server_time(end),
             digest,
             None if digest == self._held_digest else wanted,
         )
         # Recorded before the grant is sent, as it may take effect without an
         # answer.
-        self.may_hold.update(wanted)
+        self.may_own.update(wanted)
         self._granted_until = max(self._granted_until, end)
         reply = await self._control.grant(self._address, grant)
-        self._note(reply, digest, wanted)
+        self._process_reply(reply, digest, wanted)
 
-    def _note(self, reply, digest, wanted) -> None:
+    def _process_reply(self, reply, digest, wanted) -> None:
         if reply.epoch > self._holder.lease.epoch:
             raise holder_lib.LeaseLostError(
                 f"server saw epoch {reply.epoch}",
@@ -194,21 +196,21 @@
             raise errors.PeerUnavailableError(
                 reply.reason, step="grant", peer=self._address
             )
-        self._note_clock(reply)
+        self._record_clock(reply)
         self._held_digest = digest
-        self._hurry = reply.draining > 0
-        if not reply.draining and self.may_hold != set(wanted):
-            self.may_hold = set(wanted)
+        self._retry_soon = reply.draining > 0
+        if not reply.draining and self.may_own != set(wanted):
+            self.may_own = set(wanted)
             self.changed.set()
 
-    def _note_clock(self, reply: grants.GrantReply) -> None:
+    def _record_clock(self, reply: grants.GrantReply) -> None:
         received_at = clocks.monotonic()
-        self._clock = leases.ServerClock(
+        self._clock = leases.ServerClockReading(
             reply.instance, reply.clock, received_at
         )
 
 
-def set_digest(wanted: tuple[grants.GrantedSlice, ...]) -> str:
+def slices_digest(wanted: tuple[grants.GrantedSlice, ...]) -> str:
     """Returns a digest of a set of slices."""
     text = ";".join(f"{p.start},{p.end},{p.fence}" for p in wanted)
     return f"{hashing.text_hash(text):016x}"
--- a/src/swiftstile/ownership/slices.py
+++ b/src/swiftstile/ownership/slices.py
@@ -77,7 +77,7 @@
             return hashing.HASH_SPACE
         return self.slices[index].start
 
-    def of(self, server: ids.ServerId) -> tuple[Slice, ...]:
+    def owned_by(self, server: ids.ServerId) -> tuple[Slice, ...]:
         """Returns the slices of a server, by start."""
         return tuple(p for p in self.slices if p.server == server)
 
--- a/src/swiftstile/ownership/upstream_http.py
+++ b/src/swiftstile/ownership/upstream_http.py
@@ -11,7 +11,7 @@
 __all__ = ["CLOCK_PATH", "GRANT_PATH", "HttpUpstreamControl"]
 
 # A longer body of a probe's response isn't read.
-_SHORT_BYTES = 4096
+_MAX_PROBE_BODY_BYTES = 4096
 GRANT_PATH = "/swiftstile/v1/grant"
 CLOCK_PATH = "/swiftstile/v1/clock"
 
@@ -24,7 +24,7 @@
         self._meters = meters
         self._session: aiohttp.ClientSession | None = None
 
-    async def look(
+    async def read_clock(
         self, address: str, service: ids.ServiceId
     ) -> grants.GrantReply:
         """See base class."""
@@ -43,7 +43,7 @@
 
     async def probe(self, address: str) -> None:
         """See base class. Any HTTP response counts, whatever its status."""
-        await self._request("GET", address, "/", {}, is_looked_at=True)
+        await self._request("GET", address, "/", {}, is_probe=True)
 
     async def _call(self, method, address, path, **options):
         body = await self._request(method, address, path, options)
@@ -55,7 +55,7 @@
             ) from error
 
     async def _request(
-        self, method, address, path, options, is_looked_at=False
+        self, method, address, path, options, is_probe=False
     ) -> bytes:
         if self._session is None:
             self._session = aiohttp.ClientSession(
@@ -73,7 +73,7 @@
                 method, f"http://{address}{path}", **options
             ) as response:
                 body = b""
-                if not is_looked_at or _is_short(response):
+                if not is_probe or _is_short(response):
                     body = await response.read()
                 sent = len(options.get("data", b""))
                 self._meters.count_http("server", response, sent)
@@ -91,4 +91,4 @@
 
 def _is_short(response: aiohttp.ClientResponse) -> bool:
     length = response.content_length
-    return length is not None and length <= _SHORT_BYTES
+    return length is not None and length <= _MAX_PROBE_BODY_BYTES
--- a/src/swiftstile/routing/owners.py
+++ b/src/swiftstile/routing/owners.py
@@ -53,7 +53,7 @@
     def __init__(self):
         self.assignment: slices.Assignment | None = None
         self.lease_until = 0.0
-        self.sketch = load_lib.Sketch()
+        self.sketch = load_lib.LoadSketch()
         self._changed = signals.Signal()
         self._in_flight: dict[int, int] = {}
         self._attempts: dict[int, _Attempt] = {}
@@ -275,7 +275,7 @@
         if since < _REPORT_INTERVAL_S:
             return None
         self._reported_at = now
-        return self._table.sketch.take(since)
+        return self._table.sketch.flush(since)
 
     def _applied(self, delta: slices.Delta) -> slices.Assignment:
         try:
--- a/src/swiftstile/routing/routes.py
+++ b/src/swiftstile/routing/routes.py
@@ -172,7 +172,7 @@
         end = self._end(inbound)
         if end is None:
             return None
-        self.owners.sketch.note(piece.start, inbound.position)
+        self.owners.sketch.record(piece.start, inbound.position)
         return Choice(
             target, piece.fence, assignment.epoch, assignment.version, end
         )
--- a/src/swiftstile/wiring.py
+++ b/src/swiftstile/wiring.py
@@ -12,14 +12,14 @@
 from swiftstile.daemons import coordinator
 from swiftstile.daemons import router
 from swiftstile.membership import vms
+from swiftstile.ownership import assignment_store
 from swiftstile.ownership import coordination
-from swiftstile.ownership import custody
-from swiftstile.ownership import documents
+from swiftstile.ownership import elector
+from swiftstile.ownership import enforcement
 from swiftstile.ownership import holder as holder_lib
-from swiftstile.ownership import keeper
 from swiftstile.ownership import leases
 from swiftstile.ownership import placement
-from swiftstile.ownership import scouts
+from swiftstile.ownership import selection
 from swiftstile.ownership import upstream_http
 from swiftstile.peers import links
 from swiftstile.provider import http as provider_http
@@ -70,17 +70,19 @@
         telemetry.expose(self._meters)
         me = leases.Candidate(vm.id, ids.new_incarnation(vm.id))
         directory = self._directory()
-        book = leases.PromiseBook()
+        book = leases.PromiseTable()
         bundles = self._bundle_watch()
         peers = links.Links(self._meters)
-        scout = scouts.Scout(me, directory, peers, settings.call_timeout_s)
+        scout = selection.CandidateSelector(
+            me, directory, peers, settings.call_timeout_s
+        )
         control = upstream_http.HttpUpstreamControl(
             settings.call_timeout_s, self._meters
         )
 
-        def make_keeper(service: ids.ServiceId) -> keeper.LeaseKeeper:
+        def make_keeper(service: ids.ServiceId) -> elector.CoordinatorElector:
             def build(lease, row_version, taken_at, released):
-                holder = holder_lib.Holder(
+                holder = holder_lib.LeaseHolder(
                     service,
                     lease,
                     row_version,
@@ -95,16 +97,16 @@
                 ].bundle.services[service.service]
                 changed = asyncio.Event()
                 kind = (
-                    custody.FencedCustody
+                    enforcement.FencedEnforcer
                     if spec.checks_fence
-                    else custody.RoutedCustody
+                    else enforcement.RouteLeaseEnforcer
                 )
                 work = coordination.Coordination(
                     holder,
                     spec,
                     directory,
                     kind(holder, control, settings, changed),
-                    documents.AssignmentStore(
+                    assignment_store.AssignmentStore(
                         service, self.table, self.objects
                     ),
                     self.table,
@@ -117,14 +119,14 @@
                 return holder, work
 
             listed = directory.entry_vms(service.organisation)
-            return keeper.LeaseKeeper(
+            return elector.CoordinatorElector(
                 service,
                 me,
                 self.table,
                 book,
                 scout,
                 build,
-                keeper.rank(service, me.vm, [entry.id for entry in listed]),
+                elector.rank(service, me.vm, [entry.id for entry in listed]),
                 settings.outage_tolerance_s,
             )
 
--- a/tests/integration/broken_wait.py
+++ b/tests/integration/broken_wait.py
@@ -3,8 +3,8 @@
 import sys
 
 from swiftstile import cli
-from swiftstile.ownership import custody
+from swiftstile.ownership import enforcement
 
 if __name__ == "__main__":
-    custody.FencedCustody.is_free = lambda self, piece, now: True
+    enforcement.FencedEnforcer.is_free = lambda self, piece, now: True
     sys.exit(cli.main())
--- a/tests/unit/test_holder.py
+++ b/tests/unit/test_holder.py
@@ -19,7 +19,7 @@
 from tests import builders
 
 _KEY = leases.lease_key(builders.SERVICE)
-_HOLDER, _SILENT, _OTHER, _NEW = map(builders.candidate, "abcd")
+_HOLDER, _UNRESPONSIVE, _OTHER, _NEW = map(builders.candidate, "abcd")
 
 
 class _Table(base.Table):
@@ -69,7 +69,7 @@
         return messages.Promised(True, ids.Epoch(1))
 
 
-class _Scout:
+class _Selector:
     """Adds the new candidate to those that are kept."""
 
     def address(self, vm):
@@ -79,17 +79,19 @@
         return (*keep, _NEW)
 
 
-def _held() -> tuple[holder_lib.Holder, _Table]:
-    lease = leases.CoordinatorLease(ids.Epoch(1), _HOLDER, (_SILENT, _OTHER))
+def _held() -> tuple[holder_lib.LeaseHolder, _Table]:
+    lease = leases.CoordinatorLease(
+        ids.Epoch(1), _HOLDER, (_UNRESPONSIVE, _OTHER)
+    )
     table = _Table(lease)
-    holder = holder_lib.Holder(
+    holder = holder_lib.LeaseHolder(
         builders.SERVICE,
         lease,
         1,
         clocks.monotonic(),
         table,
         _Peers(),
-        _Scout(),
+        _Selector(),
         settings.CoordinatorSettings("127.0.0.1:0"),
     )
     return holder, table
@@ -105,7 +107,9 @@
 
     async def scenario():
         holder, table = _held()
-        replacing = asyncio.create_task(holder._replace({_SILENT.incarnation}))
+        replacing = asyncio.create_task(
+            holder._replace({_UNRESPONSIVE.incarnation})
+        )
         await _settle()
         refreshing = asyncio.create_task(holder._refresh_forever())
         await _settle()
@@ -125,7 +129,9 @@
         holder, table = _held()
         confirming = asyncio.create_task(holder._confirm())
         await _settle()
-        replacing = asyncio.create_task(holder._replace({_SILENT.incarnation}))
+        replacing = asyncio.create_task(
+            holder._replace({_UNRESPONSIVE.incarnation})
+        )
         await _settle()
         promised = []
         table.on_write = lambda: promised.append(
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -20,7 +20,7 @@
 
     def __init__(self, name):
         self.me = builders.candidate(name)
-        self.book = leases.PromiseBook()
+        self.promises = leases.PromiseTable()
         self.validity = None
         self.epoch = ids.Epoch(0)
         self.unsettled = None
@@ -36,14 +36,14 @@
         self.row_version = 1
         self.row_epoch = ids.Epoch(1)
         self.row_candidates = tuple(builders.candidate(n) for n in "bc")
-        self.asks = []
+        self.requests = []
         self.replies = []
         self._hold(self.processes["a"], ids.Epoch(1), self.now)
 
     def _hold(self, process, epoch, sent_at):
         process.epoch = epoch
-        process.book.note_epoch(builders.SERVICE, epoch)
-        process.validity = leases.Validity(TOLERANCE_S, sent_at)
+        process.promises.record_epoch(builders.SERVICE, epoch)
+        process.validity = leases.LeaseValidity(TOLERANCE_S, sent_at)
         process.validity.require(self.row_candidates)
 
     @stateful.rule(by=strategies.sampled_from([0.01, 0.2, 0.5, 0.93, 2.0]))
@@ -55,9 +55,9 @@
         process = self.processes[name]
         if process.unsettled or process.me not in self.row_candidates:
             return
-        if process.book.begin_take_over(builders.SERVICE, self.now):
+        if process.promises.begin_take_over(builders.SERVICE, self.now):
             process.unsettled = (self.row_version, self.row_epoch + 1, self.now)
-            self.asks = self.asks[-6:]
+            self.requests = self.requests[-6:]
 
     @stateful.rule(name=CLIENTS)
     def write_lands(self, name):
@@ -73,7 +73,7 @@
         # others must have lapsed.
         for other in self.processes.values():
             if other is not process and other.validity is not None:
-                assert other.validity.until() <= self.now
+                assert other.validity.valid_until() <= self.now
 
     @stateful.rule(name=CLIENTS)
     def take_over_is_settled(self, name):
@@ -86,7 +86,7 @@
         if self.row_version == expected:
             return
         process.unsettled = None
-        process.book.end_take_over(builders.SERVICE)
+        process.promises.end_take_over(builders.SERVICE)
         if won and self.row_candidates == tuple(
             p.me for p in self.processes.values() if p is not process
         ):
@@ -103,41 +103,45 @@
     def renew(self, name):
         """Both candidates are asked for a promise and answer at once."""
         for candidate in VMS:
-            self.ask_promise(name, candidate)
-            if self.asks:
-                self.ask_arrives(len(self.asks) - 1)
+            self.request_promise(name, candidate)
+            if self.requests:
+                self.request_arrives(len(self.requests) - 1)
             if self.replies:
                 self.reply_arrives(len(self.replies) - 1)
 
     @stateful.rule(name=CLIENTS, candidate=CLIENTS)
-    def ask_promise(self, name, candidate):
+    def request_promise(self, name, candidate):
         holder = self.processes[name]
         if holder.validity is None or name == candidate:
             return
-        self.asks.append((name, candidate, holder.epoch, self.now))
+        self.requests.append((name, candidate, holder.epoch, self.now))
 
     @stateful.rule(index=strategies.integers(0, 20))
-    def ask_arrives(self, index):
-        if not self.asks:
+    def request_arrives(self, index):
+        if not self.requests:
             return
         # Not removed, as a message may be delivered more than once.
-        name, target, epoch, asked_at = self.asks[index % len(self.asks)]
-        granted = self.processes[target].book.promise(
+        name, target, epoch, requested_at = self.requests[
+            index % len(self.requests)
+        ]
+        granted = self.processes[target].promises.promise(
             builders.SERVICE, epoch, self.now, PROMISE_S
         )
         if granted:
-            self.replies.append((name, target, epoch, asked_at))
+            self.replies.append((name, target, epoch, requested_at))
 
     @stateful.rule(index=strategies.integers(0, 20))
     def reply_arrives(self, index):
         if not self.replies:
             return
-        name, target, epoch, asked_at = self.replies[index % len(self.replies)]
+        name, target, epoch, requested_at = self.replies[
+            index % len(self.replies)
+        ]
         holder = self.processes[name]
         if holder.validity is not None and holder.epoch == epoch:
             duration = PROMISE_S - clocks.DRIFT_MARGIN_S
             candidate = self.processes[target].me.incarnation
-            holder.validity.note_promise(candidate, asked_at, duration)
+            holder.validity.record_promise(candidate, requested_at, duration)
 
     @stateful.rule(name=CLIENTS)
     def restart(self, name):
@@ -153,7 +157,7 @@
         valid = [
             process
             for process in self.processes.values()
-            if process.validity and process.validity.until() > self.now
+            if process.validity and process.validity.valid_until() > self.now
         ]
         assert len(valid) <= 1
 
@@ -177,30 +181,30 @@
     sent_at = 1000.0
     read_at = sent_at + there
     received_at = read_at + back
-    clock = leases.ServerClock("i", read_at + offset, received_at)
+    clock = leases.ServerClockReading("i", read_at + offset, received_at)
     end = received_at + lease
-    ends_there = clock.expiry(end) - offset
+    ends_there = clock.to_server_time(end) - offset
     assert ends_there <= end + 1e-6
 
 
 def test_no_promise_while_a_take_over_is_unsettled():
-    book = leases.PromiseBook()
-    assert book.promise(builders.SERVICE, ids.Epoch(1), 10.0, 1.0)
-    assert not book.begin_take_over(builders.SERVICE, 11.0)
-    assert book.begin_take_over(builders.SERVICE, 11.1)
-    assert not book.promise(builders.SERVICE, ids.Epoch(1), 11.2, 1.0)
-    book.end_take_over(builders.SERVICE)
-    assert book.promise(builders.SERVICE, ids.Epoch(1), 11.3, 1.0)
+    promises = leases.PromiseTable()
+    assert promises.promise(builders.SERVICE, ids.Epoch(1), 10.0, 1.0)
+    assert not promises.begin_take_over(builders.SERVICE, 11.0)
+    assert promises.begin_take_over(builders.SERVICE, 11.1)
+    assert not promises.promise(builders.SERVICE, ids.Epoch(1), 11.2, 1.0)
+    promises.end_take_over(builders.SERVICE)
+    assert promises.promise(builders.SERVICE, ids.Epoch(1), 11.3, 1.0)
 
 
 def test_validity_needs_every_candidate_and_a_recent_write():
     first, second = builders.candidate("a"), builders.candidate("b")
-    validity = leases.Validity(30.0, 100.0)
+    validity = leases.LeaseValidity(30.0, 100.0)
     validity.require((first, second))
-    validity.note_promise(first.incarnation, 100.0, 1.0)
-    assert validity.until() == 0.0
-    validity.note_promise(second.incarnation, 100.5, 1.0)
-    assert validity.until() == 101.0
-    validity.note_promise(first.incarnation, 150.0, 1.0)
-    validity.note_promise(second.incarnation, 150.0, 1.0)
-    assert validity.until() == 130.0
+    validity.record_promise(first.incarnation, 100.0, 1.0)
+    assert validity.valid_until() == 0.0
+    validity.record_promise(second.incarnation, 100.5, 1.0)
+    assert validity.valid_until() == 101.0
+    validity.record_promise(first.incarnation, 150.0, 1.0)
+    validity.record_promise(second.incarnation, 150.0, 1.0)
+    assert validity.valid_until() == 130.0
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -99,22 +99,22 @@
 
 
 def test_sketch_finds_the_busiest_keys_in_fixed_space():
-    sketch = load_lib.Sketch()
+    sketch = load_lib.LoadSketch()
     for number in range(20_000):
-        sketch.note(0, number % 5 if number % 2 else 1000 + number)
-    report = sketch.take(2.0)
+        sketch.record(0, number % 5 if number % 2 else 1000 + number)
+    report = sketch.flush(2.0)
     top = sorted(report.by_position, key=report.by_position.get)[-5:]
     assert set(top) == set(range(5))
     assert len(report.by_position) <= 16
     assert report.by_start == {0: 20_000} and report.rest == 0
-    assert sketch.take(1.0).by_start == {}
+    assert sketch.flush(1.0).by_start == {}
 
 
 def test_load_of_a_router_that_fell_silent_is_forgotten():
     assignment = builders.assignment()
     table = load_lib.LoadTable()
     report = load_lib.LoadReport(1.0, {0: 100}, 0, {5: 80})
-    table.note(ids.Incarnation("r"), report, 10.0)
+    table.record(ids.Incarnation("r"), report, 10.0)
     assert table.view(assignment, 11.0).by_start[0] == 50.0
     assert table.view(assignment, 11.0).by_position == {5: 40.0}
     assert sum(table.view(assignment, 60.0).by_start.values()) == 0
