--- a/src/swiftstile/daemons/router.py
+++ b/src/swiftstile/daemons/router.py
@@ -12,7 +12,7 @@
 from swiftstile.membership import vms
 from swiftstile.provider import base
 from swiftstile.routing import forwarding
-from swiftstile.routing import front as front_lib
+from swiftstile.routing import frontend as frontend_lib
 from swiftstile.routing import owners
 from swiftstile.routing import routes
 
@@ -29,7 +29,7 @@
         directory: vms.VmDirectory,
         table: routes.RouteTable,
         forwarder: forwarding.Forwarder,
-        front: front_lib.Front,
+        front: frontend_lib.Frontend,
         meters: metrics.Meters,
         make_watch,
     ):
@@ -41,7 +41,7 @@
         self._front = front
         self._meters = meters
         self._make_watch = make_watch
-        self._watches: dict[ids.ServiceId, owners.OwnerWatch] = {}
+        self._watches: dict[ids.ServiceId, owners.OwnerWatcher] = {}
         self._tasks: dict[ids.ServiceId, asyncio.Task] = {}
 
     async def run(self, stopping: asyncio.Event) -> None:
--- a/src/swiftstile/routing/bodies.py
+++ b/src/swiftstile/routing/bodies.py
@@ -8,7 +8,7 @@
 __all__ = ["Body", "read"]
 
 # Longer bodies, and those of unknown length, are streamed.
-_WHOLE_BYTES = 64 << 10
+_MAX_BUFFERED_BYTES = 64 << 10
 _ERRORS = (
     aiohttp.ClientError,
     aiohttp.http_exceptions.HttpProcessingError,
@@ -23,29 +23,29 @@
     def __init__(self, request: web.BaseRequest, limit: int):
         self._request = request
         self._limit = limit
-        self._whole: bytes | None = None
+        self._buffered: bytes | None = None
         self._is_started = False
 
     @property
-    def can_repeat(self) -> bool:
+    def can_resend(self) -> bool:
         """Whether the body can still be sent from its start."""
-        return self._whole is not None or not self._is_started
+        return self._buffered is not None or not self._is_started
 
     @property
     def length(self) -> int | None:
         """Length in bytes; None if it isn't known."""
-        if self._whole is not None:
-            return len(self._whole)
+        if self._buffered is not None:
+            return len(self._buffered)
         return self._request.content_length
 
     def payload(self):
         """Returns the body for the HTTP client: bytes, a stream or None."""
-        if self._whole is not None:
-            return self._whole or None
+        if self._buffered is not None:
+            return self._buffered or None
         self._is_started = True
         return self._stream()
 
-    async def load(self) -> None:
+    async def buffer(self) -> None:
         """Buffers the body if it is short.
 
         Raises:
@@ -53,10 +53,10 @@
         """
         length = self._request.content_length
         if not self._request.body_exists:
-            self._whole = b""
-        elif length is not None and length <= _WHOLE_BYTES:
+            self._buffered = b""
+        elif length is not None and length <= _MAX_BUFFERED_BYTES:
             try:
-                self._whole = await self._request.read()
+                self._buffered = await self._request.read()
             except _ERRORS as error:
                 raise _truncated(error) from error
 
@@ -91,5 +91,5 @@
         BadRequestError: The body is truncated or malformed.
     """
     body = Body(request, limit)
-    await body.load()
+    await body.buffer()
     return body
--- a/src/swiftstile/routing/dispatch.py
+++ b/src/swiftstile/routing/dispatch.py
@@ -16,26 +16,26 @@
 # A repeatable request fails at this number of attempts with unknown outcome.
 _MAX_UNKNOWN = 2
 # A request fails at this number of attempts rejected by overloaded servers.
-_MAX_SHED = 4
+_MAX_REJECTED = 4
 # Delay between attempts. It doubles each time, so that a held request makes few
 # attempts.
-_FIRST_WAIT_S = 0.05
-_LONGEST_WAIT_S = 1.0
+_MIN_BACKOFF_S = 0.05
+_MAX_BACKOFF_S = 1.0
 
 
-class _Progress:
+class _AttemptHistory:
     """Outcomes of the attempts so far, and the back-off between them."""
 
     def __init__(self, hold_until: float):
         self.hold_until = hold_until
         self.unknown = 0
-        self.shed = 0
-        self.pauses = 0
+        self.rejected = 0
+        self.backoffs = 0
 
-    def next_wait_s(self) -> float:
+    def next_backoff_s(self) -> float:
         """Returns how long to wait before the next attempt, in seconds."""
-        wait = min(_FIRST_WAIT_S * 2**self.pauses, _LONGEST_WAIT_S)
-        self.pauses += 1
+        wait = min(_MIN_BACKOFF_S * 2**self.backoffs, _MAX_BACKOFF_S)
+        self.backoffs += 1
         return wait * random.uniform(0.75, 1.25)
 
 
@@ -62,62 +62,64 @@
         hold_until = min(
             inbound.deadline, clocks.monotonic() + route.spec.hold_ms / 1000
         )
-        progress = _Progress(hold_until)
+        history = _AttemptHistory(hold_until)
         while True:
             try:
-                choice = await route.choose(inbound, progress.hold_until)
+                choice = await route.choose(inbound, history.hold_until)
                 return await self._attempt(
                     request, inbound, body, route, choice
                 )
             except outcomes.RequestError as error:
-                if not self._may_repeat(error, inbound, body, progress):
-                    raise self._final(error, progress) from error
+                if not self._may_retry(error, inbound, body, history):
+                    raise self._final_error(error, history) from error
                 left = max(0.0, inbound.remaining_s())
-                await route.pause(choice, min(left, progress.next_wait_s()))
+                await route.wait_before_retry(
+                    choice, min(left, history.next_backoff_s())
+                )
 
     async def _attempt(self, request, inbound, body, route, choice):
         # Counted as in flight before it waits for a slot: if its key moved
         # during the wait, the request would still be sent to the former owner.
-        route.sent(choice)
-        is_whole = True
+        route.attempt_started(choice)
+        is_complete = True
         try:
-            await choice.target.acquire(choice.end)
+            await choice.target.acquire(choice.deadline)
             try:
-                is_whole = False
+                is_complete = False
                 response = await self._forwarder.send(
                     request, inbound, body, choice, route
                 )
-                is_whole = True
+                is_complete = True
                 return response
             except outcomes.NotStartedError:
-                is_whole = True
+                is_complete = True
                 raise
             finally:
                 choice.target.release()
         finally:
-            route.ended(choice, is_whole)
+            route.attempt_ended(choice, is_complete)
 
-    def _may_repeat(self, error, inbound, body, progress) -> bool:
-        if inbound.remaining_s() <= 0 or not body.can_repeat:
+    def _may_retry(self, error, inbound, body, history) -> bool:
+        if inbound.remaining_s() <= 0 or not body.can_resend:
             return False
-        if isinstance(error, forwarding.ShedError):
-            progress.shed += 1
-            return progress.shed < _MAX_SHED
+        if isinstance(error, forwarding.ServerOverloadedError):
+            history.rejected += 1
+            return history.rejected < _MAX_REJECTED
         if isinstance(error, outcomes.NotStartedError):
-            return clocks.monotonic() < progress.hold_until
+            return clocks.monotonic() < history.hold_until
         if isinstance(error, outcomes.UnknownOutcomeError):
-            progress.unknown += 1
-            return inbound.repeatable and progress.unknown < _MAX_UNKNOWN
+            history.unknown += 1
+            return inbound.repeatable and history.unknown < _MAX_UNKNOWN
         return False
 
-    def _final(self, error, progress) -> outcomes.RequestError:
+    def _final_error(self, error, history) -> outcomes.RequestError:
         """Returns the error for the caller.
 
         The outcome is unknown if that of any attempt is, even if the last
         attempt didn't run.
         """
         is_refusal = error.outcome is outcomes.Outcome.NOT_RUN
-        if progress.unknown and is_refusal:
+        if history.unknown and is_refusal:
             return outcomes.UnknownOutcomeError(
                 str(error), step="repeat", peer=error.peer
             )
--- a/src/swiftstile/routing/forwarding.py
+++ b/src/swiftstile/routing/forwarding.py
@@ -15,17 +15,17 @@
 from swiftstile.routing import outcomes
 from swiftstile.routing import routes
 
-__all__ = ["Forwarder", "NotOwnerError", "ShedError"]
+__all__ = ["Forwarder", "NotOwnerError", "ServerOverloadedError"]
 
 # Longer answers, and those of unknown length, are streamed.
-_WHOLE_BYTES = 256 << 10
+_MAX_BUFFERED_BYTES = 256 << 10
 _CHUNK_BYTES = 64 << 10
 _MISDIRECTED = 421
 _UNAVAILABLE = 503
 _KEEPALIVE_S = 10.0
 _CONNECT_TIMEOUT_S = 1.0
 
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -39,7 +39,7 @@
     }
 )
 # Headers that the router sets itself; those of a caller or server are dropped.
-_OWN = frozenset(
+_ROUTER_HEADERS = frozenset(
     {
         "content-length",
         "expect",
@@ -52,7 +52,7 @@
         outcomes.TIMEOUT_HEADER.lower(),
     }
 )
-_DROPPED = _HOP_BY_HOP | _OWN
+_DROPPED_HEADERS = _HOP_BY_HOP_HEADERS | _ROUTER_HEADERS
 
 
 class NotOwnerError(outcomes.NotStartedError):
@@ -61,7 +61,7 @@
     reason = "not-owner"
 
 
-class ShedError(outcomes.NotStartedError):
+class ServerOverloadedError(outcomes.NotStartedError):
     """The server didn't run the request because it is overloaded."""
 
     reason = "shed"
@@ -100,7 +100,7 @@
     async def send(
         self,
         request: web.BaseRequest,
-        inbound: inbound_lib.Inbound,
+        inbound: inbound_lib.InboundRequest,
         body: bodies.Body,
         choice: routes.Choice,
         route: routes.ServiceRoute,
@@ -113,11 +113,13 @@
         """
         target = choice.target
         started = clocks.monotonic()
-        target.note_sent()
+        target.record_sent()
         try:
-            async with asyncio.timeout(choice.end - started) as limit:
+            async with asyncio.timeout(choice.deadline - started) as limit:
                 with contextlib.ExitStack() as watch:
-                    watch.enter_context(route.watching(choice, inbound, limit))
+                    watch.enter_context(
+                        route.watch_attempt(choice, inbound, limit)
+                    )
                     response = await self._exchange(
                         request, inbound, body, choice, watch
                     )
@@ -125,21 +127,21 @@
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as error:
-            target.note_failure()
+            target.record_failure()
             self._meters.sends.add("connect-failed")
             raise outcomes.NotStartedError(
                 "connection failed", step="connect", peer=target.server
             ) from error
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             self._meters.sends.add("unknown")
-            target.note_failure()
+            target.record_failure()
             raise outcomes.UnknownOutcomeError(
                 f"no whole answer: {error!r}",
                 step="read answer",
                 peer=target.server,
             ) from error
         self._meters.sends.add("answered")
-        target.note_answer(clocks.monotonic() - started)
+        target.record_answer(clocks.monotonic() - started)
         return response
 
     async def _exchange(self, request, inbound, body, choice, watch):
@@ -154,17 +156,17 @@
             # The request ran and its answer has begun, so a move of the key
             # must no longer end the attempt early.
             watch.close()
-            self._check(answer, inbound, choice)
+            self._check_answer(answer, inbound, choice)
             headers = _answer_headers(answer, inbound)
             length = answer.content_length
-            is_whole = length is not None and length <= _WHOLE_BYTES
-            if inbound.method == "HEAD" or not is_whole:
+            is_buffered = length is not None and length <= _MAX_BUFFERED_BYTES
+            if inbound.method == "HEAD" or not is_buffered:
                 return await _stream(request, answer, headers)
             return web.Response(
                 status=answer.status, headers=headers, body=await answer.read()
             )
 
-    def _check(self, answer, inbound, choice) -> None:
+    def _check_answer(self, answer, inbound, choice) -> None:
         """Raises if this is a refusal or the answer to another request."""
         headers = answer.headers
         peer = choice.target.server
@@ -182,7 +184,9 @@
             raise NotOwnerError("not the owner", step="send", peer=peer)
         if answer.status == _UNAVAILABLE:
             self._meters.sends.add("shed")
-            raise ShedError("server sheds load", step="send", peer=peer)
+            raise ServerOverloadedError(
+                "server sheds load", step="send", peer=peer
+            )
 
 
 async def _stream(request, answer, headers) -> web.StreamResponse:
@@ -206,7 +210,7 @@
     headers = multidict.CIMultiDict(
         (name, value)
         for name, value in request.headers.items()
-        if name.lower() not in _DROPPED
+        if name.lower() not in _DROPPED_HEADERS
     )
     headers[outcomes.REQUEST_ID_HEADER] = inbound.request_id
     headers[outcomes.DEADLINE_HEADER] = str(_deadline_ms(inbound, choice))
@@ -221,16 +225,16 @@
 
 
 def _deadline_ms(inbound, choice) -> int:
-    if choice.end >= inbound.deadline:
+    if choice.deadline >= inbound.deadline:
         return inbound.deadline_ms
-    return clocks.wall_ms() + int((choice.end - clocks.monotonic()) * 1000)
+    return clocks.wall_ms() + int((choice.deadline - clocks.monotonic()) * 1000)
 
 
 def _answer_headers(answer, inbound):
     headers = multidict.CIMultiDict(
         (name, value)
         for name, value in answer.headers.items()
-        if name.lower() not in _DROPPED
+        if name.lower() not in _DROPPED_HEADERS
     )
     headers[outcomes.REQUEST_ID_HEADER] = inbound.request_id
     headers[outcomes.OUTCOME_HEADER] = outcomes.Outcome.ANSWERED.value
--- a/src/swiftstile/routing/front.py
+++ b/src/swiftstile/routing/frontend.py
@@ -13,7 +13,7 @@
 from swiftstile.routing import dispatch
 from swiftstile.routing import outcomes
 
-__all__ = ["ErrorBody", "Front"]
+__all__ = ["ErrorBody", "Frontend"]
 
 # Idle connections of callers are closed after this time.
 _KEEPALIVE_S = 75.0
@@ -50,7 +50,7 @@
         return _Connection(self, loop=self._loop, **self._kwargs)
 
 
-class Front:
+class Frontend:
     """Serves callers over HTTP.
 
     Attributes:
@@ -68,7 +68,7 @@
         self._meters = meters
         self._runner: web.ServerRunner | None = None
         self._site: web.TCPSite | None = None
-        self._is_leaving = False
+        self._is_draining = False
         self.in_flight = 0
 
     async def start(self) -> None:
@@ -92,7 +92,7 @@
 
     async def drain(self) -> None:
         """Stops listening and finishes the requests in flight."""
-        self._is_leaving = True
+        self._is_draining = True
         await self._runner.cleanup()
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -108,7 +108,7 @@
             response = await self._dispatcher.answer(request)
             outcome = outcomes.Outcome.ANSWERED
         except outcomes.RequestError as error:
-            response = self._refusal(request, error)
+            response = self._error_response(request, error)
             outcome = error.outcome
             self._meters.refusals.add(error.reason)
         except asyncio.CancelledError:
@@ -116,15 +116,15 @@
             raise
         except Exception as error:
             logs.logger.exception("request failed")
-            response = self._refusal(request, _internal(error))
+            response = self._error_response(request, _internal(error))
             outcome = outcomes.Outcome.UNKNOWN
-        if self._is_leaving:
+        if self._is_draining:
             response.force_close()
         self._meters.requests.add(outcome.value)
         self._meters.durations.record(clocks.monotonic() - started)
         return response
 
-    def _refusal(self, request, error) -> web.Response:
+    def _error_response(self, request, error) -> web.Response:
         body = ErrorBody(
             error.reason,
             error.outcome.value,
--- a/src/swiftstile/routing/inbound.py
+++ b/src/swiftstile/routing/inbound.py
@@ -12,14 +12,14 @@
 from swiftstile.bundles import model
 from swiftstile.routing import outcomes
 
-__all__ = ["Inbound", "parse", "split_path"]
+__all__ = ["InboundRequest", "parse", "split_path"]
 
 _MAX_KEY_BYTES = 512
 _TOKEN = re.compile(r"[\x21-\x7e]{1,200}")
 _REPEATABLE = {"yes": True, "no": False}
 
 
-class Inbound(msgspec.Struct):
+class InboundRequest(msgspec.Struct):
     """One request of a caller.
 
     Attributes:
@@ -76,7 +76,7 @@
     service: ids.ServiceId,
     path: str,
     spec: model.ServiceSpec,
-) -> Inbound:
+) -> InboundRequest:
     """Parses the key, the deadline and the headers of a request.
 
     Raises:
@@ -86,7 +86,7 @@
     key = _key(headers, path, spec)
     timeout_ms = _timeout_ms(headers, spec)
     _check_length(request, spec)
-    return Inbound(
+    return InboundRequest(
         service,
         spec,
         request.method,
--- a/src/swiftstile/routing/owners.py
+++ b/src/swiftstile/routing/owners.py
@@ -15,23 +15,23 @@
 from swiftstile.peers import links
 from swiftstile.peers import messages
 
-__all__ = ["OwnerTable", "OwnerWatch"]
+__all__ = ["OwnerTable", "OwnerWatcher"]
 
 _LOCATE_TIMEOUT_S = 0.3
 _LOCATE_RETRY_S = 0.1
 # A reply that timed out may be too large for the link. The next watch gets this
 # much more time, doubled after each further timeout. The longest extension is
 # enough for the longest message over the narrowest link.
-_FIRST_EXTRA_S = 0.25
-_LONGEST_EXTRA_S = 8.0
+_MIN_EXTRA_TIMEOUT_S = 0.25
+_MAX_EXTRA_TIMEOUT_S = 8.0
 # Interval between load reports. Hot keys change within minutes.
 _REPORT_INTERVAL_S = 3.0
 # Longest wait for older requests to end before the next watch.
-_SETTLE_S = 0.05
-_SETTLE_LOOK_S = 0.003
+_DRAIN_WAIT_S = 0.05
+_DRAIN_POLL_S = 0.003
 # When the owner of a key changes, attempts at the former owner end after this
 # time, which lets answers in transit arrive.
-_RESCUE_S = 0.25
+_LATE_ANSWER_GRACE_S = 0.25
 
 
 class _Attempt(typing.NamedTuple):
@@ -68,13 +68,13 @@
         """Replaces the assignment by a newer one and wakes all waiters."""
         self.assignment = assignment
         self._changed.wake()
-        soon = asyncio.get_running_loop().time() + _RESCUE_S
+        grace_end = asyncio.get_running_loop().time() + _LATE_ANSWER_GRACE_S
         for attempt in self._attempts.values():
             limit = attempt.limit
             has_moved = assignment.at(attempt.position).server != attempt.server
             # A timeout that has expired can't be rescheduled.
             if has_moved and not limit.expired():
-                limit.reschedule(min(soon, limit.when()))
+                limit.reschedule(min(grace_end, limit.when()))
 
     def watch_attempt(
         self,
@@ -115,11 +115,11 @@
         """Waits up to `wait_s` seconds for the next update."""
         await self._changed.wait(wait_s)
 
-    def enter(self, version: int) -> None:
+    def request_started(self, version: int) -> None:
         """Counts a request in flight under a version of the assignment."""
         self._in_flight[version] = self._in_flight.get(version, 0) + 1
 
-    def leave(self, version: int) -> None:
+    def request_ended(self, version: int) -> None:
         """Removes a request that can no longer run from those in flight."""
         self._in_flight[version] -= 1
         if not self._in_flight[version]:
@@ -129,7 +129,7 @@
         """Returns the oldest version of a request that may still run."""
         return min(self._in_flight, default=self.version)
 
-    async def settle(self, wait_s: float) -> None:
+    async def wait_drained(self, wait_s: float) -> None:
         """Waits until no request of an older version is in flight.
 
         Args:
@@ -139,10 +139,10 @@
         while self.oldest_in_flight() < self.version:
             if clocks.monotonic() >= end:
                 return
-            await asyncio.sleep(_SETTLE_LOOK_S)
+            await asyncio.sleep(_DRAIN_POLL_S)
 
 
-class OwnerWatch:
+class OwnerWatcher:
     """Locates the coordinator of one service and watches its assignment."""
 
     def __init__(
@@ -164,7 +164,7 @@
         self._peers = peers
         self._wait_s = wait_s
         self._timeout_s = timeout_s
-        self._extra_s = 0.0
+        self._extra_timeout_s = 0.0
         self._epoch = ids.Epoch(0)
         self._reported_at = clocks.monotonic()
         self.holder = ids.VmId("")
@@ -184,13 +184,13 @@
         waiting for unreachable VMs would take the whole timeout.
         """
         listed = self._directory.entry_vms(self._service.organisation)
-        asks = [
-            asyncio.ensure_future(self._ask(vm.control_address))
+        queries = [
+            asyncio.ensure_future(self._query(vm.control_address))
             for vm in listed
         ]
         try:
-            for ask in asyncio.as_completed(asks):
-                answer = await ask
+            for query in asyncio.as_completed(queries):
+                answer = await query
                 if (
                     answer is not None
                     and answer.is_holder
@@ -198,11 +198,11 @@
                 ):
                     return answer
         finally:
-            for ask in asks:
-                ask.cancel()
+            for query in queries:
+                query.cancel()
         return None
 
-    async def _ask(self, address: str) -> messages.Located | None:
+    async def _query(self, address: str) -> messages.Located | None:
         try:
             return await self._peers.to(address).call(
                 messages.Locate(self._service),
@@ -220,7 +220,7 @@
         try:
             while True:
                 await self._watch_once(link)
-                self._note_holder(located.vm)
+                self._record_holder(located.vm)
         except errors.SwiftstileError as error:
             logs.logger.debug(
                 "lost contact with the coordinator", error=str(error)
@@ -230,7 +230,7 @@
         table = self._table
         # The coordinator may be waiting for older requests to end. Reporting
         # that in this watch saves the wait until the next one.
-        await table.settle(_SETTLE_S)
+        await table.wait_drained(_DRAIN_WAIT_S)
         request = messages.Watch(
             self._service,
             self._vm,
@@ -240,8 +240,8 @@
             self._wait_s,
             self._load_report(),
         )
-        asked_at = clocks.monotonic()
-        reply = await self._ask_for_changes(link, request)
+        requested_at = clocks.monotonic()
+        reply = await self._send_watch(link, request)
         if reply.epoch < self._epoch:
             raise errors.ControlMessageError(
                 f"epoch {reply.epoch} is older than {self._epoch}",
@@ -250,23 +250,25 @@
             )
         self._epoch = reply.epoch
         if reply.delta is not None:
-            table.update(self._applied(reply.delta))
+            table.update(self._apply_checked(reply.delta))
         # Counted from when the request was sent, so the lease ends here no
         # later than the coordinator assumes.
-        table.extend_lease(asked_at + reply.route_lease_s)
+        table.extend_lease(requested_at + reply.route_lease_s)
 
-    async def _ask_for_changes(
+    async def _send_watch(
         self, link: links.Link, request: messages.Watch
     ) -> messages.WatchReply:
         try:
             reply = await link.call(
-                request, messages.WatchReply, self._timeout_s + self._extra_s
+                request,
+                messages.WatchReply,
+                self._timeout_s + self._extra_timeout_s,
             )
         except errors.PeerTimeoutError:
-            longer_s = max(_FIRST_EXTRA_S, 2 * self._extra_s)
-            self._extra_s = min(longer_s, _LONGEST_EXTRA_S)
+            longer_s = max(_MIN_EXTRA_TIMEOUT_S, 2 * self._extra_timeout_s)
+            self._extra_timeout_s = min(longer_s, _MAX_EXTRA_TIMEOUT_S)
             raise
-        self._extra_s = 0.0
+        self._extra_timeout_s = 0.0
         return reply
 
     def _load_report(self) -> load_lib.LoadReport | None:
@@ -277,9 +279,9 @@
         self._reported_at = now
         return self._table.sketch.flush(since)
 
-    def _applied(self, delta: slices.Delta) -> slices.Assignment:
+    def _apply_checked(self, delta: slices.Delta) -> slices.Assignment:
         try:
-            following = self._following(delta)
+            following = self._apply(delta)
             following.check()
         except (AttributeError, KeyError, ValueError) as error:
             raise errors.ControlMessageError(
@@ -287,12 +289,12 @@
             ) from error
         return following
 
-    def _following(self, delta: slices.Delta) -> slices.Assignment:
+    def _apply(self, delta: slices.Delta) -> slices.Assignment:
         if delta.base == 0:
             return slices.Assignment(delta.version, delta.epoch, delta.changed)
         return self._table.assignment.apply(delta)
 
-    def _note_holder(self, holder: ids.VmId) -> None:
+    def _record_holder(self, holder: ids.VmId) -> None:
         if holder != self.holder:
             self.holder = holder
             logs.logger.info(
--- a/src/swiftstile/routing/routes.py
+++ b/src/swiftstile/routing/routes.py
@@ -27,12 +27,12 @@
 
 # Interval at which a held request checks again whether its key has a reachable
 # owner, if no update wakes it.
-_HOLD_LOOK_S = 0.1
+_HOLD_POLL_S = 0.1
 # An attempt ends this long before the route lease does, for the one-way latency
 # of its answer.
 _LEASE_MARGIN_S = 0.02
 # No attempt is started if less than this is left of the route lease.
-_LEAST_LEASE_S = 0.1
+_MIN_LEASE_S = 0.1
 
 
 class Choice(msgspec.Struct, frozen=True):
@@ -43,14 +43,14 @@
         fence: Fence of the key's slice; 0 for a shared service.
         epoch: Epoch of the assignment; 0 for a shared service.
         version: Version of the assignment; 0 for a shared service.
-        end: Deadline of the attempt, on `clocks.monotonic`.
+        deadline: When the attempt is given up, on `clocks.monotonic`.
     """
 
     target: targets_lib.Target
     fence: ids.Fence
     epoch: ids.Epoch
     version: int
-    end: float
+    deadline: float
 
 
 class ServiceRoute(abc.ABC):
@@ -67,7 +67,7 @@
 
     @abc.abstractmethod
     async def choose(
-        self, inbound: inbound_lib.Inbound, hold_until: float
+        self, inbound: inbound_lib.InboundRequest, hold_until: float
     ) -> Choice:
         """Returns the destination of the next attempt.
 
@@ -82,29 +82,29 @@
         """
 
     @abc.abstractmethod
-    async def pause(self, choice: Choice, wait_s: float) -> None:
+    async def wait_before_retry(self, choice: Choice, wait_s: float) -> None:
         """Waits before the next attempt, up to `wait_s` seconds."""
 
-    def sent(self, choice: Choice) -> None:
+    def attempt_started(self, choice: Choice) -> None:
         """Records an attempt, before it waits for a free slot."""
 
     @contextlib.contextmanager
-    def watching(
+    def watch_attempt(
         self,
         choice: Choice,
-        inbound: inbound_lib.Inbound,
+        inbound: inbound_lib.InboundRequest,
         limit: asyncio.Timeout,
     ) -> collections.abc.Iterator[None]:
         """Lets the route end an attempt early, until its answer begins."""
         del choice, inbound, limit
         yield
 
-    def ended(self, choice: Choice, is_whole: bool) -> None:
+    def attempt_ended(self, choice: Choice, is_complete: bool) -> None:
         """Records the end of an attempt.
 
         Args:
             choice: Destination of the attempt.
-            is_whole: Whether the request can no longer run: it was answered
+            is_complete: Whether the request can no longer run: it was answered
                 in full or wasn't started.
         """
 
@@ -121,11 +121,11 @@
         self.owners = table
 
     async def choose(
-        self, inbound: inbound_lib.Inbound, hold_until: float
+        self, inbound: inbound_lib.InboundRequest, hold_until: float
     ) -> Choice:
         """See base class."""
         while True:
-            choice = self._choice(inbound)
+            choice = self._try_choose(inbound)
             if choice is not None:
                 return choice
             left = hold_until - clocks.monotonic()
@@ -133,18 +133,18 @@
                 raise outcomes.NoOwnerError(
                     "no owner in time", step="find owner", peer=inbound.key
                 )
-            await self.owners.wait_change(min(left, _HOLD_LOOK_S))
+            await self.owners.wait_change(min(left, _HOLD_POLL_S))
 
-    async def pause(self, choice: Choice, wait_s: float) -> None:
+    async def wait_before_retry(self, choice: Choice, wait_s: float) -> None:
         """See base class."""
         if self.owners.version == choice.version:
             await self.owners.wait_change(wait_s)
 
     @contextlib.contextmanager
-    def watching(
+    def watch_attempt(
         self,
         choice: Choice,
-        inbound: inbound_lib.Inbound,
+        inbound: inbound_lib.InboundRequest,
         limit: asyncio.Timeout,
     ) -> collections.abc.Iterator[None]:
         """See base class. Only repeatable requests are ended early."""
@@ -161,7 +161,7 @@
             if not limit.expired():
                 limit.reschedule(end)
 
-    def _choice(self, inbound: inbound_lib.Inbound) -> Choice | None:
+    def _try_choose(self, inbound: inbound_lib.InboundRequest) -> Choice | None:
         assignment = self.owners.assignment
         if assignment is None:
             return None
@@ -169,15 +169,17 @@
         target = self.targets.by_server.get(piece.server)
         if target is None or target.is_penalised():
             return None
-        end = self._end(inbound)
-        if end is None:
+        deadline = self._attempt_deadline(inbound)
+        if deadline is None:
             return None
         self.owners.sketch.record(piece.start, inbound.position)
         return Choice(
-            target, piece.fence, assignment.epoch, assignment.version, end
+            target, piece.fence, assignment.epoch, assignment.version, deadline
         )
 
-    def _end(self, inbound: inbound_lib.Inbound) -> float | None:
+    def _attempt_deadline(
+        self, inbound: inbound_lib.InboundRequest
+    ) -> float | None:
         """Returns the deadline of an attempt; None if none may start."""
         return inbound.deadline
 
@@ -188,27 +190,29 @@
     Attempts are sent only under a route lease and end before it does.
     """
 
-    def _end(self, inbound: inbound_lib.Inbound) -> float | None:
+    def _attempt_deadline(
+        self, inbound: inbound_lib.InboundRequest
+    ) -> float | None:
         lease_end = self.owners.lease_until - _LEASE_MARGIN_S
-        if lease_end - clocks.monotonic() < _LEAST_LEASE_S:
+        if lease_end - clocks.monotonic() < _MIN_LEASE_S:
             return None
         return min(inbound.deadline, lease_end)
 
-    def sent(self, choice: Choice) -> None:
+    def attempt_started(self, choice: Choice) -> None:
         """See base class."""
-        self.owners.enter(choice.version)
+        self.owners.request_started(choice.version)
 
-    def ended(self, choice: Choice, is_whole: bool) -> None:
+    def attempt_ended(self, choice: Choice, is_complete: bool) -> None:
         """See base class.
 
         Without a complete answer the request may run until its deadline.
         """
-        left = 0.0 if is_whole else choice.end - clocks.monotonic()
+        left = 0.0 if is_complete else choice.deadline - clocks.monotonic()
         if left <= 0:
-            self.owners.leave(choice.version)
+            self.owners.request_ended(choice.version)
         else:
             loop = asyncio.get_running_loop()
-            loop.call_later(left, self.owners.leave, choice.version)
+            loop.call_later(left, self.owners.request_ended, choice.version)
 
 
 class SharedRoute(ServiceRoute):
@@ -219,12 +223,12 @@
         self._policy = balancing.policy(spec.balancing)
 
     async def choose(
-        self, inbound: inbound_lib.Inbound, hold_until: float
+        self, inbound: inbound_lib.InboundRequest, hold_until: float
     ) -> Choice:
         """See base class."""
         while True:
             listed = list(self.targets.by_server.values())
-            usable = [t for t in listed if t.is_answering()] or listed
+            usable = [t for t in listed if t.is_responsive()] or listed
             if usable:
                 target = self._policy.choose(usable)
                 none = ids.Fence(0), ids.Epoch(0), 0
@@ -234,9 +238,9 @@
                 raise outcomes.NoOwnerError(
                     "no server", step="choose server", peer=str(inbound.service)
                 )
-            await asyncio.sleep(min(left, _HOLD_LOOK_S))
+            await asyncio.sleep(min(left, _HOLD_POLL_S))
 
-    async def pause(self, choice: Choice, wait_s: float) -> None:
+    async def wait_before_retry(self, choice: Choice, wait_s: float) -> None:
         """See base class."""
         await asyncio.sleep(wait_s)
 
--- a/src/swiftstile/routing/targets.py
+++ b/src/swiftstile/routing/targets.py
@@ -12,11 +12,11 @@
 
 # A server isn't used for this long after a failure, unless no other is left.
 # The time doubles with each consecutive failure.
-_FIRST_PENALTY_S = 0.5
-_LONGEST_PENALTY_S = 4.0
+_MIN_PENALTY_S = 0.5
+_MAX_PENALTY_S = 4.0
 # A server with outstanding requests is skipped if it hasn't answered any for
 # this long.
-_SILENCE_S = 1.0
+_UNRESPONSIVE_AFTER_S = 1.0
 # Weight of the newest sample in the smoothed latency.
 _LATENCY_WEIGHT = 0.1
 
@@ -44,7 +44,7 @@
         self._order = itertools.count()
         self._penalised_until = float("-inf")
         self._failures = 0
-        self._silent_since = float("inf")
+        self._unanswered_since = float("inf")
 
     @property
     def outstanding(self) -> int:
@@ -55,30 +55,30 @@
         """Returns whether a recent failure excludes the server."""
         return clocks.monotonic() < self._penalised_until
 
-    def is_answering(self) -> bool:
+    def is_responsive(self) -> bool:
         """Returns whether the server is neither penalised nor unresponsive."""
         now = clocks.monotonic()
-        is_silent = now - self._silent_since > _SILENCE_S
-        return now >= self._penalised_until and not is_silent
+        is_unresponsive = now - self._unanswered_since > _UNRESPONSIVE_AFTER_S
+        return now >= self._penalised_until and not is_unresponsive
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Records that a request is being sent to the server."""
-        self._silent_since = min(self._silent_since, clocks.monotonic())
+        self._unanswered_since = min(self._unanswered_since, clocks.monotonic())
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Records a failed connection or request."""
-        penalty = _FIRST_PENALTY_S * 2**self._failures
+        penalty = _MIN_PENALTY_S * 2**self._failures
         now = clocks.monotonic()
-        self._penalised_until = now + min(penalty, _LONGEST_PENALTY_S)
+        self._penalised_until = now + min(penalty, _MAX_PENALTY_S)
         self._failures += 1
-        self._silent_since = float("inf")
+        self._unanswered_since = float("inf")
 
-    def note_answer(self, latency_s: float) -> None:
+    def record_answer(self, latency_s: float) -> None:
         """Records an answer and its latency, in seconds."""
         self.latency_s += _LATENCY_WEIGHT * (latency_s - self.latency_s)
         self._penalised_until = float("-inf")
         self._failures = 0
-        self._silent_since = (
+        self._unanswered_since = (
             clocks.monotonic() if self.in_use > 1 else float("inf")
         )
 
@@ -105,12 +105,12 @@
             async with asyncio.timeout(deadline - clocks.monotonic()):
                 await future
         except TimeoutError as error:
-            self._give_up(future)
+            self._abandon_wait(future)
             raise outcomes.DeadlineError(
                 "no slot in time", step="wait for slot", peer=self.server
             ) from error
         except asyncio.CancelledError:
-            self._give_up(future)
+            self._abandon_wait(future)
             raise
 
     def release(self) -> None:
@@ -122,7 +122,7 @@
                 return
         self.in_use -= 1
 
-    def _give_up(self, future: asyncio.Future) -> None:
+    def _abandon_wait(self, future: asyncio.Future) -> None:
         if future.done() and not future.cancelled():
             # The slot was assigned just as the wait ended: pass it on.
             self.release()
--- a/src/swiftstile/wiring.py
+++ b/src/swiftstile/wiring.py
@@ -25,7 +25,7 @@
 from swiftstile.provider import http as provider_http
 from swiftstile.routing import dispatch
 from swiftstile.routing import forwarding
-from swiftstile.routing import front
+from swiftstile.routing import frontend
 from swiftstile.routing import owners
 from swiftstile.routing import routes
 
@@ -150,11 +150,11 @@
         forwarder = forwarding.Forwarder(self._meters)
         incarnation = ids.new_incarnation(vm.id)
 
-        def make_watch(service, spec, owner_table) -> owners.OwnerWatch:
+        def make_watch(service, spec, owner_table) -> owners.OwnerWatcher:
             wait_s = (
                 _WATCH_WAIT_S if spec.checks_fence else _LEASED_WATCH_WAIT_S
             )
-            return owners.OwnerWatch(
+            return owners.OwnerWatcher(
                 service,
                 vm.id,
                 incarnation,
@@ -171,7 +171,7 @@
             directory,
             table,
             forwarder,
-            front.Front(
+            frontend.Frontend(
                 self._settings.router,
                 dispatch.Dispatcher(table, forwarder),
                 self._meters,
--- a/tests/integration/broken_route_lease.py
+++ b/tests/integration/broken_route_lease.py
@@ -6,5 +6,5 @@
 from swiftstile.routing import routes
 
 if __name__ == "__main__":
-    routes.LeasedRoute._end = lambda self, inbound: inbound.deadline
+    routes.LeasedRoute._attempt_deadline = lambda _, inbound: inbound.deadline
     sys.exit(cli.main())
--- a/tests/unit/test_dispatch.py
+++ b/tests/unit/test_dispatch.py
@@ -58,7 +58,7 @@
         route, choice = _parts()
         forwarder = _Forwarder()
         dispatcher = dispatch.Dispatcher(None, forwarder)
-        await choice.target.acquire(choice.end)
+        await choice.target.acquire(choice.deadline)
         waiting = asyncio.create_task(
             dispatcher._attempt(None, None, None, route, choice)
         )
@@ -78,9 +78,9 @@
     async def scenario():
         route, choice = _parts()
         dispatcher = dispatch.Dispatcher(None, _Forwarder())
-        await choice.target.acquire(choice.end)
+        await choice.target.acquire(choice.deadline)
         end = clocks.monotonic() + 0.01
-        ending = msgspec.structs.replace(choice, end=end)
+        ending = msgspec.structs.replace(choice, deadline=end)
         with pytest.raises(outcomes.DeadlineError):
             await dispatcher._attempt(None, None, None, route, ending)
         newer = route.owners.assignment.moved({}, 1)
--- a/tests/unit/test_owners.py
+++ b/tests/unit/test_owners.py
@@ -84,7 +84,7 @@
         return messages.WatchReply(ids.Epoch(1), delta, 0.0)
 
 
-def _watch(link, table) -> owners.OwnerWatch:
+def _watch(link, table) -> owners.OwnerWatcher:
     vm = base.Vm(
         ids.VmId("vm-1"),
         base.VmKind.ENTRY,
@@ -98,7 +98,7 @@
     me = ids.VmId("vm-2")
     run = ids.Incarnation("vm-2#1")
     service = builders.SERVICE
-    return owners.OwnerWatch(
+    return owners.OwnerWatcher(
         service, me, run, table, directory, peers, _WAIT_S, _TIMEOUT_S
     )
 
