--- a/src/swiftstile/ownership/elector.py
+++ b/src/swiftstile/ownership/elector.py
@@ -72,7 +72,7 @@
         self._poll_now = asyncio.Event()
 
     async def run(self) -> None:
-        """Acquires and holds the lease, again and again until cancelled."""
+        """Repeatedly acquires and holds the lease until cancelled."""
         while True:
             try:
                 await self._acquire_when_allowed()
--- a/tests/integration/test_ownership.py
+++ b/tests/integration/test_ownership.py
@@ -49,7 +49,7 @@
     return granted + evidence.overlapping_runs(journals)
 
 
-def thaw_stale_owner(fleet, key) -> callers.Answer:
+def ask_resumed_stale_owner(fleet, key) -> callers.Answer:
     """Pauses a key's owner until the key has moved, resumes and queries it."""
     server = fleet.servers[owner_of(fleet, key)]
     fence = fence_of(fleet, key)
@@ -62,20 +62,20 @@
     return callers.ask(server.port, "/x", headers=headers)
 
 
-def test_frozen_server_that_returns_runs_nothing(fleet):
-    answer = thaw_stale_owner(fleet, "frozen")
+def test_resumed_server_rejects_requests_of_moved_keys(fleet):
+    answer = ask_resumed_stale_owner(fleet, "frozen")
     assert (answer.status, answer.outcome) == (421, "not-run")
     assert overlaps(fleet) == 0
 
 
-def test_a_server_that_ignores_fences_is_found_out(tmp_path):
+def test_overlap_is_detected_if_servers_ignore_fences(tmp_path):
     organisation = builders.tiny_organisation(checks_fence=True)
     names = [f"store-{index:02d}" for index in (1, 2, 3)]
     options = {name: ["--ignores-fence"] for name in names}
     with fleet_lib.Fleet(
         organisation, tmp_path, 1, server_options=options
     ) as fleet:
-        answer = thaw_stale_owner(fleet, "frozen")
+        answer = ask_resumed_stale_owner(fleet, "frozen")
         assert answer.status == 200
         assert overlaps(fleet) > 0
 
@@ -84,7 +84,9 @@
     ("module", "is_broken"),
     [("swiftstile", False), ("tests.integration.broken_wait", True)],
 )
-def test_the_lease_of_a_dead_server_is_waited_out(tmp_path, module, is_broken):
+def test_slices_of_a_crashed_server_move_after_its_lease(
+    tmp_path, module, is_broken
+):
     organisation = builders.tiny_organisation(checks_fence=True)
     with fleet_lib.Fleet(organisation, tmp_path, 1, module=module) as fleet:
         old = owner_of(fleet, "k")
@@ -99,7 +101,7 @@
     ("module", "is_broken"),
     [("swiftstile", False), ("tests.integration.broken_route_lease", True)],
 )
-def test_stale_router_before_servers_that_check_nothing(
+def test_stale_router_with_servers_without_fence_checks(
     tmp_path, module, is_broken
 ):
     organisation = builders.tiny_organisation(checks_fence=False)
@@ -187,7 +189,7 @@
     assert overlaps(fleet) == 0
 
 
-def test_coordinator_stopped_in_an_orderly_way_is_followed_at_once(fleet):
+def test_coordinator_shutdown_hands_over_at_once(fleet):
     holder = fleet.keyed_holder()
     holder.coordinator.send(signal.SIGTERM)
     assert holder.coordinator.wait(10) == 0
@@ -200,15 +202,15 @@
     assert overlaps(fleet) == 0
 
 
-def called_off(fleet) -> int:
+def cancelled_moves(fleet) -> int:
     state = fleet.status(fleet.keyed_holder().coordinator_metrics)
     return state["meters"]["ownership"].get("moves-called-off", 0)
 
 
-def test_a_planned_move_that_the_table_refuses_costs_no_key_its_owner(fleet):
+def test_keys_keep_their_owner_if_the_table_refuses_a_move(fleet):
     key = "refused"
     old = fleet.servers[owner_of(fleet, key)]
-    before = called_off(fleet)
+    before = cancelled_moves(fleet)
     fleet.platform.faults(refuse_writes=True)
     old.state = base.VmState.LEAVING
     fleet.publish_vms()
@@ -216,7 +218,7 @@
 
     def tried_three_times():
         answers.append(ask(fleet, key))
-        return called_off(fleet) >= before + 3
+        return cancelled_moves(fleet) >= before + 3
 
     try:
         processes.wait_until(tried_three_times, 20, "moves called off")
--- a/tests/integration/test_path.py
+++ b/tests/integration/test_path.py
@@ -40,7 +40,7 @@
     assert len(set.union(*owners.values())) == 3
 
 
-def test_bodies_and_answers_pass_whole(fleet):
+def test_bodies_and_answers_are_forwarded_completely(fleet):
     port = router_ports(fleet)[0]
     for size in (0, 1, 70_000, 3_000_000):
         body = bytes(size)
@@ -65,7 +65,7 @@
     assert (answer.status, answer.outcome) == (502, "unknown")
 
 
-def test_a_caller_that_goes_away_frees_its_slot(fleet):
+def test_disconnected_caller_frees_its_slot(fleet):
     port = router_ports(fleet)[0]
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         waits = [
@@ -85,7 +85,7 @@
     assert answer.status == 200
 
 
-def test_racing_operators_one_wins_and_none_falls_back(fleet, tmp_path):
+def test_concurrent_rolls_leave_the_newest_version_in_force(fleet, tmp_path):
     path = tmp_path / "bundle.ini"
     path.write_text(builders.tiny_organisation(True).bundle())
     versions = [
@@ -132,7 +132,7 @@
     return cli.main(words)
 
 
-def test_lost_answers_of_the_table_are_settled(fleet, tmp_path):
+def test_writes_with_lost_answers_are_settled(fleet, tmp_path):
     path = tmp_path / "bundle.ini"
     path.write_text(builders.tiny_organisation(True).bundle())
     before = len(fleet.run_cli("audit", "tiny"))
--- a/tests/integration/test_server_probes.py
+++ b/tests/integration/test_server_probes.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("page_bytes", [0, 100, 500_000])
-def test_a_server_answers_however_large_its_page_is(page_bytes):
+def test_probe_succeeds_for_any_page_size(page_bytes):
     async def scenario():
         async with _server(page_bytes) as link, _control() as control:
             for _ in range(_PROBES):
@@ -52,7 +52,7 @@
     asyncio.run(scenario())
 
 
-def test_a_server_that_does_not_answer_is_noticed_in_time():
+def test_probe_of_an_unresponsive_server_times_out():
     async def scenario():
         async with _server(100) as link, _control() as control:
             link.stop_after = 0
--- a/tests/unit/test_holder.py
+++ b/tests/unit/test_holder.py
@@ -102,7 +102,7 @@
         await asyncio.sleep(0)
 
 
-def test_a_refresh_brings_no_replaced_candidate_back(monkeypatch):
+def test_refresh_does_not_restore_a_replaced_candidate(monkeypatch):
     monkeypatch.setattr(holder_lib, "_REFRESH_SHARE", 0.0)
 
     async def scenario():
@@ -124,7 +124,7 @@
     asyncio.run(scenario())
 
 
-def test_a_new_candidate_counts_though_the_row_is_read_before_it_is_written():
+def test_new_candidate_is_required_despite_a_concurrent_read():
     async def scenario():
         holder, table = _held()
         confirming = asyncio.create_task(holder._confirm())
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -60,7 +60,7 @@
             self.requests = self.requests[-6:]
 
     @stateful.rule(name=CLIENTS)
-    def write_lands(self, name):
+    def write_is_applied(self, name):
         """The table applies a write; the writer hasn't been answered yet."""
         process = self.processes[name]
         if not process.unsettled or process.unsettled[0] != self.row_version:
@@ -96,7 +96,7 @@
     def take_over(self, name):
         """A complete take-over without delays."""
         self.send_take_over(name)
-        self.write_lands(name)
+        self.write_is_applied(name)
         self.take_over_is_settled(name)
 
     @stateful.rule(name=CLIENTS)
--- a/tests/unit/test_owners.py
+++ b/tests/unit/test_owners.py
@@ -35,7 +35,7 @@
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
-def test_an_attempt_that_is_ending_does_not_stop_the_update():
+def test_expired_attempt_does_not_prevent_the_update():
     async def run():
         table, first = owners.OwnerTable(), builders.assignment()
         old, second = other_owner(first)
@@ -50,7 +50,7 @@
     asyncio.run(run())
 
 
-def test_an_attempt_whose_owner_stays_keeps_its_end():
+def test_attempt_whose_owner_is_unchanged_keeps_its_deadline():
     async def run():
         table, first = owners.OwnerTable(), builders.assignment()
         old = first.at(POSITION).server
@@ -103,7 +103,7 @@
     )
 
 
-def test_an_assignment_that_takes_longer_than_a_try_comes_all_the_same():
+def test_assignment_slower_than_the_timeout_is_received():
     async def run():
         table, link = owners.OwnerTable(), _SlowLink(whole_s=0.6)
         watching = asyncio.create_task(_watch(link, table).run())
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -78,7 +78,7 @@
     assert 201 not in plan.moves
 
 
-def test_cooled_key_is_joined_again():
+def test_slice_of_a_cooled_key_is_merged():
     servers = builders.servers(3)
     policy = placement.IsolatingPlacement(1.5)
     current = builders.assignment(3, 4).split([100, 101], ids.Epoch(1))
@@ -88,7 +88,7 @@
     assert len(joined.slices) == 12
 
 
-def test_cooled_key_that_moved_returns_first():
+def test_slice_of_a_cooled_key_moves_back_before_its_merge():
     servers = builders.servers(3)
     policy = placement.IsolatingPlacement(1.5)
     current = builders.assignment(3, 4).split([100, 101], ids.Epoch(1))
@@ -110,7 +110,7 @@
     assert sketch.flush(1.0).by_start == {}
 
 
-def test_load_of_a_router_that_fell_silent_is_forgotten():
+def test_stale_load_reports_are_dropped():
     assignment = builders.assignment()
     table = load_lib.LoadTable()
     report = load_lib.LoadReport(1.0, {0: 100}, 0, {5: 80})
