--- a/src/swiftstile/routing/dispatch.py
+++ b/src/swiftstile/routing/dispatch.py
@@ -78,8 +78,9 @@
                 )
 
     async def _attempt(self, request, inbound, body, route, choice):
-        # Counted as in flight before it waits for a slot: if its key moved
-        # during the wait, the request would still be sent to the former owner.
+        # Counted as in flight before it waits for a slot, so that its key isn't
+        # assigned to another server meanwhile: the request would still be sent
+        # to the former owner.
         route.attempt_started(choice)
         is_complete = True
         try:
