--- a/src/swiftstile/ownership/holder.py
+++ b/src/swiftstile/ownership/holder.py
@@ -1,4 +1,4 @@
-"""A held coordinator lease: keeps its promises and candidates up to date."""
+"""Keeps a held coordinator lease valid: promises, candidates and its row."""
 
 import asyncio
 
@@ -11,20 +11,20 @@
 from swiftstile import logs
 from swiftstile import settings as settings_lib
 from swiftstile.ownership import leases
-from swiftstile.ownership import scouts
+from swiftstile.ownership import selection
 from swiftstile.peers import links
 from swiftstile.peers import messages
 from swiftstile.provider import base
 from swiftstile.provider import settle
 
-__all__ = ["Holder", "LeaseLostError"]
+__all__ = ["LeaseHolder", "LeaseLostError"]
 
 _CONFIRM_INTERVAL_S = 5.0
-# A refresh is due after this share of the time that the lease can go on
-# without one, so that several may fail.
+# The row is rewritten after this share of the time that the lease may go
+# without a write, so that several writes may fail.
 _REFRESH_SHARE = 0.25
-# A candidate that is silent for this many renewals is replaced.
-_SILENT_RENEWALS = 2.0
+# A candidate that hasn't answered for this many renewal intervals is replaced.
+_MISSED_RENEWALS = 2.0
 _REPLACE_SETTLE_S = 30.0
 
 
@@ -32,14 +32,14 @@
     """Another process took the coordinator lease."""
 
 
-class Holder:
+class LeaseHolder:
     """One held lease, from take-over until it is lost or released.
 
     Attributes:
         service: The service.
-        lease: The row as this holder last wrote it.
+        lease: The row as this holder last wrote or read it.
         row_version: Version of that row.
-        validity: How long the lease runs.
+        validity: How long the lease is valid.
         table_lock: Held during each write that depends on `row_version`.
     """
 
@@ -51,84 +51,88 @@
         taken_at: float,
         table: base.Table,
         peers: links.Links,
-        scout: scouts.Scout,
+        selector: selection.CandidateSelector,
         settings: settings_lib.CoordinatorSettings,
     ):
         self.service = service
         self.lease = lease
         self.row_version = row_version
-        self.validity = leases.Validity(settings.outage_tolerance_s, taken_at)
+        self.validity = leases.LeaseValidity(
+            settings.outage_tolerance_s, taken_at
+        )
         self.validity.require(lease.candidates)
         self.table_lock = asyncio.Lock()
         self._table = table
         self._peers = peers
-        self._scout = scout
+        self._selector = selector
         self._settings = settings
         self._last_replacement = 0.0
-        # Candidates that are about to be written into the row.
-        self._joining: tuple[leases.Candidate, ...] = ()
+        # New candidates whose write to the row hasn't finished yet.
+        self._pending_candidates: tuple[leases.Candidate, ...] = ()
 
-    def check_write(self) -> base.Write:
-        """Returns the condition that a write of this holder depends on."""
+    def lease_condition(self) -> base.Write:
+        """Returns a check that fails a transaction if the lease was lost."""
         return base.Write(leases.lease_key(self.service), self.row_version)
 
     async def run(self) -> None:
-        """Keeps the lease.
+        """Renews the lease until cancelled.
 
         Raises:
-            LeaseLostError: Another process has it.
+            LeaseLostError: Another process holds the lease.
         """
         confirming = asyncio.create_task(self._confirm_forever())
         refreshing = asyncio.create_task(self._refresh_forever())
-        asking: dict[ids.Incarnation, asyncio.Task] = {}
+        renewals: dict[ids.Incarnation, asyncio.Task] = {}
         try:
             while True:
-                self._start_asking(asking)
+                self._sync_renewals(renewals)
                 await asyncio.sleep(self._settings.renew_interval_s / 2)
-                for task in [confirming, refreshing, *asking.values()]:
+                for task in [confirming, refreshing, *renewals.values()]:
                     if task.done():
                         task.result()
-                await self._replace_silent()
+                await self._replace_unresponsive()
         finally:
-            for task in [confirming, refreshing, *asking.values()]:
+            for task in [confirming, refreshing, *renewals.values()]:
                 task.cancel()
 
     async def release(self) -> None:
-        """Gives the lease up, so that a candidate takes it at once."""
+        """Releases the lease, so that a candidate can take over at once."""
         released = msgspec.structs.replace(self.lease, released=True)
         try:
             await self._write_lease(released, 2.0)
         except errors.PlatformError as error:
-            logs.logger.warning("lease not released", error=str(error))
+            logs.logger.warning(
+                "could not release the coordinator lease", error=str(error)
+            )
             return
         await asyncio.gather(
-            *(self._tell_resigned(c) for c in self.lease.candidates)
+            *(self._notify_resigned(c) for c in self.lease.candidates)
         )
 
-    async def _tell_resigned(self, candidate: leases.Candidate) -> None:
+    async def _notify_resigned(self, candidate: leases.Candidate) -> None:
         message = messages.Resigned(
             self.service, self.lease.epoch, candidate.incarnation
         )
         try:
             await self._call(candidate, message, messages.Promised)
         except errors.SwiftstileError:
-            # It finds the released row when it reads the table next.
+            # The candidate sees the released row at its next read.
             return
 
-    def _start_asking(self, asking: dict[ids.Incarnation, asyncio.Task]):
+    def _sync_renewals(self, renewals: dict[ids.Incarnation, asyncio.Task]):
         wanted = {c.incarnation: c for c in self.lease.candidates}
-        for gone in set(asking) - set(wanted):
-            asking.pop(gone).cancel()
-        for incarnation in set(wanted) - set(asking):
-            coroutine = self._ask_forever(wanted[incarnation])
-            asking[incarnation] = asyncio.create_task(coroutine)
+        for removed in set(renewals) - set(wanted):
+            renewals.pop(removed).cancel()
+        for incarnation in set(wanted) - set(renewals):
+            coroutine = self._renew_forever(wanted[incarnation])
+            renewals[incarnation] = asyncio.create_task(coroutine)
 
-    async def _ask_forever(self, candidate: leases.Candidate) -> None:
+    async def _renew_forever(self, candidate: leases.Candidate) -> None:
         while True:
-            await self._ask(candidate)
+            await self._request_promise(candidate)
             await asyncio.sleep(self._settings.renew_interval_s)
 
-    async def _ask(self, candidate: leases.Candidate) -> bool:
+    async def _request_promise(self, candidate: leases.Candidate) -> bool:
         duration = self._settings.promise_s
         message = messages.AskPromise(
             self.service,
@@ -137,54 +141,62 @@
             candidate.incarnation,
             duration,
         )
-        asked_at = clocks.monotonic()
+        requested_at = clocks.monotonic()
         try:
             answer = await self._call(candidate, message, messages.Promised)
         except errors.SwiftstileError:
             return False
         if answer.epoch > self.lease.epoch:
-            raise self._lost(answer.epoch)
+            raise self._lease_lost_error(answer.epoch)
         if answer.granted:
             until = duration - clocks.DRIFT_MARGIN_S
-            self.validity.note_promise(candidate.incarnation, asked_at, until)
+            self.validity.record_promise(
+                candidate.incarnation, requested_at, until
+            )
         return answer.granted
 
     async def _call(self, candidate, message, expected):
-        address = self._scout.address(candidate.vm)
+        address = self._selector.address(candidate.vm)
         return await self._peers.to(address).call(
             message, expected, self._settings.call_timeout_s
         )
 
-    async def _replace_silent(self) -> None:
-        patience = self._settings.renew_interval_s * _SILENT_RENEWALS
+    async def _replace_unresponsive(self) -> None:
+        grace = self._settings.renew_interval_s * _MISSED_RENEWALS
         now = clocks.monotonic()
         full = self._settings.promise_s - clocks.DRIFT_MARGIN_S
-        silent = [
+        unresponsive = [
             c
             for c in self.lease.candidates
-            if self.validity.promised_until(c.incarnation) - full
-            < now - patience
+            if self.validity.promised_until(c.incarnation) - full < now - grace
         ]
-        wanted = len(silent) or len(self.lease.candidates) < scouts.CANDIDATES
-        if wanted and now - self._last_replacement > patience:
+        wanted = (
+            len(unresponsive)
+            or len(self.lease.candidates) < selection.CANDIDATE_COUNT
+        )
+        if wanted and now - self._last_replacement > grace:
             self._last_replacement = now
-            await self._replace({c.incarnation for c in silent})
+            await self._replace({c.incarnation for c in unresponsive})
 
-    async def _replace(self, silent: set[ids.Incarnation]) -> None:
-        keep = [c for c in self.lease.candidates if c.incarnation not in silent]
-        candidates = await self._scout.choose(self.service, keep)
+    async def _replace(self, unresponsive: set[ids.Incarnation]) -> None:
+        keep = [
+            c
+            for c in self.lease.candidates
+            if c.incarnation not in unresponsive
+        ]
+        candidates = await self._selector.choose(self.service, keep)
         if candidates == self.lease.candidates or not candidates:
             return
-        # Asked before they are written, so that the lease doesn't lapse
-        # between the write and their first promise.
+        # Ask for the first promises before the write, so that the lease
+        # doesn't lapse between the write and those promises.
         new = [c for c in candidates if c not in self.lease.candidates]
-        self._joining = tuple(new)
+        self._pending_candidates = tuple(new)
         self.validity.require((*self.lease.candidates, *new))
-        await asyncio.gather(*(self._ask(c) for c in new))
+        await asyncio.gather(*(self._request_promise(c) for c in new))
         try:
             await self._write_candidates(candidates)
         finally:
-            self._joining = ()
+            self._pending_candidates = ()
 
     async def _write_candidates(
         self, candidates: tuple[leases.Candidate, ...]
@@ -193,12 +205,12 @@
         try:
             await self._write_lease(changed, _REPLACE_SETTLE_S)
         except errors.OutcomeUnknownError:
-            # Either set may be in the row: both must promise from here on,
-            # until a read of the row shows which.
+            # Either set may be in the row. Promises of both are required until
+            # a read of the row shows which.
             return
         except errors.ConflictError as error:
             await self._confirm()
-            raise self._lost(self.lease.epoch) from error
+            raise self._lease_lost_error(self.lease.epoch) from error
         except errors.PlatformUnavailableError:
             self.validity.require(self.lease.candidates)
             return
@@ -212,10 +224,10 @@
     async def _write_lease(
         self, changed: leases.CoordinatorLease | None, settle_s: float
     ) -> None:
-        """Writes the row; as it is if there is no changed one.
+        """Writes a changed row, or rewrites the present one for None.
 
-        What the row is can only be said under the lock: it may be changed while
-        this waits for it.
+        The present row is read under the lock, as another task may change it
+        while this one waits for the lock.
         """
         sent_at = clocks.monotonic()
         async with self.table_lock:
@@ -228,7 +240,7 @@
             await settle.settled_transact(self._table, [write], settle_s)
             self.lease = lease
             self.row_version += 1
-        self.validity.note_confirmed(sent_at)
+        self.validity.record_confirmed(sent_at)
 
     async def _confirm_forever(self) -> None:
         while True:
@@ -239,7 +251,7 @@
                 continue
 
     async def _refresh_forever(self) -> None:
-        """Writes the row now and then, which keeps it from being stale."""
+        """Rewrites the row periodically, so that others don't find it stale."""
         while True:
             await asyncio.sleep(
                 self._settings.outage_tolerance_s * _REFRESH_SHARE
@@ -254,20 +266,22 @@
     async def _confirm(self) -> None:
         async with self.table_lock:
             row = await self._table.read(leases.lease_key(self.service))
-            # A lagging read shows an older version, which says nothing.
+            # A lagging read returns an older version and proves nothing.
             if row is None or row.version < self.row_version:
                 return
             found = codec.from_json(row.value, leases.CoordinatorLease)
             if found.holder != self.lease.holder:
-                raise self._lost(found.epoch)
+                raise self._lease_lost_error(found.epoch)
             self.lease = found
             self.row_version = row.version
-            # The row may name those that join as soon as this ends.
-            self.validity.require((*found.candidates, *self._joining))
+            # A write that waits for the lock may add the new candidates next.
+            self.validity.require(
+                (*found.candidates, *self._pending_candidates)
+            )
 
-    def _lost(self, epoch: ids.Epoch) -> LeaseLostError:
+    def _lease_lost_error(self, epoch: ids.Epoch) -> LeaseLostError:
         return LeaseLostError(
-            f"epoch {epoch} follows {self.lease.epoch}",
-            step="keep coordinator lease",
+            f"lease of epoch {self.lease.epoch} was lost to epoch {epoch}",
+            step="renew coordinator lease",
             peer=str(self.service),
         )
--- a/src/swiftstile/ownership/load.py
+++ b/src/swiftstile/ownership/load.py
@@ -1,4 +1,4 @@
-"""How much load each slice and each hot key carries, as routers report it."""
+"""Load of slices and hot keys, as counted and reported by routers."""
 
 import collections
 
@@ -7,26 +7,27 @@
 from swiftstile import ids
 from swiftstile.ownership import slices
 
-__all__ = ["LoadReport", "LoadTable", "LoadView", "Sketch"]
+__all__ = ["LoadReport", "LoadSketch", "LoadTable", "LoadView"]
 
-# Slices and keys named in one report; the rest is one number.
+# Most slices and keys that one report lists. Other slices are reported as one
+# total.
 _REPORTED_SLICES = 64
 _REPORTED_KEYS = 16
 _SKETCH_KEYS = 64
-# Reports older than this say nothing of the load now.
-_STALE_S = 15.0
+# Reports older than this are discarded.
+_STALE_AFTER_S = 15.0
 # Weight of the newest report in the smoothed rates.
-_WEIGHT = 0.5
+_REPORT_WEIGHT = 0.5
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """Requests of one router since its last report.
+    """Requests that one router has sent since its last report.
 
     Attributes:
-        seconds: Time that the report covers.
+        seconds: Time that the report covers, in seconds.
         by_start: Requests of the busiest slices, by start.
         rest: Requests of all other slices together.
-        by_position: Requests of the busiest keys, by position; estimates.
+        by_position: Estimated requests of the busiest keys, by position.
     """
 
     seconds: float
@@ -35,19 +36,19 @@
     by_position: dict[int, int]
 
 
-class Sketch:
-    """Counts requests by slice and finds the busiest keys.
+class LoadSketch:
+    """Counts requests by slice and estimates the busiest keys.
 
-    The busiest keys are found in fixed space. Source: Metwally, Agrawal and
-    El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data
-    Streams", 2005 (Space-Saving).
+    Keys are counted in fixed space by the Space-Saving algorithm. Source:
+    Metwally, Agrawal and El Abbadi, "Efficient Computation of Frequent and
+    Top-k Elements in Data Streams", 2005.
     """
 
     def __init__(self):
         self._by_start: collections.Counter[int] = collections.Counter()
         self._by_position: dict[int, int] = {}
 
-    def note(self, start: int, position: int) -> None:
+    def record(self, start: int, position: int) -> None:
         """Counts one request."""
         self._by_start[start] += 1
         counts = self._by_position
@@ -59,8 +60,8 @@
             least = min(counts, key=counts.__getitem__)
             counts[position] = counts.pop(least) + 1
 
-    def take(self, seconds: float) -> LoadReport:
-        """Returns what was counted, and starts again.
+    def flush(self, seconds: float) -> LoadReport:
+        """Returns the counts and resets them.
 
         Args:
             seconds: Time since the last report.
@@ -78,8 +79,8 @@
     """Load on one assignment, in requests/s.
 
     Attributes:
-        by_start: Of each slice, by start.
-        by_position: Of the busiest keys, by position.
+        by_start: Load of each slice, by start.
+        by_position: Load of the busiest keys, by position.
     """
 
     by_start: dict[int, float]
@@ -88,7 +89,7 @@
     def by_server(
         self, assignment: slices.Assignment, servers: set[ids.ServerId]
     ) -> dict[ids.ServerId, float]:
-        """Returns the load of each server, by server."""
+        """Returns the load of each of `servers`."""
         loads = dict.fromkeys(sorted(servers), 0.0)
         for piece in assignment.slices:
             if piece.server in loads:
@@ -96,7 +97,7 @@
         return loads
 
 
-class _Smoothed:
+class _SmoothedLoad:
 
     def __init__(self):
         self.at = 0.0
@@ -104,33 +105,33 @@
         self.by_position: dict[int, float] = {}
         self.rest = 0.0
 
-    def note(self, report: LoadReport, now: float) -> None:
+    def record(self, report: LoadReport, now: float) -> None:
         self.at = now
         factor = 1 / max(report.seconds, 0.1)
-        self.by_start = _mix(self.by_start, report.by_start, factor)
-        self.by_position = _mix(self.by_position, report.by_position, factor)
-        self.rest += _WEIGHT * (report.rest * factor - self.rest)
+        self.by_start = _smooth(self.by_start, report.by_start, factor)
+        self.by_position = _smooth(self.by_position, report.by_position, factor)
+        self.rest += _REPORT_WEIGHT * (report.rest * factor - self.rest)
 
 
 class LoadTable:
-    """The newest reports of all routers."""
+    """Smoothed load from the reports of all routers."""
 
     def __init__(self):
-        self._by_router: dict[ids.Incarnation, _Smoothed] = {}
+        self._by_router: dict[ids.Incarnation, _SmoothedLoad] = {}
 
-    def note(
+    def record(
         self, router: ids.Incarnation, report: LoadReport, now: float
     ) -> None:
-        """Notes a router's report."""
-        self._by_router.setdefault(router, _Smoothed()).note(report, now)
+        """Records a router's report."""
+        self._by_router.setdefault(router, _SmoothedLoad()).record(report, now)
 
     def view(self, assignment: slices.Assignment, now: float) -> LoadView:
-        """Returns the load on an assignment."""
+        """Returns the load on an assignment; discards stale reports."""
         by_start = dict.fromkeys((p.start for p in assignment.slices), 0.0)
         by_position: dict[int, float] = {}
         rest = 0.0
         for router, entry in list(self._by_router.items()):
-            if now - entry.at > _STALE_S:
+            if now - entry.at > _STALE_AFTER_S:
                 del self._by_router[router]
                 continue
             rest += entry.rest
@@ -140,14 +141,14 @@
                 by_position[position] = by_position.get(position, 0.0) + rate
         share = rest / len(by_start)
         by_start = {start: rate + share for start, rate in by_start.items()}
-        _settle_keys(assignment, by_start, by_position)
+        _shift_to_split_slices(assignment, by_start, by_position)
         return LoadView(by_start, by_position)
 
 
-def _settle_keys(assignment, by_start, by_position) -> None:
-    """Gives a slice that was just split off the load of its key.
+def _shift_to_split_slices(assignment, by_start, by_position) -> None:
+    """Attributes the load of a hot key to the slice newly split off for it.
 
-    Reports made before the split still count it for the whole.
+    Reports made before the split count that load for the undivided slice.
     """
     for position, rate in by_position.items():
         piece = assignment.at(ids.KeyHash(position))
@@ -158,11 +159,11 @@
             by_start[position] += moved
 
 
-def _mix(
+def _smooth(
     old: dict[int, float], new: dict[int, int], factor: float
 ) -> dict[int, float]:
-    mixed = {key: rate * (1 - _WEIGHT) for key, rate in old.items()}
+    smoothed = {key: rate * (1 - _REPORT_WEIGHT) for key, rate in old.items()}
     for key, count in new.items():
-        mixed[key] = mixed.get(key, 0.0) + _WEIGHT * count * factor
-    # What decayed to next to nothing is forgotten.
-    return {key: rate for key, rate in mixed.items() if rate > 0.01}
+        smoothed[key] = smoothed.get(key, 0.0) + _REPORT_WEIGHT * count * factor
+    # Entries that have decayed to almost nothing are dropped.
+    return {key: rate for key, rate in smoothed.items() if rate > 0.01}
--- a/src/swiftstile/ownership/upstream_http.py
+++ b/src/swiftstile/ownership/upstream_http.py
@@ -10,21 +10,21 @@
 
 __all__ = ["CLOCK_PATH", "GRANT_PATH", "HttpUpstreamControl"]
 
-# Of an answer that is only looked at; a longer one isn't read.
-_SHORT_BYTES = 4096
+# A longer body of a probe's response isn't read.
+_MAX_PROBE_BODY_BYTES = 4096
 GRANT_PATH = "/swiftstile/v1/grant"
 CLOCK_PATH = "/swiftstile/v1/clock"
 
 
 class HttpUpstreamControl(grants.UpstreamControl):
-    """Sends grants as JSON by POST."""
+    """Sends control requests as JSON over HTTP."""
 
     def __init__(self, timeout_s: float, meters: metrics.Meters):
         self._timeout = aiohttp.ClientTimeout(total=timeout_s)
         self._meters = meters
         self._session: aiohttp.ClientSession | None = None
 
-    async def look(
+    async def read_clock(
         self, address: str, service: ids.ServiceId
     ) -> grants.GrantReply:
         """See base class."""
@@ -42,8 +42,8 @@
         return await self._call("POST", address, GRANT_PATH, data=body)
 
     async def probe(self, address: str) -> None:
-        """See base class. The head of any HTTP answer will do."""
-        await self._request("GET", address, "/", {}, is_looked_at=True)
+        """See base class. Any HTTP response counts, whatever its status."""
+        await self._request("GET", address, "/", {}, is_probe=True)
 
     async def _call(self, method, address, path, **options):
         body = await self._request(method, address, path, options)
@@ -55,7 +55,7 @@
             ) from error
 
     async def _request(
-        self, method, address, path, options, is_looked_at=False
+        self, method, address, path, options, is_probe=False
     ) -> bytes:
         if self._session is None:
             self._session = aiohttp.ClientSession(
@@ -73,7 +73,7 @@
                 method, f"http://{address}{path}", **options
             ) as response:
                 body = b""
-                if not is_looked_at or _is_short(response):
+                if not is_probe or _is_short(response):
                     body = await response.read()
                 sent = len(options.get("data", b""))
                 self._meters.count_http("server", response, sent)
@@ -91,4 +91,4 @@
 
 def _is_short(response: aiohttp.ClientResponse) -> bool:
     length = response.content_length
-    return length is not None and length <= _SHORT_BYTES
+    return length is not None and length <= _MAX_PROBE_BODY_BYTES
--- a/src/swiftstile/routing/forwarding.py
+++ b/src/swiftstile/routing/forwarding.py
@@ -1,4 +1,4 @@
-"""One attempt at one server: sends the request and brings the answer back."""
+"""Forwarding of one attempt to one server."""
 
 import asyncio
 import contextlib
@@ -15,17 +15,17 @@
 from swiftstile.routing import outcomes
 from swiftstile.routing import routes
 
-__all__ = ["Forwarder", "NotOwnerError", "ShedError"]
+__all__ = ["Forwarder", "NotOwnerError", "ServerOverloadedError"]
 
-# Longer answers are passed on as they come.
-_WHOLE_BYTES = 256 << 10
+# Longer answers, and those of unknown length, are streamed.
+_MAX_BUFFERED_BYTES = 256 << 10
 _CHUNK_BYTES = 64 << 10
 _MISDIRECTED = 421
 _UNAVAILABLE = 503
 _KEEPALIVE_S = 10.0
 _CONNECT_TIMEOUT_S = 1.0
 
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -38,8 +38,8 @@
         "upgrade",
     }
 )
-# Set by the router itself; a caller's own are not passed on.
-_OWN = frozenset(
+# Headers that the router sets itself; those of a caller or server are dropped.
+_ROUTER_HEADERS = frozenset(
     {
         "content-length",
         "expect",
@@ -52,30 +52,30 @@
         outcomes.TIMEOUT_HEADER.lower(),
     }
 )
-_DROPPED = _HOP_BY_HOP | _OWN
+_DROPPED_HEADERS = _HOP_BY_HOP_HEADERS | _ROUTER_HEADERS
 
 
 class NotOwnerError(outcomes.NotStartedError):
-    """The server says that it doesn't own the key; it didn't run it."""
+    """The server didn't run the request because it doesn't own the key."""
 
     reason = "not-owner"
 
 
-class ShedError(outcomes.NotStartedError):
-    """The server says that it is too busy; it didn't run the request."""
+class ServerOverloadedError(outcomes.NotStartedError):
+    """The server didn't run the request because it is overloaded."""
 
     reason = "shed"
 
 
 class Forwarder:
-    """Sends attempts over kept connections."""
+    """Sends attempts over pooled keep-alive connections."""
 
     def __init__(self, meters: metrics.Meters):
         self._meters = meters
         self._session: aiohttp.ClientSession | None = None
 
     async def open(self) -> None:
-        """Prepares the connection pool; call it in the running loop."""
+        """Creates the connection pool; must be called in the running loop."""
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
                 limit=0, keepalive_timeout=_KEEPALIVE_S
@@ -88,8 +88,8 @@
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding"),
             read_bufsize=_CHUNK_BYTES,
         )
-        # The client would send a request again by itself when a kept
-        # connection turns out closed; here that may run it twice.
+        # Otherwise aiohttp resends a request by itself if the server has
+        # closed a pooled connection, which may run the request twice.
         self._session._retry_connection = False
 
     async def close(self) -> None:
@@ -100,7 +100,7 @@
     async def send(
         self,
         request: web.BaseRequest,
-        inbound: inbound_lib.Inbound,
+        inbound: inbound_lib.InboundRequest,
         body: bodies.Body,
         choice: routes.Choice,
         route: routes.ServiceRoute,
@@ -108,16 +108,18 @@
         """Sends one attempt and returns the caller's response.
 
         Raises:
-            NotStartedError: The server didn't run it.
-            UnknownOutcomeError: It may have run.
+            NotStartedError: The server didn't run the request.
+            UnknownOutcomeError: The request may have run.
         """
         target = choice.target
         started = clocks.monotonic()
-        target.note_sent()
+        target.record_sent()
         try:
-            async with asyncio.timeout(choice.end - started) as limit:
+            async with asyncio.timeout(choice.deadline - started) as limit:
                 with contextlib.ExitStack() as watch:
-                    watch.enter_context(route.watching(choice, inbound, limit))
+                    watch.enter_context(
+                        route.watch_attempt(choice, inbound, limit)
+                    )
                     response = await self._exchange(
                         request, inbound, body, choice, watch
                     )
@@ -125,21 +127,21 @@
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as error:
-            target.note_failure()
+            target.record_failure()
             self._meters.sends.add("connect-failed")
             raise outcomes.NotStartedError(
                 "connection failed", step="connect", peer=target.server
             ) from error
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             self._meters.sends.add("unknown")
-            target.note_failure()
+            target.record_failure()
             raise outcomes.UnknownOutcomeError(
                 f"no whole answer: {error!r}",
                 step="read answer",
                 peer=target.server,
             ) from error
         self._meters.sends.add("answered")
-        target.note_answer(clocks.monotonic() - started)
+        target.record_answer(clocks.monotonic() - started)
         return response
 
     async def _exchange(self, request, inbound, body, choice, watch):
@@ -151,20 +153,21 @@
             headers=_request_headers(request, inbound, body, choice),
             allow_redirects=False,
         ) as answer:
-            # It ran and its answer is on the way, which a move mustn't cut off.
+            # The request ran and its answer has begun, so a move of the key
+            # must no longer end the attempt early.
             watch.close()
-            self._check(answer, inbound, choice)
+            self._check_answer(answer, inbound, choice)
             headers = _answer_headers(answer, inbound)
             length = answer.content_length
-            is_whole = length is not None and length <= _WHOLE_BYTES
-            if inbound.method == "HEAD" or not is_whole:
+            is_buffered = length is not None and length <= _MAX_BUFFERED_BYTES
+            if inbound.method == "HEAD" or not is_buffered:
                 return await _stream(request, answer, headers)
             return web.Response(
                 status=answer.status, headers=headers, body=await answer.read()
             )
 
-    def _check(self, answer, inbound, choice) -> None:
-        """Raises if this is a refusal, or the answer to another request."""
+    def _check_answer(self, answer, inbound, choice) -> None:
+        """Raises if this is a refusal or the answer to another request."""
         headers = answer.headers
         peer = choice.target.server
         echoed = headers.get(outcomes.REQUEST_ID_HEADER, inbound.request_id)
@@ -181,7 +184,9 @@
             raise NotOwnerError("not the owner", step="send", peer=peer)
         if answer.status == _UNAVAILABLE:
             self._meters.sends.add("shed")
-            raise ShedError("server sheds load", step="send", peer=peer)
+            raise ServerOverloadedError(
+                "server sheds load", step="send", peer=peer
+            )
 
 
 async def _stream(request, answer, headers) -> web.StreamResponse:
@@ -192,8 +197,8 @@
         async for chunk in answer.content.iter_chunked(_CHUNK_BYTES):
             await response.write(chunk)
     except BaseException:
-        # The head is sent: only a broken connection still tells the caller
-        # that the answer isn't whole.
+        # The response headers have been sent, so only a broken connection can
+        # show the caller that the answer is incomplete.
         if request.transport is not None:
             request.transport.abort()
         raise
@@ -205,7 +210,7 @@
     headers = multidict.CIMultiDict(
         (name, value)
         for name, value in request.headers.items()
-        if name.lower() not in _DROPPED
+        if name.lower() not in _DROPPED_HEADERS
     )
     headers[outcomes.REQUEST_ID_HEADER] = inbound.request_id
     headers[outcomes.DEADLINE_HEADER] = str(_deadline_ms(inbound, choice))
@@ -220,16 +225,16 @@
 
 
 def _deadline_ms(inbound, choice) -> int:
-    if choice.end >= inbound.deadline:
+    if choice.deadline >= inbound.deadline:
         return inbound.deadline_ms
-    return clocks.wall_ms() + int((choice.end - clocks.monotonic()) * 1000)
+    return clocks.wall_ms() + int((choice.deadline - clocks.monotonic()) * 1000)
 
 
 def _answer_headers(answer, inbound):
     headers = multidict.CIMultiDict(
         (name, value)
         for name, value in answer.headers.items()
-        if name.lower() not in _DROPPED
+        if name.lower() not in _DROPPED_HEADERS
     )
     headers[outcomes.REQUEST_ID_HEADER] = inbound.request_id
     headers[outcomes.OUTCOME_HEADER] = outcomes.Outcome.ANSWERED.value
--- a/src/swiftstile/routing/front.py
+++ b/src/swiftstile/routing/frontend.py
@@ -1,4 +1,4 @@
-"""The side of the router that faces callers."""
+"""HTTP server of the router for its callers."""
 
 import asyncio
 
@@ -13,15 +13,15 @@
 from swiftstile.routing import dispatch
 from swiftstile.routing import outcomes
 
-__all__ = ["ErrorBody", "Front"]
+__all__ = ["ErrorBody", "Frontend"]
 
-# Idle connections of callers are kept this long.
+# Idle connections of callers are closed after this time.
 _KEEPALIVE_S = 75.0
 _HEADER_TOO_LARGE = 431
 
 
 class ErrorBody(msgspec.Struct):
-    """What a caller reads when there is no answer."""
+    """JSON body of an error response."""
 
     reason: str
     outcome: str
@@ -31,30 +31,30 @@
 
 
 class _Connection(web.RequestHandler):
-    """A caller's connection, whose parse errors carry the outcome too."""
+    """A caller's connection; its parse errors also have an outcome header."""
 
     def handle_error(self, request, status=500, exc=None, message=None):
         is_long = isinstance(exc, http_exceptions.LineTooLong)
         status = _HEADER_TOO_LARGE if is_long else status
         response = super().handle_error(request, status, exc, message)
-        # Up to here nothing was sent to any server.
+        # A request that can't be parsed hasn't been sent to any server.
         outcome = outcomes.Outcome.NOT_RUN.value
         response.headers[outcomes.OUTCOME_HEADER] = outcome
         return response
 
 
 class _Server(web.Server):
-    """Makes connections of the kind above."""
+    """Server that handles each connection by `_Connection`."""
 
     def __call__(self) -> web.RequestHandler:
         return _Connection(self, loop=self._loop, **self._kwargs)
 
 
-class Front:
+class Frontend:
     """Serves callers over HTTP.
 
     Attributes:
-        in_flight: Requests that have no answer yet.
+        in_flight: Number of requests without an answer yet.
     """
 
     def __init__(
@@ -68,11 +68,11 @@
         self._meters = meters
         self._runner: web.ServerRunner | None = None
         self._site: web.TCPSite | None = None
-        self._is_leaving = False
+        self._is_draining = False
         self.in_flight = 0
 
     async def start(self) -> None:
-        """Starts to listen."""
+        """Starts to listen for connections."""
         server = _Server(
             self._handle,
             handler_cancellation=True,
@@ -91,8 +91,8 @@
         await self._site.start()
 
     async def drain(self) -> None:
-        """Takes no new connections and finishes what is in flight."""
-        self._is_leaving = True
+        """Stops listening and finishes the requests in flight."""
+        self._is_draining = True
         await self._runner.cleanup()
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -108,7 +108,7 @@
             response = await self._dispatcher.answer(request)
             outcome = outcomes.Outcome.ANSWERED
         except outcomes.RequestError as error:
-            response = self._refusal(request, error)
+            response = self._error_response(request, error)
             outcome = error.outcome
             self._meters.refusals.add(error.reason)
         except asyncio.CancelledError:
@@ -116,15 +116,15 @@
             raise
         except Exception as error:
             logs.logger.exception("request failed")
-            response = self._refusal(request, _internal(error))
+            response = self._error_response(request, _internal(error))
             outcome = outcomes.Outcome.UNKNOWN
-        if self._is_leaving:
+        if self._is_draining:
             response.force_close()
         self._meters.requests.add(outcome.value)
         self._meters.durations.record(clocks.monotonic() - started)
         return response
 
-    def _refusal(self, request, error) -> web.Response:
+    def _error_response(self, request, error) -> web.Response:
         body = ErrorBody(
             error.reason,
             error.outcome.value,
@@ -141,7 +141,7 @@
         if error.retry_after_s is not None:
             response.headers["Retry-After"] = str(error.retry_after_s)
         if request.body_exists and not request.content.is_eof():
-            # The rest of the body would be read as the next request.
+            # Otherwise the rest of the body would be parsed as a new request.
             response.force_close()
         return response
 
--- a/src/swiftstile/routing/owners.py
+++ b/src/swiftstile/routing/owners.py
@@ -1,4 +1,4 @@
-"""The assignment of a keyed service, as a router follows it."""
+"""A router's copy of a keyed service's assignment, and how it is updated."""
 
 import asyncio
 import itertools
@@ -15,22 +15,23 @@
 from swiftstile.peers import links
 from swiftstile.peers import messages
 
-__all__ = ["OwnerTable", "OwnerWatch"]
+__all__ = ["OwnerTable", "OwnerWatcher"]
 
 _LOCATE_TIMEOUT_S = 0.3
 _LOCATE_RETRY_S = 0.1
-# An answer that was lost may be too large for the link and the time: the next
-# question gets this much longer, and twice as much each time it is lost again.
-# The longest brings the longest message over the narrowest link.
-_FIRST_EXTRA_S = 0.25
-_LONGEST_EXTRA_S = 8.0
-# Between two load reports: hot keys change within minutes.
+# A reply that timed out may be too large for the link. The next watch gets this
+# much more time, doubled after each further timeout. The longest extension is
+# enough for the longest message over the narrowest link.
+_MIN_EXTRA_TIMEOUT_S = 0.25
+_MAX_EXTRA_TIMEOUT_S = 8.0
+# Interval between load reports. Hot keys change within minutes.
 _REPORT_INTERVAL_S = 3.0
-# Longest wait for older requests to end before the next question.
-_SETTLE_S = 0.05
-_SETTLE_LOOK_S = 0.003
-# An answer that is on its way when the owner changes gets this long to come.
-_RESCUE_S = 0.25
+# Longest wait for older requests to end before the next watch.
+_DRAIN_WAIT_S = 0.05
+_DRAIN_POLL_S = 0.003
+# When the owner of a key changes, attempts at the former owner end after this
+# time, which lets answers in transit arrive.
+_LATE_ANSWER_GRACE_S = 0.25
 
 
 class _Attempt(typing.NamedTuple):
@@ -40,19 +41,19 @@
 
 
 class OwnerTable:
-    """Last known owners of a service's keys, and the lease to use them.
+    """Last known assignment of a service, and the route lease to use it.
 
     Attributes:
         assignment: Last known assignment; None before the first.
-        lease_until: Until when requests may go to servers that don't check
-            fences, on `clocks.monotonic`.
+        lease_until: End of the route lease on `clocks.monotonic`. Requests
+            may be sent to servers that don't check fences until then.
         sketch: Counts requests for the next load report.
     """
 
     def __init__(self):
         self.assignment: slices.Assignment | None = None
         self.lease_until = 0.0
-        self.sketch = load_lib.Sketch()
+        self.sketch = load_lib.LoadSketch()
         self._changed = signals.Signal()
         self._in_flight: dict[int, int] = {}
         self._attempts: dict[int, _Attempt] = {}
@@ -60,20 +61,20 @@
 
     @property
     def version(self) -> int:
-        """Version of the assignment; 0 for none."""
+        """Version of the assignment; 0 if there is none."""
         return self.assignment.version if self.assignment else 0
 
     def update(self, assignment: slices.Assignment) -> None:
-        """Takes a newer assignment and wakes all that wait for one."""
+        """Replaces the assignment by a newer one and wakes all waiters."""
         self.assignment = assignment
         self._changed.wake()
-        soon = asyncio.get_running_loop().time() + _RESCUE_S
+        grace_end = asyncio.get_running_loop().time() + _LATE_ANSWER_GRACE_S
         for attempt in self._attempts.values():
             limit = attempt.limit
             has_moved = assignment.at(attempt.position).server != attempt.server
-            # One that is ending already can't be given another end.
+            # A timeout that has expired can't be rescheduled.
             if has_moved and not limit.expired():
-                limit.reschedule(min(soon, limit.when()))
+                limit.reschedule(min(grace_end, limit.when()))
 
     def watch_attempt(
         self,
@@ -83,13 +84,14 @@
     ) -> int:
         """Ends an attempt early if its key gets another owner.
 
-        In a planned move the old owner has answered by then. Otherwise it is
-        dead or frozen, and the attempt may be repeated at the new one.
+        After a planned move the former owner has already answered. Otherwise
+        it crashed or is paused, and the attempt may be repeated at the new
+        owner.
 
         Args:
             position: Position of the key.
-            server: Where the attempt is sent.
-            limit: What ends it.
+            server: Server that the attempt is sent to.
+            limit: Timeout of the attempt.
 
         Returns:
             A ticket for `forget_attempt`.
@@ -99,45 +101,49 @@
         return ticket
 
     def forget_attempt(self, ticket: int) -> None:
-        """Forgets an attempt that has ended."""
+        """Removes an attempt that has ended or must not be ended early."""
         self._attempts.pop(ticket, None)
 
     def extend_lease(self, until: float) -> None:
-        """Extends the route lease, and wakes all that wait for it."""
+        """Extends the route lease; wakes all waiters if it had lapsed."""
         had_lapsed = self.lease_until < clocks.monotonic()
         self.lease_until = max(self.lease_until, until)
         if had_lapsed:
             self._changed.wake()
 
     async def wait_change(self, wait_s: float) -> None:
-        """Waits for the next update, for `wait_s` seconds at most."""
+        """Waits up to `wait_s` seconds for the next update."""
         await self._changed.wait(wait_s)
 
-    def enter(self, version: int) -> None:
-        """Notes that a request was sent under a version."""
+    def request_started(self, version: int) -> None:
+        """Counts a request in flight under a version of the assignment."""
         self._in_flight[version] = self._in_flight.get(version, 0) + 1
 
-    def leave(self, version: int) -> None:
-        """Notes that a request sent under a version can't run any more."""
+    def request_ended(self, version: int) -> None:
+        """Removes a request that can no longer run from those in flight."""
         self._in_flight[version] -= 1
         if not self._in_flight[version]:
             del self._in_flight[version]
 
     def oldest_in_flight(self) -> int:
-        """Returns the oldest version that a request may run under."""
+        """Returns the oldest version of a request that may still run."""
         return min(self._in_flight, default=self.version)
 
-    async def settle(self, wait_s: float) -> None:
-        """Waits until nothing older than the assignment is in flight."""
+    async def wait_drained(self, wait_s: float) -> None:
+        """Waits until no request of an older version is in flight.
+
+        Args:
+            wait_s: Longest wait, in seconds.
+        """
         end = clocks.monotonic() + wait_s
         while self.oldest_in_flight() < self.version:
             if clocks.monotonic() >= end:
                 return
-            await asyncio.sleep(_SETTLE_LOOK_S)
+            await asyncio.sleep(_DRAIN_POLL_S)
 
 
-class OwnerWatch:
-    """Follows the coordinator of one service, whoever it is."""
+class OwnerWatcher:
+    """Locates the coordinator of one service and watches its assignment."""
 
     def __init__(
         self,
@@ -158,13 +164,13 @@
         self._peers = peers
         self._wait_s = wait_s
         self._timeout_s = timeout_s
-        self._extra_s = 0.0
+        self._extra_timeout_s = 0.0
         self._epoch = ids.Epoch(0)
         self._reported_at = clocks.monotonic()
         self.holder = ids.VmId("")
 
     async def run(self) -> None:
-        """Follows until cancelled."""
+        """Follows the coordinator until cancelled."""
         while True:
             located = await self._locate()
             if located is not None:
@@ -172,19 +178,19 @@
             await asyncio.sleep(_LOCATE_RETRY_S)
 
     async def _locate(self) -> messages.Located | None:
-        """Asks all VMs of the organisation which one coordinates.
+        """Asks all entry VMs of the organisation which one is the coordinator.
 
-        Only a holder's own word counts, and the first one is enough: VMs that
-        are gone would take the whole time-out.
+        Only a VM that says so of itself counts. The first one is accepted, as
+        waiting for unreachable VMs would take the whole timeout.
         """
         listed = self._directory.entry_vms(self._service.organisation)
-        asks = [
-            asyncio.ensure_future(self._ask(vm.control_address))
+        queries = [
+            asyncio.ensure_future(self._query(vm.control_address))
             for vm in listed
         ]
         try:
-            for ask in asyncio.as_completed(asks):
-                answer = await ask
+            for query in asyncio.as_completed(queries):
+                answer = await query
                 if (
                     answer is not None
                     and answer.is_holder
@@ -192,11 +198,11 @@
                 ):
                     return answer
         finally:
-            for ask in asks:
-                ask.cancel()
+            for query in queries:
+                query.cancel()
         return None
 
-    async def _ask(self, address: str) -> messages.Located | None:
+    async def _query(self, address: str) -> messages.Located | None:
         try:
             return await self._peers.to(address).call(
                 messages.Locate(self._service),
@@ -214,15 +220,17 @@
         try:
             while True:
                 await self._watch_once(link)
-                self._note_holder(located.vm)
+                self._record_holder(located.vm)
         except errors.SwiftstileError as error:
-            logs.logger.debug("coordinator lost", error=str(error))
+            logs.logger.debug(
+                "lost contact with the coordinator", error=str(error)
+            )
 
     async def _watch_once(self, link: links.Link) -> None:
         table = self._table
-        # The coordinator waits to hear that older requests have ended; a
-        # question that says so at once saves a whole wait.
-        await table.settle(_SETTLE_S)
+        # The coordinator may be waiting for older requests to end. Reporting
+        # that in this watch saves the wait until the next one.
+        await table.wait_drained(_DRAIN_WAIT_S)
         request = messages.Watch(
             self._service,
             self._vm,
@@ -232,31 +240,35 @@
             self._wait_s,
             self._load_report(),
         )
-        asked_at = clocks.monotonic()
-        reply = await self._ask_for_changes(link, request)
+        requested_at = clocks.monotonic()
+        reply = await self._send_watch(link, request)
         if reply.epoch < self._epoch:
             raise errors.ControlMessageError(
-                f"epoch {reply.epoch} is over", step="watch", peer=""
+                f"epoch {reply.epoch} is older than {self._epoch}",
+                step="watch",
+                peer="",
             )
         self._epoch = reply.epoch
         if reply.delta is not None:
-            table.update(self._applied(reply.delta))
-        # The lease counts from when it was asked for, which is earlier than
-        # the coordinator's own count of it.
-        table.extend_lease(asked_at + reply.route_lease_s)
+            table.update(self._apply_checked(reply.delta))
+        # Counted from when the request was sent, so the lease ends here no
+        # later than the coordinator assumes.
+        table.extend_lease(requested_at + reply.route_lease_s)
 
-    async def _ask_for_changes(
+    async def _send_watch(
         self, link: links.Link, request: messages.Watch
     ) -> messages.WatchReply:
         try:
             reply = await link.call(
-                request, messages.WatchReply, self._timeout_s + self._extra_s
+                request,
+                messages.WatchReply,
+                self._timeout_s + self._extra_timeout_s,
             )
         except errors.PeerTimeoutError:
-            longer_s = max(_FIRST_EXTRA_S, 2 * self._extra_s)
-            self._extra_s = min(longer_s, _LONGEST_EXTRA_S)
+            longer_s = max(_MIN_EXTRA_TIMEOUT_S, 2 * self._extra_timeout_s)
+            self._extra_timeout_s = min(longer_s, _MAX_EXTRA_TIMEOUT_S)
             raise
-        self._extra_s = 0.0
+        self._extra_timeout_s = 0.0
         return reply
 
     def _load_report(self) -> load_lib.LoadReport | None:
@@ -265,11 +277,11 @@
         if since < _REPORT_INTERVAL_S:
             return None
         self._reported_at = now
-        return self._table.sketch.take(since)
+        return self._table.sketch.flush(since)
 
-    def _applied(self, delta: slices.Delta) -> slices.Assignment:
+    def _apply_checked(self, delta: slices.Delta) -> slices.Assignment:
         try:
-            following = self._following(delta)
+            following = self._apply(delta)
             following.check()
         except (AttributeError, KeyError, ValueError) as error:
             raise errors.ControlMessageError(
@@ -277,12 +289,12 @@
             ) from error
         return following
 
-    def _following(self, delta: slices.Delta) -> slices.Assignment:
+    def _apply(self, delta: slices.Delta) -> slices.Assignment:
         if delta.base == 0:
             return slices.Assignment(delta.version, delta.epoch, delta.changed)
         return self._table.assignment.apply(delta)
 
-    def _note_holder(self, holder: ids.VmId) -> None:
+    def _record_holder(self, holder: ids.VmId) -> None:
         if holder != self.holder:
             self.holder = holder
             logs.logger.info(
--- a/src/swiftstile/routing/routes.py
+++ b/src/swiftstile/routing/routes.py
@@ -1,4 +1,4 @@
-"""How a request of one service finds its target."""
+"""Routes, which choose the server for each request of a service."""
 
 import abc
 import asyncio
@@ -25,38 +25,40 @@
     "SharedRoute",
 ]
 
-# Between two looks at a key whose owner can't be reached, if nothing changes.
-_HOLD_LOOK_S = 0.1
-# Ends a request this long before the route lease, for its answer's way back.
+# Interval at which a held request checks again whether its key has a reachable
+# owner, if no update wakes it.
+_HOLD_POLL_S = 0.1
+# An attempt ends this long before the route lease does, for the one-way latency
+# of its answer.
 _LEASE_MARGIN_S = 0.02
-# Less of a route lease than this isn't worth starting a request on.
-_LEAST_LEASE_S = 0.1
+# No attempt is started if less than this is left of the route lease.
+_MIN_LEASE_S = 0.1
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """Where one attempt goes.
+    """Destination and deadline of one attempt.
 
     Attributes:
         target: The server.
         fence: Fence of the key's slice; 0 for a shared service.
         epoch: Epoch of the assignment; 0 for a shared service.
         version: Version of the assignment; 0 for a shared service.
-        end: When the attempt is given up, on `clocks.monotonic`.
+        deadline: When the attempt is given up, on `clocks.monotonic`.
     """
 
     target: targets_lib.Target
     fence: ids.Fence
     epoch: ids.Epoch
     version: int
-    end: float
+    deadline: float
 
 
 class ServiceRoute(abc.ABC):
     """The route of one service.
 
     Attributes:
-        spec: Rules of the service.
-        targets: Its servers.
+        spec: Settings of the service.
+        targets: Servers of the service.
     """
 
     def __init__(self, spec: model.ServiceSpec):
@@ -65,45 +67,53 @@
 
     @abc.abstractmethod
     async def choose(
-        self, inbound: inbound_lib.Inbound, hold_until: float
+        self, inbound: inbound_lib.InboundRequest, hold_until: float
     ) -> Choice:
-        """Returns where the next attempt goes; holds the request meanwhile.
+        """Returns the destination of the next attempt.
+
+        Holds the request while there is none.
 
         Args:
             inbound: The request.
             hold_until: When to stop holding, on `clocks.monotonic`.
 
         Raises:
-            NoOwnerError: There was no target until then.
+            NoOwnerError: There was no destination until then.
         """
 
     @abc.abstractmethod
-    async def pause(self, choice: Choice, wait_s: float) -> None:
-        """Waits after a refused attempt until another one makes sense."""
+    async def wait_before_retry(self, choice: Choice, wait_s: float) -> None:
+        """Waits before the next attempt, up to `wait_s` seconds."""
 
-    def sent(self, choice: Choice) -> None:
-        """Notes that an attempt is sent as soon as its server has room."""
+    def attempt_started(self, choice: Choice) -> None:
+        """Records an attempt, before it waits for a free slot."""
 
     @contextlib.contextmanager
-    def watching(
+    def watch_attempt(
         self,
         choice: Choice,
-        inbound: inbound_lib.Inbound,
+        inbound: inbound_lib.InboundRequest,
         limit: asyncio.Timeout,
     ) -> collections.abc.Iterator[None]:
-        """Until the answer begins, may end the attempt early by its limit."""
+        """Lets the route end an attempt early, until its answer begins."""
         del choice, inbound, limit
         yield
 
-    def ended(self, choice: Choice, is_whole: bool) -> None:
-        """Notes that an attempt ended, with its whole answer or not."""
+    def attempt_ended(self, choice: Choice, is_complete: bool) -> None:
+        """Records the end of an attempt.
+
+        Args:
+            choice: Destination of the attempt.
+            is_complete: Whether the request can no longer run: it was answered
+                in full or wasn't started.
+        """
 
 
 class KeyedRoute(ServiceRoute):
-    """Each key goes to its owner.
+    """Route of a keyed service: each request goes to the owner of its key.
 
     Attributes:
-        owners: Who owns which keys.
+        owners: Owners of the keys.
     """
 
     def __init__(self, spec: model.ServiceSpec, table: owners.OwnerTable):
@@ -111,11 +121,11 @@
         self.owners = table
 
     async def choose(
-        self, inbound: inbound_lib.Inbound, hold_until: float
+        self, inbound: inbound_lib.InboundRequest, hold_until: float
     ) -> Choice:
         """See base class."""
         while True:
-            choice = self._choice(inbound)
+            choice = self._try_choose(inbound)
             if choice is not None:
                 return choice
             left = hold_until - clocks.monotonic()
@@ -123,21 +133,21 @@
                 raise outcomes.NoOwnerError(
                     "no owner in time", step="find owner", peer=inbound.key
                 )
-            await self.owners.wait_change(min(left, _HOLD_LOOK_S))
+            await self.owners.wait_change(min(left, _HOLD_POLL_S))
 
-    async def pause(self, choice: Choice, wait_s: float) -> None:
+    async def wait_before_retry(self, choice: Choice, wait_s: float) -> None:
         """See base class."""
         if self.owners.version == choice.version:
             await self.owners.wait_change(wait_s)
 
     @contextlib.contextmanager
-    def watching(
+    def watch_attempt(
         self,
         choice: Choice,
-        inbound: inbound_lib.Inbound,
+        inbound: inbound_lib.InboundRequest,
         limit: asyncio.Timeout,
     ) -> collections.abc.Iterator[None]:
-        """See base class. Only what is repeatable is ended early."""
+        """See base class. Only repeatable requests are ended early."""
         if not inbound.repeatable:
             yield
             return
@@ -151,7 +161,7 @@
             if not limit.expired():
                 limit.reschedule(end)
 
-    def _choice(self, inbound: inbound_lib.Inbound) -> Choice | None:
+    def _try_choose(self, inbound: inbound_lib.InboundRequest) -> Choice | None:
         assignment = self.owners.assignment
         if assignment is None:
             return None
@@ -159,62 +169,66 @@
         target = self.targets.by_server.get(piece.server)
         if target is None or target.is_penalised():
             return None
-        end = self._end(inbound)
-        if end is None:
+        deadline = self._attempt_deadline(inbound)
+        if deadline is None:
             return None
-        self.owners.sketch.note(piece.start, inbound.position)
+        self.owners.sketch.record(piece.start, inbound.position)
         return Choice(
-            target, piece.fence, assignment.epoch, assignment.version, end
+            target, piece.fence, assignment.epoch, assignment.version, deadline
         )
 
-    def _end(self, inbound: inbound_lib.Inbound) -> float | None:
-        """When an attempt must end; None if none may start."""
+    def _attempt_deadline(
+        self, inbound: inbound_lib.InboundRequest
+    ) -> float | None:
+        """Returns the deadline of an attempt; None if none may start."""
         return inbound.deadline
 
 
 class LeasedRoute(KeyedRoute):
-    """A keyed route whose servers don't check fences.
+    """Keyed route to servers that don't check fences.
 
-    It sends only under a route lease, and ends each attempt inside it.
+    Attempts are sent only under a route lease and end before it does.
     """
 
-    def _end(self, inbound: inbound_lib.Inbound) -> float | None:
+    def _attempt_deadline(
+        self, inbound: inbound_lib.InboundRequest
+    ) -> float | None:
         lease_end = self.owners.lease_until - _LEASE_MARGIN_S
-        if lease_end - clocks.monotonic() < _LEAST_LEASE_S:
+        if lease_end - clocks.monotonic() < _MIN_LEASE_S:
             return None
         return min(inbound.deadline, lease_end)
 
-    def sent(self, choice: Choice) -> None:
+    def attempt_started(self, choice: Choice) -> None:
         """See base class."""
-        self.owners.enter(choice.version)
+        self.owners.request_started(choice.version)
 
-    def ended(self, choice: Choice, is_whole: bool) -> None:
+    def attempt_ended(self, choice: Choice, is_complete: bool) -> None:
         """See base class.
 
-        Without its whole answer a request may run until its deadline.
+        Without a complete answer the request may run until its deadline.
         """
-        left = 0.0 if is_whole else choice.end - clocks.monotonic()
+        left = 0.0 if is_complete else choice.deadline - clocks.monotonic()
         if left <= 0:
-            self.owners.leave(choice.version)
+            self.owners.request_ended(choice.version)
         else:
             loop = asyncio.get_running_loop()
-            loop.call_later(left, self.owners.leave, choice.version)
+            loop.call_later(left, self.owners.request_ended, choice.version)
 
 
 class SharedRoute(ServiceRoute):
-    """Any server will do."""
+    """Route of a shared service: any server can answer a request."""
 
     def __init__(self, spec: model.ServiceSpec):
         super().__init__(spec)
         self._policy = balancing.policy(spec.balancing)
 
     async def choose(
-        self, inbound: inbound_lib.Inbound, hold_until: float
+        self, inbound: inbound_lib.InboundRequest, hold_until: float
     ) -> Choice:
         """See base class."""
         while True:
             listed = list(self.targets.by_server.values())
-            usable = [t for t in listed if t.is_answering()] or listed
+            usable = [t for t in listed if t.is_responsive()] or listed
             if usable:
                 target = self._policy.choose(usable)
                 none = ids.Fence(0), ids.Epoch(0), 0
@@ -224,15 +238,15 @@
                 raise outcomes.NoOwnerError(
                     "no server", step="choose server", peer=str(inbound.service)
                 )
-            await asyncio.sleep(min(left, _HOLD_LOOK_S))
+            await asyncio.sleep(min(left, _HOLD_POLL_S))
 
-    async def pause(self, choice: Choice, wait_s: float) -> None:
+    async def wait_before_retry(self, choice: Choice, wait_s: float) -> None:
         """See base class."""
         await asyncio.sleep(wait_s)
 
 
 class RouteTable:
-    """All routes of a router, by service."""
+    """Routes of a router by service."""
 
     def __init__(self):
         self.by_service: dict[ids.ServiceId, ServiceRoute] = {}
@@ -241,7 +255,7 @@
         """Returns the route of a service.
 
         Raises:
-            UnknownServiceError: There is none.
+            UnknownServiceError: The service has no route.
         """
         route = self.by_service.get(service)
         if route is None:
--- a/tests/integration/broken_wait.py
+++ b/tests/integration/broken_wait.py
@@ -1,10 +1,10 @@
-"""The daemons without one safeguard: nobody waits for a lease to lapse."""
+"""Runs the daemons with one safeguard disabled: leases aren't waited out."""
 
 import sys
 
 from swiftstile import cli
-from swiftstile.ownership import custody
+from swiftstile.ownership import enforcement
 
 if __name__ == "__main__":
-    custody.FencedCustody.is_free = lambda self, piece, now: True
+    enforcement.FencedEnforcer.is_free = lambda self, piece, now: True
     sys.exit(cli.main())
--- a/tests/unit/test_dispatch.py
+++ b/tests/unit/test_dispatch.py
@@ -1,9 +1,9 @@
-"""A request waits for a slot of its server while its key moves.
+"""Tests for requests that wait for a slot while their key moves.
 
-What users may see: two servers that don't check fences work on one key. The
-router had told that nothing older than the newest assignment is in flight; a
-request that waited for a slot wasn't counted, and was sent to the former owner
-afterwards. Found by reading the code, not by a failure in service.
+Guards against two servers that don't check fences running requests of one key.
+The router didn't count a request that waited for a slot as in flight, so it
+reported that none older than the newest assignment was. The key moved, and the
+request was then sent to the former owner.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class _Forwarder:
-    """Notes under which versions it sends."""
+    """Records the assignment versions of the attempts it sends."""
 
     def __init__(self):
         self.versions = []
@@ -32,7 +32,7 @@
 
 
 def _parts() -> tuple[routes.LeasedRoute, routes.Choice]:
-    """Returns a route to a server of one slot, and a request's choice."""
+    """Returns a route to a server with one slot, and a choice of it."""
     table = owners.OwnerTable()
     table.assignment = builders.assignment()
     spec = types.SimpleNamespace(slots=1, queue_limit=10)
@@ -58,7 +58,7 @@
         route, choice = _parts()
         forwarder = _Forwarder()
         dispatcher = dispatch.Dispatcher(None, forwarder)
-        await choice.target.acquire(choice.end)
+        await choice.target.acquire(choice.deadline)
         waiting = asyncio.create_task(
             dispatcher._attempt(None, None, None, route, choice)
         )
@@ -78,9 +78,9 @@
     async def scenario():
         route, choice = _parts()
         dispatcher = dispatch.Dispatcher(None, _Forwarder())
-        await choice.target.acquire(choice.end)
+        await choice.target.acquire(choice.deadline)
         end = clocks.monotonic() + 0.01
-        ending = msgspec.structs.replace(choice, end=end)
+        ending = msgspec.structs.replace(choice, deadline=end)
         with pytest.raises(outcomes.DeadlineError):
             await dispatcher._attempt(None, None, None, route, ending)
         newer = route.owners.assignment.moved({}, 1)
--- a/tests/unit/test_holder.py
+++ b/tests/unit/test_holder.py
@@ -1,9 +1,8 @@
-"""A holder writes its lease's row while other tasks of it read and write it.
+"""Tests for concurrent reads and writes of the lease row by its holder.
 
-What users may see: two VMs coordinate a service, so that two servers own the
-same keys. A candidate that the row names, and whose promise the holder doesn't
-wait for, takes over while the holder goes on. Found by reading the code, not by
-a failure in service.
+Guards against two VMs coordinating one service, so that two servers own the
+same keys. If the row names a candidate whose promise the holder doesn't
+require, that candidate can take over while the holder still coordinates.
 """
 
 import asyncio
@@ -20,16 +19,16 @@
 from tests import builders
 
 _KEY = leases.lease_key(builders.SERVICE)
-_HOLDER, _SILENT, _OTHER, _NEW = map(builders.candidate, "abcd")
+_HOLDER, _UNRESPONSIVE, _OTHER, _NEW = map(builders.candidate, "abcd")
 
 
 class _Table(base.Table):
-    """One row, whose calls wait until they may go on.
+    """A table of one row, whose calls block until they are released.
 
     Attributes:
-        may_read: Whether reads are answered.
-        may_write: Whether writes are done.
-        on_write: Called before a write is done.
+        may_read: Set to let reads return.
+        may_write: Set to let writes be applied.
+        on_write: Called before a write is applied.
     """
 
     def __init__(self, lease: leases.CoordinatorLease):
@@ -61,7 +60,7 @@
 
 
 class _Peers:
-    """Promise whatever they are asked."""
+    """Peers that grant every promise."""
 
     def to(self, address):
         return self
@@ -70,8 +69,8 @@
         return messages.Promised(True, ids.Epoch(1))
 
 
-class _Scout:
-    """Chooses the new candidate in place of the silent one."""
+class _Selector:
+    """Adds the new candidate to those that are kept."""
 
     def address(self, vm):
         return vm
@@ -80,17 +79,19 @@
         return (*keep, _NEW)
 
 
-def _held() -> tuple[holder_lib.Holder, _Table]:
-    lease = leases.CoordinatorLease(ids.Epoch(1), _HOLDER, (_SILENT, _OTHER))
+def _held() -> tuple[holder_lib.LeaseHolder, _Table]:
+    lease = leases.CoordinatorLease(
+        ids.Epoch(1), _HOLDER, (_UNRESPONSIVE, _OTHER)
+    )
     table = _Table(lease)
-    holder = holder_lib.Holder(
+    holder = holder_lib.LeaseHolder(
         builders.SERVICE,
         lease,
         1,
         clocks.monotonic(),
         table,
         _Peers(),
-        _Scout(),
+        _Selector(),
         settings.CoordinatorSettings("127.0.0.1:0"),
     )
     return holder, table
@@ -101,12 +102,14 @@
         await asyncio.sleep(0)
 
 
-def test_a_refresh_brings_no_replaced_candidate_back(monkeypatch):
+def test_refresh_does_not_restore_a_replaced_candidate(monkeypatch):
     monkeypatch.setattr(holder_lib, "_REFRESH_SHARE", 0.0)
 
     async def scenario():
         holder, table = _held()
-        replacing = asyncio.create_task(holder._replace({_SILENT.incarnation}))
+        replacing = asyncio.create_task(
+            holder._replace({_UNRESPONSIVE.incarnation})
+        )
         await _settle()
         refreshing = asyncio.create_task(holder._refresh_forever())
         await _settle()
@@ -121,12 +124,14 @@
     asyncio.run(scenario())
 
 
-def test_a_new_candidate_counts_though_the_row_is_read_before_it_is_written():
+def test_new_candidate_is_required_despite_a_concurrent_read():
     async def scenario():
         holder, table = _held()
         confirming = asyncio.create_task(holder._confirm())
         await _settle()
-        replacing = asyncio.create_task(holder._replace({_SILENT.incarnation}))
+        replacing = asyncio.create_task(
+            holder._replace({_UNRESPONSIVE.incarnation})
+        )
         await _settle()
         promised = []
         table.on_write = lambda: promised.append(
--- a/tests/unit/test_owners.py
+++ b/tests/unit/test_owners.py
@@ -35,7 +35,7 @@
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
-def test_an_attempt_that_is_ending_does_not_stop_the_update():
+def test_expired_attempt_does_not_prevent_the_update():
     async def run():
         table, first = owners.OwnerTable(), builders.assignment()
         old, second = other_owner(first)
@@ -50,7 +50,7 @@
     asyncio.run(run())
 
 
-def test_an_attempt_whose_owner_stays_keeps_its_end():
+def test_attempt_whose_owner_is_unchanged_keeps_its_deadline():
     async def run():
         table, first = owners.OwnerTable(), builders.assignment()
         old = first.at(POSITION).server
@@ -64,7 +64,7 @@
 
 
 class _SlowLink:
-    """A coordinator whose whole assignment takes long to come."""
+    """A coordinator whose whole assignment takes long to transfer."""
 
     def __init__(self, whole_s: float):
         self.assignment = builders.assignment()
@@ -84,7 +84,7 @@
         return messages.WatchReply(ids.Epoch(1), delta, 0.0)
 
 
-def _watch(link, table) -> owners.OwnerWatch:
+def _watch(link, table) -> owners.OwnerWatcher:
     vm = base.Vm(
         ids.VmId("vm-1"),
         base.VmKind.ENTRY,
@@ -98,12 +98,12 @@
     me = ids.VmId("vm-2")
     run = ids.Incarnation("vm-2#1")
     service = builders.SERVICE
-    return owners.OwnerWatch(
+    return owners.OwnerWatcher(
         service, me, run, table, directory, peers, _WAIT_S, _TIMEOUT_S
     )
 
 
-def test_an_assignment_that_takes_longer_than_a_try_comes_all_the_same():
+def test_assignment_slower_than_the_timeout_is_received():
     async def run():
         table, link = owners.OwnerTable(), _SlowLink(whole_s=0.6)
         watching = asyncio.create_task(_watch(link, table).run())
@@ -115,7 +115,7 @@
                 await asyncio.sleep(0.01)
         watching.cancel()
         assert table.assignment == link.assignment
-        # Short again, so that a coordinator that is gone is soon noticed.
+        # Short again, so that the crash of a coordinator is soon noticed.
         assert link.limits[0] == link.limits[-1] == _TIMEOUT_S
 
     asyncio.run(run())
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -73,12 +73,12 @@
     current = current.split(list(plan.splits), ids.Epoch(1))
     load = view(current, {0: 0.5, 101: 0.5, 201: 0.5, 100: 30, 200: 30}, hot)
     plan = policy.rebalance(current, set(servers), load, 0.001)
-    # The wide rest of the slice would cost more churn than the budget allows.
+    # Moving the wide remainder of the slice would exceed the churn budget.
     assert {100, 200} & set(plan.moves)
     assert 201 not in plan.moves
 
 
-def test_cooled_key_is_joined_again():
+def test_slice_of_a_cooled_key_is_merged():
     servers = builders.servers(3)
     policy = placement.IsolatingPlacement(1.5)
     current = builders.assignment(3, 4).split([100, 101], ids.Epoch(1))
@@ -88,7 +88,7 @@
     assert len(joined.slices) == 12
 
 
-def test_cooled_key_that_moved_returns_first():
+def test_slice_of_a_cooled_key_moves_back_before_its_merge():
     servers = builders.servers(3)
     policy = placement.IsolatingPlacement(1.5)
     current = builders.assignment(3, 4).split([100, 101], ids.Epoch(1))
@@ -99,22 +99,22 @@
 
 
 def test_sketch_finds_the_busiest_keys_in_fixed_space():
-    sketch = load_lib.Sketch()
+    sketch = load_lib.LoadSketch()
     for number in range(20_000):
-        sketch.note(0, number % 5 if number % 2 else 1000 + number)
-    report = sketch.take(2.0)
+        sketch.record(0, number % 5 if number % 2 else 1000 + number)
+    report = sketch.flush(2.0)
     top = sorted(report.by_position, key=report.by_position.get)[-5:]
     assert set(top) == set(range(5))
     assert len(report.by_position) <= 16
     assert report.by_start == {0: 20_000} and report.rest == 0
-    assert sketch.take(1.0).by_start == {}
+    assert sketch.flush(1.0).by_start == {}
 
 
-def test_load_of_a_router_that_fell_silent_is_forgotten():
+def test_stale_load_reports_are_dropped():
     assignment = builders.assignment()
     table = load_lib.LoadTable()
     report = load_lib.LoadReport(1.0, {0: 100}, 0, {5: 80})
-    table.note(ids.Incarnation("r"), report, 10.0)
+    table.record(ids.Incarnation("r"), report, 10.0)
     assert table.view(assignment, 11.0).by_start[0] == 50.0
     assert table.view(assignment, 11.0).by_position == {5: 40.0}
     assert sum(table.view(assignment, 60.0).by_start.values()) == 0
