--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -1,5 +1,7 @@
 """Lease rules under arbitrary pauses, delays, restarts and lost messages."""
 
+import itertools
+
 import hypothesis
 from hypothesis import stateful
 from hypothesis import strategies
@@ -32,6 +34,7 @@
     def __init__(self):
         super().__init__()
         self.now = 100.0
+        self._restarts = itertools.count(1)
         self.processes = {name: Process(name) for name in VMS}
         self.row_version = 1
         self.row_epoch = ids.Epoch(1)
@@ -148,7 +151,7 @@
         """The process loses its state; no row names its new incarnation."""
         fresh = Process(name)
         fresh.me = leases.Candidate(
-            ids.VmId(name), ids.Incarnation(f"{name}#{self.now}")
+            ids.VmId(name), ids.Incarnation(f"{name}#{next(self._restarts)}")
         )
         self.processes[name] = fresh
 
@@ -162,6 +165,17 @@
         assert len(valid) <= 1
 
 
+def test_two_restarts_at_the_same_time_are_two_incarnations():
+    machine = LeaseMachine()
+    machine.take_over("b")
+    machine.restart("b")
+    machine.take_over("a")
+    machine.renew("a")
+    machine.restart("b")
+    machine.take_over("b")
+    machine.at_most_one_valid_holder()
+
+
 TestLeases = LeaseMachine.TestCase
 TestLeases.settings = hypothesis.settings(
     max_examples=300, stateful_step_count=60, deadline=None
