--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -19,7 +19,7 @@
 from swiftstile.gateway import gate as gate_lib
 from swiftstile.gateway import gossip
 from swiftstile.gateway import handler as handler_lib
-from swiftstile.gateway import heat
+from swiftstile.gateway import key_load
 from swiftstile.gateway import leadership
 from swiftstile.gateway import membership
 from swiftstile.gateway import model
@@ -75,7 +75,7 @@
         server: links.ControlServer,
         retry_budget: budget.RetryBudget,
         speed_book: speeds.SpeedBook,
-        heat_book: heat.HeatBook,
+        heat_book: key_load.KeyLoadTable,
         cold_limits: coldstart.ColdLimits,
         suspect_book: suspects.Suspects,
         log: decisions.BoundedLines,
@@ -242,7 +242,7 @@
         if peer.report.tables:
             self._relay.note(peer, now)
         if peer.report.heat:
-            self._heat.hear(node, peer.report.heat, now)
+            self._heat.receive(node, peer.report.heat, now)
         if peer.report.speeds:
             self._speeds.hear(node, peer.report.speeds, now)
         if peer.report.suspicions:
--- a/src/swiftstile/gateway/measures.py
+++ b/src/swiftstile/gateway/measures.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from swiftstile.gateway import heat
+from swiftstile.gateway import key_load
 from swiftstile.gateway import reports
 from swiftstile.gateway import speeds
 
@@ -32,7 +32,9 @@
 class Measures:
     """Adds what this VM measured to reports that are about to be sent."""
 
-    def __init__(self, speed_book: speeds.SpeedBook, heat_book: heat.HeatBook):
+    def __init__(
+        self, speed_book: speeds.SpeedBook, heat_book: key_load.KeyLoadTable
+    ):
         self._speeds = speed_book
         self._heat = heat_book
 
@@ -54,7 +56,7 @@
             told_speeds = self._speeds.tell(now)
         if now - pace.heat_at >= HEAT_INTERVAL_S:
             pace.heat_at = now
-            told_heat = self._heat.tell(now)
+            told_heat = self._heat.report(now)
         if not told_speeds and not told_heat:
             return report
         return msgspec.structs.replace(
--- a/src/swiftstile/gateway/owners.py
+++ b/src/swiftstile/gateway/owners.py
@@ -4,7 +4,7 @@
 from swiftstile import ids
 from swiftstile.gateway import admission
 from swiftstile.gateway import gossip
-from swiftstile.gateway import heat
+from swiftstile.gateway import key_load
 from swiftstile.gateway import renewals
 from swiftstile.gateway import targets
 
@@ -33,7 +33,7 @@
     Args:
         maps: The maps.
         book: The upstreams.
-        heat_book: Counts how often slots are asked for.
+        key_load_table: Counts how often slots are asked for.
         peers: The other VMs.
         drain_s: How long a leaving owner takes requests, in seconds.
     """
@@ -42,13 +42,13 @@
         self,
         maps: renewals.KeyMaps,
         book: targets.TargetBook,
-        heat_book: heat.HeatBook,
+        key_load_table: key_load.KeyLoadTable,
         peers: gossip.Peers,
         drain_s: float,
     ):
         self._maps = maps
         self._book = book
-        self._heat = heat_book
+        self._key_load = key_load_table
         self._peers = peers
         self._drain_s = drain_s
         self._misdirected: dict[
@@ -68,7 +68,9 @@
         key_map = self._maps.by_service.get(waiter.service)
         if key_map is not None and waiter.key is not None:
             slot = key_map.index_of(waiter.key)
-            self._heat.note(waiter.service, slot, clocks.monotonic())
+            self._key_load.record_request(
+                waiter.service, slot, clocks.monotonic()
+            )
 
     def version(self, service: ids.ServiceName) -> int:
         """Returns the version of a service's map; 0 if there is none."""
--- a/src/swiftstile/gateway/reports.py
+++ b/src/swiftstile/gateway/reports.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from swiftstile import ids
-from swiftstile.gateway import heat
+from swiftstile.gateway import key_load
 from swiftstile.gateway import model
 from swiftstile.gateway import speeds
 from swiftstile.gateway import suspects
@@ -123,7 +123,7 @@
     shared: Counts
     local: Counts
     speeds: speeds.Samples
-    heat: heat.Heat
+    heat: key_load.KeyLoad
     versions: dict[ids.ServiceName, int]
     holds: dict[ids.ServiceName, dict[model.UpstreamId, Hold]] | None
     unreachable: list[model.UpstreamId]
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -8,8 +8,8 @@
 
 from swiftstile import ids
 from swiftstile.gateway import coldstart
-from swiftstile.gateway import heat
 from swiftstile.gateway import hotplan
+from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
 from swiftstile.gateway import keyplan
 from swiftstile.gateway import model
@@ -49,7 +49,7 @@
         service: The service.
         book: The upstreams.
         speed_book: How fast they are.
-        heat_book: How often busy slots are asked for.
+        key_load_table: How often busy slots are asked for.
         work_s: Returns the mean work of a service's requests, once measured.
         now: On the steady clock.
         limits: Which upstreams are cold, so that little may be sent there.
@@ -61,7 +61,7 @@
         service: ids.ServiceName,
         book: targets.TargetBook,
         speed_book: speeds.SpeedBook,
-        heat_book: heat.HeatBook,
+        key_load_table: key_load.KeyLoadTable,
         work_s,
         now: float,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
@@ -72,7 +72,7 @@
         self._service = service
         self._book = book
         self._speeds = speed_book
-        self._heat = heat_book
+        self._key_load = key_load_table
         self._work_s = work_s
         # Where hot slots are on their way to.
         self._wanted: dict[int, model.UpstreamId] = {}
@@ -218,7 +218,7 @@
     def _busy(
         self, current: keymap.KeyMap, capacity: Weights, now: float
     ) -> dict[int, float]:
-        rates = self._heat.rates(self._service, now)
+        rates = self._key_load.rates(self._service, now)
         return hotplan.shares(current, rates, capacity)
 
     def _capacities(self, weights: Weights) -> dict[model.UpstreamId, float]:
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -24,9 +24,9 @@
 from swiftstile.gateway import gate as gate_lib
 from swiftstile.gateway import gossip
 from swiftstile.gateway import handler as handler_lib
-from swiftstile.gateway import heat
 from swiftstile.gateway import interfaces
 from swiftstile.gateway import keeper
+from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
 from swiftstile.gateway import leadership
 from swiftstile.gateway import measures
@@ -138,7 +138,7 @@
         self._book = targets.TargetBook()
         self._maps = renewals.KeyMaps()
         self._speeds = speeds.SpeedBook()
-        self._heat = heat.HeatBook()
+        self._heat = key_load.KeyLoadTable()
         self._suspects = suspects.Suspects()
         self._peers = gossip.Peers(
             self._node,
--- a/tests/keeper_parts.py
+++ b/tests/keeper_parts.py
@@ -7,9 +7,9 @@
 from swiftstile import errors
 from swiftstile import metrics
 from swiftstile.gateway import gossip
-from swiftstile.gateway import heat
 from swiftstile.gateway import interfaces
 from swiftstile.gateway import keeper
+from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
 from swiftstile.gateway import renewals
 from swiftstile.gateway import slotplan
@@ -107,7 +107,7 @@
             self.maps, self.book, peers, self.control, self.right, meters
         )
         follower = types.SimpleNamespace(failing_since=None, version=0)
-        self.heat = heat.HeatBook()
+        self.key_load = key_load.KeyLoadTable()
         self.speeds = speeds.SpeedBook()
         self.work_s: float | None = None
         self.most_ranges = most_ranges
@@ -115,7 +115,7 @@
             builders.LOOKUPS,
             self.book,
             self.speeds,
-            self.heat,
+            self.key_load,
             lambda service: self.work_s,
             0.0,
             most_ranges=lambda: self.most_ranges,
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -225,7 +225,7 @@
             builders.LOOKUPS,
             self.book,
             parts.speeds,
-            parts.heat,
+            parts.key_load,
             lambda _: None,
             0.0,
             _limits(self.book, "vm-1"),
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -18,8 +18,8 @@
 from swiftstile.gateway import arbiter as arbiter_lib
 from swiftstile.gateway import follow
 from swiftstile.gateway import gate as gate_lib
-from swiftstile.gateway import heat
 from swiftstile.gateway import interfaces
+from swiftstile.gateway import key_load
 from swiftstile.gateway import model
 from swiftstile.gateway import outcomes
 from swiftstile.gateway import owners
@@ -70,7 +70,11 @@
             self._peers, gate, arbiter, self.book, meters
         )
         self._owners = owners.KeyOwners(
-            parts.maps, self.book, heat.HeatBook(), self._peers, _DRAIN_S
+            parts.maps,
+            self.book,
+            key_load.KeyLoadTable(),
+            self._peers,
+            _DRAIN_S,
         )
 
     def _put(self, state: model.UpstreamState, at: float) -> None:
--- a/tests/unit/test_gateway_evacuation.py
+++ b/tests/unit/test_gateway_evacuation.py
@@ -11,7 +11,7 @@
 
 from swiftstile import metrics
 from swiftstile.gateway import admission
-from swiftstile.gateway import heat
+from swiftstile.gateway import key_load
 from swiftstile.gateway import model
 from swiftstile.gateway import owners
 from swiftstile.gateway import registry
@@ -144,7 +144,7 @@
         self.owners = owners.KeyOwners(
             self.parts.maps,
             self.book,
-            heat.HeatBook(),
+            key_load.KeyLoadTable(),
             self.parts.peers,
             _DRAIN_S,
         )
@@ -226,7 +226,12 @@
     book.evacuate(domain, 0.0)
     parts = keeper_parts.Parts()
     plan = slotplan.SlotPlan(
-        builders.LOOKUPS, book, parts.speeds, parts.heat, lambda _: None, 0.0
+        builders.LOOKUPS,
+        book,
+        parts.speeds,
+        parts.key_load,
+        lambda _: None,
+        0.0,
     )
     weights = plan.weights(10.0)
     dealt = plan.first_deal(weights, 20.0)
--- a/tests/unit/test_gateway_keeper.py
+++ b/tests/unit/test_gateway_keeper.py
@@ -254,11 +254,11 @@
     current = parts.start(leaving=())
     parts.work_s = 0.3
     weights = {"u-1": 3.0, "u-2": 6.0, "u-3": 5.0, "u-4": 4.0}
-    told = {}
+    reported = {}
     for slot, now in ((7, 100.0), (9, 101.0), (11, 102.0)):
         # Each takes nearly all of u-1, and some of whatever it is moved to.
-        told[slot] = 9.0
-        parts.heat.hear("vm-2", {builders.LOOKUPS: dict(told)}, now)
+        reported[slot] = 9.0
+        parts.key_load.receive("vm-2", {builders.LOOKUPS: dict(reported)}, now)
         moving = parts.plan.hot_to_move(current, weights, now)
         assert moving == [slot]
         owners = parts.plan.destinations(current, moving, weights, now)
--- a/tests/unit/test_gateway_heat.py
+++ b/tests/unit/test_gateway_key_load.py
@@ -1,7 +1,7 @@
 """Busy keys: found from all VMs' counts, and put on fast upstreams."""
 
-from swiftstile.gateway import heat
 from swiftstile.gateway import hotplan
+from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
 from swiftstile.gateway import model
 from tests import gateway_builders as builders
@@ -15,27 +15,27 @@
 
 
 def test_a_steady_rate_is_found():
-    book = heat.HeatBook()
+    table = key_load.KeyLoadTable()
     for step in range(80):
-        book.note(builders.LOOKUPS, 7, step * 0.1)
-    rate = book.rates(builders.LOOKUPS, 8.0)[7]
+        table.record_request(builders.LOOKUPS, 7, step * 0.1)
+    rate = table.rates(builders.LOOKUPS, 8.0)[7]
     assert 8.0 < rate < 12.0
-    assert book.rates(builders.LOOKUPS, 16.0) == {}
+    assert table.rates(builders.LOOKUPS, 16.0) == {}
 
 
 def test_rates_of_all_vms_add_up_and_are_forgotten():
-    book = heat.HeatBook()
+    table = key_load.KeyLoadTable()
     for name in ("vm-2", "vm-3"):
-        told = {builders.LOOKUPS: {7: 4.0}}
-        book.hear(model.NodeId(name), told, 1.0)
-    assert book.rates(builders.LOOKUPS, 1.1) == {7: 8.0}
-    assert book.rates(builders.LOOKUPS, 5.0) == {}
+        reported = {builders.LOOKUPS: {7: 4.0}}
+        table.receive(model.NodeId(name), reported, 1.0)
+    assert table.rates(builders.LOOKUPS, 1.1) == {7: 8.0}
+    assert table.rates(builders.LOOKUPS, 5.0) == {}
 
 
 def test_seldom_slots_are_not_told():
-    book = heat.HeatBook()
-    book.note(builders.LOOKUPS, 1, 0.0)
-    assert book.tell(1.0) == {}
+    table = key_load.KeyLoadTable()
+    table.record_request(builders.LOOKUPS, 1, 0.0)
+    assert table.report(1.0) == {}
 
 
 def test_a_slot_is_hot_by_what_its_owner_can_do():
--- a/tests/unit/test_gateway_measures.py
+++ b/tests/unit/test_gateway_measures.py
@@ -5,7 +5,7 @@
 from swiftstile import clocks
 from swiftstile import ids
 from swiftstile.gateway import gossip
-from swiftstile.gateway import heat
+from swiftstile.gateway import key_load
 from swiftstile.gateway import measures
 from swiftstile.gateway import reports
 from swiftstile.gateway import speeds
@@ -35,7 +35,7 @@
         self.now = 100.0
         monkeypatch.setattr(clocks, "monotonic", lambda: self.now)
         self.speeds = speeds.SpeedBook()
-        self.heat = heat.HeatBook()
+        self.heat = key_load.KeyLoadTable()
         self.peers = gossip.Peers(
             builders.node_row("vm-0"),
             lambda *_: None,
@@ -57,7 +57,7 @@
         while self.now < end:
             self.now += gossip.NEAR_INTERVAL_S
             self.speeds.note(_UPSTREAM, 3.0, self.now)
-            self.heat.note(builders.LOOKUPS, 5, self.now)
+            self.heat.record_request(builders.LOOKUPS, 5, self.now)
             sequence = self.peers.next_sequence()
             busy = {_UPSTREAM: (sequence % 2, 0)}
             report = builders.report(self.peers.me, sequence, local=busy)
@@ -88,7 +88,7 @@
 
 def test_where_vms_are_many_speeds_are_told_less_often():
     book = speeds.SpeedBook()
-    told = measures.Measures(book, heat.HeatBook())
+    told = measures.Measures(book, key_load.KeyLoadTable())
     report = builders.report(builders.node_row("vm-0"))
     pace = measures.Pace()
     count = 0
--- a/tests/unit/test_gateway_owners.py
+++ b/tests/unit/test_gateway_owners.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from swiftstile.gateway import heat
+from swiftstile.gateway import key_load
 from swiftstile.gateway import owners
 from tests import gateway_builders as builders
 from tests import keeper_parts
@@ -26,7 +26,11 @@
         )
         self.target = parts.book.by_id["u-1"]
         self.owners = owners.KeyOwners(
-            parts.maps, parts.book, heat.HeatBook(), parts.peers, drain_s=2.0
+            parts.maps,
+            parts.book,
+            key_load.KeyLoadTable(),
+            parts.peers,
+            drain_s=2.0,
         )
 
     def find(self):
--- a/tests/unit/test_gateway_restart.py
+++ b/tests/unit/test_gateway_restart.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from swiftstile.gateway import heat
+from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
 from swiftstile.gateway import model
 from swiftstile.gateway import owners
@@ -110,7 +110,11 @@
 def test_requests_wait_until_a_new_life_holds_its_keys():
     parts, _ = _parts()
     found = owners.KeyOwners(
-        parts.maps, parts.book, heat.HeatBook(), parts.peers, drain_s=2.0
+        parts.maps,
+        parts.book,
+        key_load.KeyLoadTable(),
+        parts.peers,
+        drain_s=2.0,
     )
     key = 100
 
--- a/tests/unit/test_gateway_slotplan.py
+++ b/tests/unit/test_gateway_slotplan.py
@@ -26,9 +26,9 @@
         empty = keymap.KeyMap.empty(slotplan.SLOT_COUNT)
         self.map = empty.give({}, dict(enumerate(dealt)))
 
-    def heat(self, slot: int, per_s: float, now: float) -> None:
-        told = {builders.LOOKUPS: {slot: per_s}}
-        self.parts.heat.hear("vm-2", told, now)
+    def receive_load(self, slot: int, per_s: float, now: float) -> None:
+        reported = {builders.LOOKUPS: {slot: per_s}}
+        self.parts.key_load.receive("vm-2", reported, now)
 
     def move(self, now: float) -> list[int]:
         moving = self.plan.surplus_to_move(self.map, self.weights, now)
@@ -84,12 +84,12 @@
     hot = case.map.slots_by_owner["u-3"][50]
     before = case.owned("u-3")
     # It isn't time for a look yet; what is hot doesn't wait for that.
-    case.heat(hot, 40.0, _NOW + 0.3)
+    case.receive_load(hot, 40.0, _NOW + 0.3)
     moved = case.move(_NOW + 0.3)
     assert len(moved) > 0.8 * before
     assert hot not in moved and case.map.slots[hot].owner == "u-3"
     # Once, not at each look.
-    case.heat(hot, 38.0, _NOW + 0.4)
+    case.receive_load(hot, 38.0, _NOW + 0.4)
     assert case.move(_NOW + 0.4) == []
 
 
@@ -97,7 +97,7 @@
     case = _Case()
     hot = case.map.slots_by_owner["u-3"][50]
     before = case.owned("u-3")
-    case.heat(hot, 40.0, _NOW)
+    case.receive_load(hot, 40.0, _NOW)
     assert case.move(_NOW)
     now = _NOW + 10
     while case.move(now):
@@ -108,7 +108,7 @@
 def test_nothing_moves_to_an_owner_beside_a_hot_slot():
     case = _Case()
     hot = case.map.slots_by_owner["u-3"][50]
-    case.heat(hot, 40.0, _NOW)
+    case.receive_load(hot, 40.0, _NOW)
     case.move(_NOW)
     leaving = case.map.slots_by_owner["u-9"][:40]
     placed = case.plan.destinations(
