--- a/src/swiftstile/gateway/holds.py
+++ b/src/swiftstile/gateway/holds.py
@@ -5,7 +5,7 @@
 connection was reset, so the grant arrived before the reset or never will.
 """
 
-__all__ = ["CLOCK_RATE", "HoldBook", "longest_s"]
+__all__ = ["CLOCK_RATE", "HoldTable", "max_held_s"]
 
 # An upstream's clock may run this much slow (the platform's pages).
 CLOCK_RATE = 1.02
@@ -15,12 +15,12 @@
 _UNBOUNDED = float("inf")
 
 
-def longest_s(hold_s: float) -> float:
+def max_held_s(hold_s: float) -> float:
     """Returns the longest that a grant can be held, in seconds."""
     return hold_s * CLOCK_RATE + MARGIN_S
 
 
-class HoldBook:
+class HoldTable:
     """Bounds for the slots of one service.
 
     Args:
@@ -29,11 +29,11 @@
     """
 
     def __init__(self, count: int, hold_s: float):
-        self.longest_s = longest_s(hold_s)
+        self.max_held_s = max_held_s(hold_s)
         self._in_flight = [0] * count
         self._end = [0.0] * count
         # Ends of grants without an answer, which may still be carried out.
-        self._open_end = [0.0] * count
+        self._unanswered_end = [0.0] * count
 
     def note_sent(self, slots: range) -> None:
         """A grant for these slots is about to be sent."""
@@ -42,7 +42,7 @@
 
     def note_answered(self, slots: range, now: float, hold_s: float) -> None:
         """It was answered, so it had arrived."""
-        end = now + longest_s(hold_s)
+        end = now + max_held_s(hold_s)
         for index in slots:
             self._in_flight[index] -= 1
             self._end[index] = max(self._end[index], end)
@@ -52,15 +52,15 @@
         for index in slots:
             self._in_flight[index] -= 1
 
-    def note_lost(self, slots: range, now: float, hold_s: float) -> None:
+    def note_unanswered(self, slots: range, now: float, hold_s: float) -> None:
         """It wasn't answered, and its connection was reset now."""
-        end = now + longest_s(hold_s)
+        end = now + max_held_s(hold_s)
         for index in slots:
             self._in_flight[index] -= 1
             self._end[index] = max(self._end[index], end)
-            self._open_end[index] = max(self._open_end[index], end)
+            self._unanswered_end[index] = max(self._unanswered_end[index], end)
 
-    def all_over_in_s(self, now: float) -> float:
+    def max_remaining_s(self, now: float) -> float:
         """Returns until when any slot may be held by these grants."""
         if any(self._in_flight):
             return _UNBOUNDED
@@ -68,16 +68,16 @@
 
     def held_for_s(self, slots, now: float) -> float:
         """Returns how long any of these slots may still be held."""
-        return self._longest(self._end, slots, now)
+        return self._max_remaining_s(self._end, slots, now)
 
-    def open_for_s(self, slots, now: float) -> float:
+    def unanswered_for_s(self, slots, now: float) -> float:
         """Returns how long an unanswered grant of any may still count."""
-        return self._longest(self._open_end, slots, now)
+        return self._max_remaining_s(self._unanswered_end, slots, now)
 
-    def _longest(self, ends: list[float], slots, now: float) -> float:
-        longest = 0.0
+    def _max_remaining_s(self, ends: list[float], slots, now: float) -> float:
+        remaining_s = 0.0
         for index in slots:
             if self._in_flight[index]:
                 return _UNBOUNDED
-            longest = max(longest, ends[index] - now)
-        return longest
+            remaining_s = max(remaining_s, ends[index] - now)
+        return remaining_s
--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/keeper.py
@@ -403,15 +403,15 @@
     def _state_of(self, current, owner, source, slots, now: float) -> "_Move":
         if owner is None or self._is_replaced(owner):
             return _Move.CLEAR
-        book = self._renewing.holds(self._service, len(current.slots))
+        hold_table = self._renewing.holds(self._service, len(current.slots))
         known = moves.clearance(
             self._service,
             owner,
             source.version,
-            self._own_hold(book, slots, now),
+            self._own_hold(hold_table, slots, now),
             list(self._peers.by_node.values()),
             self._stopped_at(source),
-            book.longest_s,
+            hold_table.max_held_s,
             now,
             self._former_leader(source),
             self._authority.quorum_since,
@@ -429,12 +429,12 @@
             return _Move.FENCE_AND_RELEASE
         return _Move.WAITING
 
-    def _own_hold(self, book, slots, now: float) -> reports.Hold:
+    def _own_hold(self, hold_table, slots, now: float) -> reports.Hold:
         """Returns what grants of this VM mean, its earlier runs included."""
-        earlier_s = self._started + book.longest_s - now
+        earlier_s = self._started + hold_table.max_held_s - now
         return reports.Hold(
-            max(earlier_s, book.held_for_s(slots, now)),
-            max(earlier_s, book.open_for_s(slots, now)),
+            max(earlier_s, hold_table.held_for_s(slots, now)),
+            max(earlier_s, hold_table.unanswered_for_s(slots, now)),
         )
 
     def _stopped_at(self, source: takeback.Source) -> float:
@@ -455,7 +455,7 @@
         if since is not None:
             stopped_at = since + authority.LEADER_STOPPED_AFTER_S
         return moves.FormerLeader(
-            *source.former, stopped_at, holds.longest_s(takeback.KEEP_HOLD_S)
+            *source.former, stopped_at, holds.max_held_s(takeback.KEEP_HOLD_S)
         )
 
     def _is_replaced(self, owner: model.UpstreamId) -> bool:
--- a/src/swiftstile/gateway/moves.py
+++ b/src/swiftstile/gateway/moves.py
@@ -43,13 +43,13 @@
         node: That VM.
         version: Version of the map that it knows once it knows its successor.
         stopped_at: When it gave no more orders, whatever it knew.
-        longest_s: Longest that such an order can be held.
+        max_held_s: Longest that such an order can be held.
     """
 
     node: model.NodeId
     version: int
     stopped_at: float
-    longest_s: float
+    max_held_s: float
 
 
 def clearance(
@@ -59,7 +59,7 @@
     own: reports.Hold,
     peers: list[reports.Peer],
     stopped_at: float,
-    longest_s: float,
+    max_held_s: float,
     now: float,
     former: FormerLeader | None = None,
     quorum_since: float | None = None,
@@ -74,7 +74,7 @@
         peers: All other registered VMs.
         stopped_at: When VMs that tell nothing have stopped at the latest;
             infinite if that isn't known.
-        longest_s: Longest that one grant can be held.
+        max_held_s: Longest that one grant can be held.
         now: The time.
         former: Who marked them, if that was another VM.
         quorum_since: Since when a majority follows this VM, which leads. One
@@ -82,22 +82,22 @@
     """
     result = Clearance(True, own.held_s, own.open_s)
     for peer in peers:
-        version, longest = marked_version, longest_s
+        version, longest = marked_version, max_held_s
         stop = min(stopped_at, _silenced_at(peer, quorum_since))
         if former is not None and peer.row.node == former.node:
             version = former.version
-            stop, longest = former.stopped_at, former.longest_s
+            stop, longest = former.stopped_at, former.max_held_s
         hold = _word_of(peer, service, owner, version, now)
         if hold is None:
             hold = _hold_until(stop + longest, now)
             result.all_stopped &= now > stop
         else:
             # An earlier run of it may have granted up to when it ended.
-            end = peer.earlier_grants_end_at(longest_s)
+            end = peer.earlier_grants_end_at(max_held_s)
             hold = _longer(hold, _hold_until(end, now))
         if former is not None and not peer.is_heard(now):
             # It may have led itself, before the one that led last.
-            hold = _longer(hold, _hold_until(stop + former.longest_s, now))
+            hold = _longer(hold, _hold_until(stop + former.max_held_s, now))
         if hold.held_s > result.held_s:
             result.waits_for = peer.row.node
         result.held_s = max(result.held_s, hold.held_s)
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -110,8 +110,8 @@
 class _Sending:
     """Counts one grant: that it was sent, and what became of it."""
 
-    def __init__(self, book: holds.HoldBook, run: range, hold_s: float):
-        self._book = book
+    def __init__(self, hold_table: holds.HoldTable, run: range, hold_s: float):
+        self._holds = hold_table
         self._run = run
         self._hold_s = hold_s
         self._is_open = False
@@ -119,26 +119,26 @@
     def begin(self) -> None:
         """It is about to be sent."""
         self._is_open = True
-        self._book.note_sent(self._run)
+        self._holds.note_sent(self._run)
 
     def end_answered(self) -> None:
         """It was answered."""
         self._is_open = False
         now = clocks.monotonic()
-        self._book.note_answered(self._run, now, self._hold_s)
+        self._holds.note_answered(self._run, now, self._hold_s)
 
     def end_unsent(self) -> None:
         """It wasn't sent after all."""
         if self._is_open:
             self._is_open = False
-            self._book.note_unsent(self._run)
+            self._holds.note_unsent(self._run)
 
     def end_lost(self) -> None:
         """Nothing more comes of it; it may have arrived if it is open."""
         if self._is_open:
             self._is_open = False
             now = clocks.monotonic()
-            self._book.note_lost(self._run, now, self._hold_s)
+            self._holds.note_unanswered(self._run, now, self._hold_s)
 
 
 class Authority(abc.ABC):
@@ -187,7 +187,7 @@
         self._is_stopped = False
         # Since when this VM has had the right to renew without a break.
         self._able_since: float | None = None
-        self.holds_by_service: dict[ids.ServiceName, holds.HoldBook] = {}
+        self.holds_by_service: dict[ids.ServiceName, holds.HoldTable] = {}
         self.unreachable: set[model.UpstreamId] = set()
 
     async def run(self) -> None:
@@ -217,8 +217,10 @@
         """Returns until when its grants may hold; None while it gives any."""
         if not self._is_stopped:
             return None
-        books = self.holds_by_service.values()
-        return max((book.all_over_in_s(now) for book in books), default=0.0)
+        tables = self.holds_by_service.values()
+        return max(
+            (table.max_remaining_s(now) for table in tables), default=0.0
+        )
 
     def _share_out(self, now: float) -> None:
         if self._is_stopped:
@@ -446,13 +448,13 @@
             slot.is_leaving or slot.owner != owner or slot.fence != first.fence
         )
 
-    def holds(self, service: ids.ServiceName, count: int) -> holds.HoldBook:
+    def holds(self, service: ids.ServiceName, count: int) -> holds.HoldTable:
         """Returns the bounds of a service's slots."""
-        book = self.holds_by_service.get(service)
-        if book is None:
-            book = holds.HoldBook(count, HOLD_S)
-            self.holds_by_service[service] = book
-        return book
+        hold_table = self.holds_by_service.get(service)
+        if hold_table is None:
+            hold_table = holds.HoldTable(count, HOLD_S)
+            self.holds_by_service[service] = hold_table
+        return hold_table
 
     def leaving_holds(
         self, now: float
@@ -466,10 +468,11 @@
         for service, key_map in self._maps.by_service.items():
             if not key_map.leaving:
                 continue
-            book = self.holds(service, len(key_map.slots))
+            hold_table = self.holds(service, len(key_map.slots))
             for owner, indices in key_map.leaving_by_owner().items():
                 hold = reports.Hold(
-                    book.held_for_s(indices, now), book.open_for_s(indices, now)
+                    hold_table.held_for_s(indices, now),
+                    hold_table.unanswered_for_s(indices, now),
                 )
                 if hold.held_s > 0 or hold.open_s > 0:
                     found.setdefault(service, {})[owner] = hold
--- a/src/swiftstile/gateway/takeback.py
+++ b/src/swiftstile/gateway/takeback.py
@@ -114,7 +114,7 @@
     def note_unanswered(self, now: float, hold_s: float) -> None:
         """A grant got no answer; its connection was reset now."""
         if self.is_fenced:
-            end = now + holds.longest_s(hold_s)
+            end = now + holds.max_held_s(hold_s)
             self.open_until = max(self.open_until, end)
 
     def note_kept(self, now: float) -> None:
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -57,7 +57,7 @@
 
     def __init__(self, clock: _Clock, run: str):
         self.row = builders.node_row("vm-2", run=run)
-        self.book = holds.HoldBook(1, renewals.HOLD_S)
+        self.book = holds.HoldTable(1, renewals.HOLD_S)
         self.version = 1
         self.due = clock.now
         leader_row = builders.node_row("vm-1", run="leaderrr")
@@ -87,7 +87,7 @@
         if self.version >= 2:
             hold = reports.Hold(
                 self.book.held_for_s(_SLOT, now),
-                self.book.open_for_s(_SLOT, now),
+                self.book.unanswered_for_s(_SLOT, now),
             )
             # What means nothing isn't told, as `Renewals.leaving_holds` does.
             if hold.held_s > 0 or hold.open_s > 0:
@@ -169,7 +169,7 @@
             if is_answered:
                 renewer.book.note_answered(_SLOT, now, renewals.HOLD_S)
             else:
-                renewer.book.note_lost(_SLOT, now, renewals.HOLD_S)
+                renewer.book.note_unanswered(_SLOT, now, renewals.HOLD_S)
 
     def _renew(self) -> None:
         now, renewer = self._clock.now, self._renewer
@@ -238,7 +238,7 @@
             reports.Hold(0.0, 0.0),
             [self._peer],
             self._marked_at + authority.STOPPED_AFTER_S,
-            self._renewer.book.longest_s,
+            self._renewer.book.max_held_s,
             now,
             None,
             self._quorum_since,
@@ -372,7 +372,7 @@
 
 
 def test_without_the_wait_for_unanswered_grants_they_overlap(monkeypatch):
-    monkeypatch.setattr(holds.HoldBook, "note_lost", _forget)
+    monkeypatch.setattr(holds.HoldTable, "note_unanswered", _forget)
     assert _overlaps(monkeypatch) > 0
 
 
--- a/tests/unit/test_gateway_exclusivity_orders.py
+++ b/tests/unit/test_gateway_exclusivity_orders.py
@@ -257,7 +257,7 @@
         every = range(_SLOTS)
         is_open = self._draw.random() < self._open_share
         book.note_sent(every)
-        end = book.note_lost if is_open else book.note_answered
+        end = book.note_unanswered if is_open else book.note_answered
         granted_at = self._clock.now - self._draw.uniform(0, renewals.HOLD_S)
         end(every, granted_at, renewals.HOLD_S)
         for slot in every:
--- a/tests/unit/test_gateway_keys.py
+++ b/tests/unit/test_gateway_keys.py
@@ -217,41 +217,41 @@
 
 
 def test_a_grant_under_way_has_no_bound():
-    book = holds.HoldBook(4, 5.0)
-    book.note_sent(range(0, 2))
-    assert book.held_for_s([0], 0.0) == float("inf")
-    assert book.open_for_s([1], 0.0) == float("inf")
-    assert book.held_for_s([2], 0.0) == 0.0
+    table = holds.HoldTable(4, 5.0)
+    table.note_sent(range(0, 2))
+    assert table.held_for_s([0], 0.0) == float("inf")
+    assert table.unanswered_for_s([1], 0.0) == float("inf")
+    assert table.held_for_s([2], 0.0) == 0.0
 
 
 def test_an_answered_grant_is_held_and_not_open():
-    book = holds.HoldBook(4, 5.0)
-    book.note_sent(range(0, 1))
-    book.note_answered(range(0, 1), 1.0, 5.0)
-    assert book.held_for_s([0], 1.0) >= 5.0 * holds.CLOCK_RATE
-    assert book.open_for_s([0], 1.0) == 0.0
-    assert book.held_for_s([0], 10.0) == 0.0
+    table = holds.HoldTable(4, 5.0)
+    table.note_sent(range(0, 1))
+    table.note_answered(range(0, 1), 1.0, 5.0)
+    assert table.held_for_s([0], 1.0) >= 5.0 * holds.CLOCK_RATE
+    assert table.unanswered_for_s([0], 1.0) == 0.0
+    assert table.held_for_s([0], 10.0) == 0.0
 
 
 def test_a_grant_that_could_not_be_sent_holds_nothing():
     # A dead owner is tried again and again; that mustn't extend its hold.
-    book = holds.HoldBook(4, 5.0)
-    book.note_sent(range(0, 1))
-    book.note_answered(range(0, 1), 1.0, 5.0)
+    table = holds.HoldTable(4, 5.0)
+    table.note_sent(range(0, 1))
+    table.note_answered(range(0, 1), 1.0, 5.0)
     for _ in range(9):
-        book.note_sent(range(0, 1))
-        book.note_unsent(range(0, 1))
-    assert book.held_for_s([0], 7.0) == 0.0
+        table.note_sent(range(0, 1))
+        table.note_unsent(range(0, 1))
+    assert table.held_for_s([0], 7.0) == 0.0
 
 
 def test_an_unanswered_grant_stays_open_after_a_newer_one_is_answered():
-    book = holds.HoldBook(4, 5.0)
-    book.note_sent(range(0, 1))
-    book.note_lost(range(0, 1), 1.0, 5.0)
-    book.note_sent(range(0, 1))
-    book.note_answered(range(0, 1), 1.5, 5.0)
-    assert book.open_for_s([0], 1.5) >= 4.5
-    assert book.open_for_s([0], 7.0) == 0.0
+    table = holds.HoldTable(4, 5.0)
+    table.note_sent(range(0, 1))
+    table.note_unanswered(range(0, 1), 1.0, 5.0)
+    table.note_sent(range(0, 1))
+    table.note_answered(range(0, 1), 1.5, 5.0)
+    assert table.unanswered_for_s([0], 1.5) >= 4.5
+    assert table.unanswered_for_s([0], 7.0) == 0.0
 
 
 def _clearance(peers, now, own=None, stopped_at=12.5):
@@ -262,7 +262,7 @@
         own or reports.Hold(0.0, 0.0),
         peers,
         stopped_at=stopped_at,
-        longest_s=5.25,
+        max_held_s=5.25,
         now=now,
     )
 
--- a/tests/unit/test_gateway_succession.py
+++ b/tests/unit/test_gateway_succession.py
@@ -197,7 +197,7 @@
             lambda: True,
             lambda: clock.now,
         )
-        self.book = holds.HoldBook(8, renewals.HOLD_S)
+        self.book = holds.HoldTable(8, renewals.HOLD_S)
         self.due = clock.now
 
     def knows_mark(self) -> bool:
@@ -335,7 +335,7 @@
             vm.leads.former_leader,
             _ADOPTED,
             quorum_at + authority.LEADER_STOPPED_AFTER_S,
-            holds.longest_s(takeback.KEEP_HOLD_S),
+            holds.max_held_s(takeback.KEEP_HOLD_S),
         )
         return moves.clearance(
             builders.LOOKUPS,
@@ -344,7 +344,7 @@
             reports.Hold(0.0, 0.0),
             [self._peer, self._former],
             stopped_at,
-            self._renewer.book.longest_s,
+            self._renewer.book.max_held_s,
             now,
             former,
         )
@@ -373,7 +373,7 @@
     # Known in most of them, and then sooner than by counting anew.
     waits = [model.waited_s for model in models if model.waited_s is not None]
     assert len(waits) > len(models) / 2
-    anew_s = authority.STOPPED_AFTER_S + holds.longest_s(renewals.HOLD_S)
+    anew_s = authority.STOPPED_AFTER_S + holds.max_held_s(renewals.HOLD_S)
     assert max(waits) < anew_s - 1.0
 
 
