--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/keeper.py
@@ -18,12 +18,12 @@
 from swiftstile.gateway import leadership
 from swiftstile.gateway import model
 from swiftstile.gateway import moves
+from swiftstile.gateway import reclaim
 from swiftstile.gateway import renewals
 from swiftstile.gateway import reports
 from swiftstile.gateway import settle
 from swiftstile.gateway import slotplan
 from swiftstile.gateway import succession
-from swiftstile.gateway import takeback
 from swiftstile.gateway import targets
 
 __all__ = ["MAP_PREFIX", "MapKeeper"]
@@ -117,8 +117,8 @@
         self._row_bytes = row_bytes
         self._meters = meters
         self._started = started
-        self._sources: dict[model.UpstreamId, takeback.Source] = {}
-        self._take_back = takeback.TakeBack(
+        self._sources: dict[model.UpstreamId, reclaim.Source] = {}
+        self._reclaimer = reclaim.Reclaimer(
             service, maps, book, renewing, leads, control, right, meters
         )
         self._store_answered_at = 0.0
@@ -237,10 +237,10 @@
             done = self._marked_at = clocks.monotonic()
             version = self._maps.by_service[self._service].version
             for owner in owners:
-                self._replace_source(owner, takeback.Source(version, done))
+                self._replace_source(owner, reclaim.Source(version, done))
 
     def _replace_source(
-        self, owner: model.UpstreamId, source: takeback.Source
+        self, owner: model.UpstreamId, source: reclaim.Source
     ) -> None:
         """Begins anew with an owner; one release at a time gives orders."""
         if owner in self._sources:
@@ -278,7 +278,7 @@
         now = clocks.monotonic()
         steps = self._next_steps(current, weights, now)
         for owner, fences in steps.releases:
-            self._take_back.start(
+            self._reclaimer.start(
                 current,
                 owner,
                 self._sources[owner],
@@ -325,13 +325,13 @@
         leaves = {current.slots[index].owner for index in placed}
         sources = [self._sources[name] for name in leaves & set(self._sources)]
         for source in sources:
-            source.is_given = True
+            source.is_reassigning = True
         if await self._write(current.give(tokens, placed, started_ms), "moved"):
             self._given_at = clocks.monotonic()
             self._meters.ownership.add("moved", len(placed))
             return
         for source in sources:
-            source.is_given = False
+            source.is_reassigning = False
 
     async def _adopt(self, current, owners: set[model.UpstreamId]) -> None:
         """Takes over moves that a former leader began.
@@ -349,16 +349,16 @@
             for owner in owners
         }
 
-    def _adopted(self, slots, version: int, now: float) -> takeback.Source:
+    def _adopted(self, slots, version: int, now: float) -> reclaim.Source:
         """Returns what is known of slots that a former leader marked."""
         marked = self._succession.marked_version(self._service, slots)
         stopped_at = None
         if marked is not None:
             stopped_at = self._succession.stopped_at(self._service, marked)
         if stopped_at is None:
-            return takeback.Source(version, now)
+            return reclaim.Source(version, now)
         former = (self._leads.former_leader, version)
-        return takeback.Source(marked, now, stopped_at, former)
+        return reclaim.Source(marked, now, stopped_at, former)
 
     async def _store_answers(self) -> bool:
         """Asks the store whether it answers, unless it just did."""
@@ -389,7 +389,7 @@
         slots_by_source = current.leaving_by_owner()
         await asyncio.gather(
             *(
-                self._take_back.keep(
+                self._reclaimer.keep(
                     current,
                     owner,
                     source,
@@ -420,12 +420,12 @@
             return _Move.CLEAR
         is_certain = known.all_stopped and known.open_s <= 0
         if set(slots) <= set(source.tokens):
-            is_shut = source.is_fenced and now >= source.open_until
+            is_shut = source.is_fenced and now >= source.unanswered_until
             return _Move.CLEAR if is_shut or is_certain else _Move.WAITING
         if is_certain:
             return _Move.RELEASE
         if now - source.marked_at > STOP_WAIT_S:
-            source.note_wait(known, owner, len(slots), now)
+            source.log_wait(known, owner, len(slots), now)
             return _Move.FENCE_AND_RELEASE
         return _Move.WAITING
 
@@ -437,7 +437,7 @@
             max(earlier_s, hold_table.unanswered_for_s(slots, now)),
         )
 
-    def _stopped_at(self, source: takeback.Source) -> float:
+    def _stopped_at(self, source: reclaim.Source) -> float:
         """Returns when VMs that tell nothing have stopped renewing."""
         if source.stopped_at is not None:
             return source.stopped_at
@@ -448,14 +448,16 @@
 
     def _former_leader(self, source) -> moves.FormerLeader | None:
         """Returns until when the VM that marked slots gave orders for them."""
-        if source.former is None:
+        if source.former_leader is None:
             return None
         since = self._authority.quorum_since
         stopped_at = float("inf")
         if since is not None:
             stopped_at = since + authority.LEADER_STOPPED_AFTER_S
         return moves.FormerLeader(
-            *source.former, stopped_at, holds.max_held_s(takeback.KEEP_HOLD_S)
+            *source.former_leader,
+            stopped_at,
+            holds.max_held_s(reclaim.KEEP_HOLD_S),
         )
 
     def _is_replaced(self, owner: model.UpstreamId) -> bool:
--- a/src/swiftstile/gateway/takeback.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -23,7 +23,7 @@
 from swiftstile.gateway import renewals
 from swiftstile.gateway import targets
 
-__all__ = ["Source", "TakeBack"]
+__all__ = ["Reclaimer", "Source"]
 
 # Calls to one upstream at the same time, when it releases slots: its busy
 # slots answer only when their work has ended.
@@ -34,19 +34,19 @@
 # delays the move once the store is back.
 KEEP_HOLD_S = 2.0
 # Between two renewals of it: two may fail before the hold is over.
-KEEP_EVERY_S = 0.6
+KEEP_INTERVAL_S = 0.6
 # Failures after which the rest of a release waits for the next try. Single
 # orders get no answer even where the upstream is well.
-_MOST_FAILURES = 24
+_MAX_FAILURES = 24
 # After a release failed, doubled each time: each try may hold the slots for
 # FENCING_HOLD_S, and a dead owner's slots have to come free.
-_FAILURE_PAUSE_S = 0.2
+_RETRY_DELAY_S = 0.2
 
 
 # Between two lines on slots that wait.
-WAIT_LINE_EVERY_S = 1.0
+WAIT_LOG_INTERVAL_S = 1.0
 # An unbounded wait is told as this.
-MOST_TOLD_S = 999.0
+MAX_LOGGED_HELD_S = 999.0
 
 
 class Source:
@@ -58,14 +58,15 @@
             steady clock.
         stopped_at: When all VMs had stopped renewing them, if a former leader
             marked them and that is known.
-        former: Node of the VM that marked them, with the version of the map
-            that it has to know, if `stopped_at` is known.
+        former_leader: Node of the VM that marked them, with the version of the
+            map that it has to know, if `stopped_at` is known.
         tokens: Hand-over tokens by slot, of those that it released.
         is_fenced: Whether it refuses older grants, whoever may send them.
-        open_until: Until when grants that got no answer after it was fenced
-            may hold slots there: carried out late, they have the same fence.
-        is_given: Whether the next owner of its slots is being written. Nothing
-            is granted to it from then on.
+        unanswered_until: Until when grants that got no answer after it was
+            fenced may hold slots there: carried out late, they have the same
+            fence.
+        is_reassigning: Whether the next owner of its slots is being written.
+            Nothing is granted to it from then on.
     """
 
     def __init__(
@@ -73,21 +74,21 @@
         version: int,
         marked_at: float,
         stopped_at: float | None = None,
-        former: tuple[model.NodeId, int] | None = None,
+        former_leader: tuple[model.NodeId, int] | None = None,
     ):
         self.version = version
         self.marked_at = marked_at
         self.stopped_at = stopped_at
-        self.former = former
+        self.former_leader = former_leader
         self.tokens: dict[int, str] = {}
         self.is_fenced = False
-        self.open_until = 0.0
-        self.is_given = False
+        self.unanswered_until = 0.0
+        self.is_reassigning = False
         self._release: asyncio.Task | None = None
         self._retry_at = 0.0
         self._failures = 0
         self._kept_at = 0.0
-        self._told_at = 0.0
+        self._logged_at = 0.0
 
     @property
     def is_releasing(self) -> bool:
@@ -100,7 +101,7 @@
 
     def may_keep(self, now: float) -> bool:
         """Whether it is time to grant the slots to their owner once more."""
-        return not self.is_releasing and now - self._kept_at >= KEEP_EVERY_S
+        return not self.is_releasing and now - self._kept_at >= KEEP_INTERVAL_S
 
     def note_release(self, task: asyncio.Task) -> None:
         """A release began."""
@@ -109,19 +110,19 @@
     def note_failures(self, now: float) -> None:
         """Some orders of a release got no answer."""
         self._failures += 1
-        self._retry_at = now + _FAILURE_PAUSE_S * 2**self._failures
+        self._retry_at = now + _RETRY_DELAY_S * 2**self._failures
 
     def note_unanswered(self, now: float, hold_s: float) -> None:
         """A grant got no answer; its connection was reset now."""
         if self.is_fenced:
             end = now + holds.max_held_s(hold_s)
-            self.open_until = max(self.open_until, end)
+            self.unanswered_until = max(self.unanswered_until, end)
 
     def note_kept(self, now: float) -> None:
         """The slots were granted to their owner once more."""
         self._kept_at = now
 
-    def note_wait(
+    def log_wait(
         self,
         known: moves.Clearance,
         owner: model.UpstreamId,
@@ -129,16 +130,16 @@
         now: float,
     ) -> None:
         """Says now and then what slots that can't be given away wait for."""
-        if now - self._told_at < WAIT_LINE_EVERY_S:
+        if now - self._logged_at < WAIT_LOG_INTERVAL_S:
             return
-        self._told_at = now
+        self._logged_at = now
         logs.logger.info(
             "slots wait",
             upstream=owner,
             slots=count,
             since_s=round(now - self.marked_at, 2),
             all_stopped=known.all_stopped,
-            held_s=round(min(known.held_s, MOST_TOLD_S), 2),
+            held_s=round(min(known.held_s, MAX_LOGGED_HELD_S), 2),
             waits_for=known.waits_for,
         )
 
@@ -148,7 +149,7 @@
             self._release.cancel()
 
 
-class TakeBack:
+class Reclaimer:
     """Orders owners to release slots of one service."""
 
     def __init__(
@@ -176,8 +177,8 @@
         current: keymap.KeyMap,
         owner: model.UpstreamId,
         source: Source,
-        pieces: list[range],
-        fences: bool,
+        ranges: list[range],
+        must_fence: bool,
     ) -> None:
         """Begins to take slots back, unless that is under way.
 
@@ -185,20 +186,22 @@
             current: The map in which they are marked as leaving.
             owner: Whose slots they are.
             source: What is known of that owner.
-            pieces: Its slots that are leaving, as ranges that it got as one.
-            fences: Whether older grants may still arrive there.
+            ranges: Its slots that are leaving, as ranges that it got as one.
+            must_fence: Whether older grants may still arrive there.
         """
         target = self._book.by_id.get(owner)
         if target is None or not source.may_release(clocks.monotonic()):
             return
-        if fences and not source.is_fenced:
+        if must_fence and not source.is_fenced:
             source.is_fenced = True
             source.tokens.clear()
-        left = [
-            piece for piece in pieces if not source.tokens.keys() >= set(piece)
+        pending = [
+            slot_range
+            for slot_range in ranges
+            if not source.tokens.keys() >= set(slot_range)
         ]
-        left.reverse()
-        run = self.release(current, target, source, left)
+        pending.reverse()
+        run = self.release(current, target, source, pending)
         source.note_release(asyncio.create_task(run))
 
     async def release(
@@ -206,30 +209,34 @@
         current: keymap.KeyMap,
         target: targets.Target,
         source: Source,
-        left: list[range],
+        pending: list[range],
     ) -> None:
-        """Takes the ranges of slots in `left` back, the last one first."""
+        """Takes the ranges of slots in `pending` back, the last one first."""
         failed: list[errors.PeerUnavailableError] = []
 
-        def goes_on() -> bool:
+        def should_continue() -> bool:
             # All slots are at one address: where it can't be reached for one,
             # the others would only wait for the same.
             is_reached = not failed or not isinstance(
                 failed[-1], errors.PeerUnreachableError
             )
-            return is_reached and len(failed) < _MOST_FAILURES
+            return is_reached and len(failed) < _MAX_FAILURES
 
-        async def take(piece: range) -> None:
-            if not self._may_order(current, source, piece):
+        async def reclaim_range(slot_range: range) -> None:
+            if not self._may_send(current, source, slot_range):
                 return
             try:
-                token = await self._take(current, target, source, piece)
+                token = await self._release_range(
+                    current, target, source, slot_range
+                )
             except errors.PeerUnavailableError as error:
                 failed.append(error)
                 return
-            source.tokens |= dict.fromkeys(piece, token)
+            source.tokens |= dict.fromkeys(slot_range, token)
 
-        await parallel.work_off(left, _PARALLEL, take, goes_on)
+        await parallel.work_off(
+            pending, _PARALLEL, reclaim_range, should_continue
+        )
         if failed:
             source.note_failures(clocks.monotonic())
             self._meters.ownership.add("release-unanswered", len(failed))
@@ -240,40 +247,42 @@
                 error=str(failed[0]),
             )
 
-    def _may_order(self, current, source: Source, piece: range) -> bool:
+    def _may_send(self, current, source: Source, slot_range: range) -> bool:
         """Whether the owner that slots leave may get orders for them.
 
         It may while they are still leaving it, we lead, and no write is under
         way by which another one owns them.
         """
-        now_map = self._maps.by_service[self._service]
+        latest = self._maps.by_service[self._service]
         return (
-            not source.is_given
-            and all(_is_leaving_still(now_map, current, i) for i in piece)
+            not source.is_reassigning
+            and all(_is_still_leaving(latest, current, i) for i in slot_range)
             and self._leads.is_leader
             and self._authority.is_able(clocks.monotonic())
         )
 
-    async def _take(self, current, target, source: Source, piece: range) -> str:
+    async def _release_range(
+        self, current, target, source: Source, slot_range: range
+    ) -> str:
         """Makes an owner release slots; returns the hand-over token.
 
         Where grants under the old fence may still arrive, from a VM that tells
         nothing or on their way, a grant under a newer fence comes first: the
         owner refuses older ones from then on.
         """
-        address, keys = target.upstream.address, current.keys_of_run(piece)
-        fence = current.slots[piece.start].fence
+        address, keys = target.upstream.address, current.keys_of_run(slot_range)
+        fence = current.slots[slot_range.start].fence
         if source.is_fenced:
             fence = current.next_fence
-            await self._fence_off(current, target, source, piece, fence)
+            await self._fence_off(current, target, source, slot_range, fence)
         return await self._control.release(address, target.id, keys, fence)
 
     async def _fence_off(
-        self, current, target, source: Source, piece: range, fence: int
+        self, current, target, source: Source, slot_range: range, fence: int
     ) -> None:
         """Grants slots for a moment, so that older grants are refused."""
         result = await self._grant(
-            current, target, source, piece, fence, FENCING_HOLD_S, ""
+            current, target, source, slot_range, fence, FENCING_HOLD_S, ""
         )
         if result is not interfaces.GrantResult.HELD:
             raise errors.PeerUnavailableError(
@@ -287,7 +296,7 @@
         current,
         target,
         source: Source,
-        piece: range,
+        slot_range: range,
         fence: int,
         hold_s: float,
         token: str,
@@ -297,12 +306,12 @@
             return await self._renewing.grant_counted(
                 self._service,
                 target,
-                piece,
-                current.keys_of_run(piece),
+                slot_range,
+                current.keys_of_run(slot_range),
                 fence,
                 hold_s,
                 token,
-                lambda: self._may_order(current, source, piece),
+                lambda: self._may_send(current, source, slot_range),
             )
         except (errors.PeerTimeoutError, asyncio.CancelledError):
             source.note_unanswered(clocks.monotonic(), hold_s)
@@ -313,7 +322,7 @@
         current: keymap.KeyMap,
         owner: model.UpstreamId,
         source: Source,
-        pieces: list[range],
+        ranges: list[range],
     ) -> None:
         """Lets an owner go on with slots while the store is away.
 
@@ -329,27 +338,33 @@
         if not source.may_keep(now):
             return
         source.note_kept(now)
-        left = [
-            piece for piece in pieces if self._may_order(current, source, piece)
+        pending = [
+            slot_range
+            for slot_range in ranges
+            if self._may_send(current, source, slot_range)
         ]
-        left.reverse()
+        pending.reverse()
 
-        async def keep_one(piece: range) -> None:
-            await self._keep_one(current, target, source, piece)
+        async def keep_range(slot_range: range) -> None:
+            await self._keep_range(current, target, source, slot_range)
 
         await parallel.work_off(
-            left, _PARALLEL, keep_one, lambda: not target.is_failing
+            pending, _PARALLEL, keep_range, lambda: not target.is_failing
         )
 
-    async def _keep_one(self, current, target, source, piece: range) -> None:
-        first = current.slots[piece.start]
-        tokens = {source.tokens.pop(i, current.slots[i].token) for i in piece}
+    async def _keep_range(
+        self, current, target, source, slot_range: range
+    ) -> None:
+        first = current.slots[slot_range.start]
+        tokens = {
+            source.tokens.pop(i, current.slots[i].token) for i in slot_range
+        }
         try:
             await self._grant(
                 current,
                 target,
                 source,
-                piece,
+                slot_range,
                 current.next_fence if source.is_fenced else first.fence,
                 KEEP_HOLD_S,
                 # Slots that were released apart have several tokens.
@@ -360,11 +375,11 @@
             logs.logger.debug("slot not kept", error=str(error))
 
 
-def _is_leaving_still(
-    now_map: keymap.KeyMap, before: keymap.KeyMap, index: int
+def _is_still_leaving(
+    latest: keymap.KeyMap, before: keymap.KeyMap, index: int
 ) -> bool:
     """Whether a slot is leaving the owner and the fence it had before."""
-    slot, earlier = now_map.slots[index], before.slots[index]
+    slot, earlier = latest.slots[index], before.slots[index]
     return slot.is_leaving and (slot.owner, slot.fence) == (
         earlier.owner,
         earlier.fence,
--- a/tests/keeper_parts.py
+++ b/tests/keeper_parts.py
@@ -11,11 +11,11 @@
 from swiftstile.gateway import keeper
 from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
+from swiftstile.gateway import reclaim
 from swiftstile.gateway import renewals
 from swiftstile.gateway import slotplan
 from swiftstile.gateway import speeds
 from swiftstile.gateway import succession
-from swiftstile.gateway import takeback
 from tests import gateway_builders as builders
 
 
@@ -44,7 +44,7 @@
             raise errors.PeerUnreachableError("refused", step="connect")
         on_send()
         self.grants.append((upstream, keys.first, fence))
-        if hold_s == takeback.KEEP_HOLD_S:
+        if hold_s == reclaim.KEEP_HOLD_S:
             self.kept.append((upstream, keys.first, fence, token))
         if self.during is not None:
             self.during()
@@ -151,11 +151,11 @@
         return made
 
     def release(self, current: keymap.KeyMap, is_fenced: bool = True):
-        source = takeback.Source(current.version, 0.0)
+        source = reclaim.Source(current.version, 0.0)
         source.is_fenced = is_fenced
         target = self.book.by_id["u-1"]
         asyncio.run(
-            self.keeper._take_back.release(
+            self.keeper._reclaimer.release(
                 current, target, source, [range(1, 2), range(1)]
             )
         )
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -254,9 +254,9 @@
                 self._server.release(_OLD_FENCE)
                 self._released = "plain"
             elif now - self._marked_at > keeper.STOP_WAIT_S:
-                self._take_back()
+                self._fence_and_release()
 
-    def _take_back(self) -> None:
+    def _fence_and_release(self) -> None:
         self._server.take(_FENCING, 0.0, self._clock.now)
         self._server.release(_FENCING)
         self._released = "fenced"
@@ -350,7 +350,7 @@
 
 class _WithoutFencing(_Model):
 
-    def _take_back(self) -> None:
+    def _fence_and_release(self) -> None:
         self._server.release(_OLD_FENCE)
         self._released = "fenced"
 
--- a/tests/unit/test_gateway_exclusivity_orders.py
+++ b/tests/unit/test_gateway_exclusivity_orders.py
@@ -20,9 +20,9 @@
 from swiftstile.gateway import keeper
 from swiftstile.gateway import keymap
 from swiftstile.gateway import keyplan
+from swiftstile.gateway import reclaim
 from swiftstile.gateway import renewals
 from swiftstile.gateway import slotplan
-from swiftstile.gateway import takeback
 from tests import gateway_builders as builders
 from tests import keeper_parts
 
@@ -360,7 +360,7 @@
 
 def test_without_the_flag_on_slots_that_are_given_they_overlap(monkeypatch):
     never = property(lambda self: False, lambda self, value: None)
-    monkeypatch.setattr(takeback.Source, "is_given", never, raising=False)
+    monkeypatch.setattr(reclaim.Source, "is_reassigning", never, raising=False)
     assert _overlaps(monkeypatch) > 0
 
 
@@ -382,7 +382,7 @@
 
 
 def test_without_the_end_of_former_releases_they_overlap(monkeypatch):
-    monkeypatch.setattr(takeback.Source, "cancel", lambda self: None)
+    monkeypatch.setattr(reclaim.Source, "cancel", lambda self: None)
     assert _overlaps(monkeypatch, _Remarked) > 0
 
 
@@ -393,7 +393,7 @@
     monkeypatch.setattr(keyplan, "LEAST_PER_OWNER", 1)
     monkeypatch.setattr(_Kept, "most_ranges", most_ranges)
     monkeypatch.setattr(
-        takeback.Source, "note_unanswered", lambda self, now, hold_s: None
+        reclaim.Source, "note_unanswered", lambda self, now, hold_s: None
     )
     assert _overlaps(monkeypatch, _Kept) > 0
 
--- a/tests/unit/test_gateway_gifts.py
+++ b/tests/unit/test_gateway_gifts.py
@@ -17,8 +17,8 @@
 from swiftstile.gateway import interfaces
 from swiftstile.gateway import keeper
 from swiftstile.gateway import keymap
+from swiftstile.gateway import reclaim
 from swiftstile.gateway import slotplan
-from swiftstile.gateway import takeback
 from tests import gateway_builders as builders
 from tests import keeper_parts
 
@@ -72,7 +72,7 @@
     await _settle()
 
 
-async def _taking_back(table, control) -> keeper_parts.Parts:
+async def _reclaiming(table, control) -> keeper_parts.Parts:
     """Returns a leader that takes slots back whose holds are over.
 
     Its fencing grants are about to be sent.
@@ -83,7 +83,7 @@
     await parts.keeper.tick()
     current = parts.maps.by_service[builders.LOOKUPS]
     source = parts.keeper._sources["u-1"]
-    parts.keeper._take_back.start(current, "u-1", source, _PIECES, True)
+    parts.keeper._reclaimer.start(current, "u-1", source, _PIECES, True)
     await _settle()
     return parts
 
@@ -91,7 +91,7 @@
 def test_no_grant_to_the_former_owner_while_the_next_one_is_written():
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
-        parts = await _taking_back(table, control)
+        parts = await _reclaiming(table, control)
         table.during_write = lambda: _open(control)
         version = parts.maps.by_service[builders.LOOKUPS].version
         await parts.keeper.tick()
@@ -106,7 +106,7 @@
 def test_a_slot_granted_while_the_store_was_asked_is_not_given_away():
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
-        parts = await _taking_back(table, control)
+        parts = await _reclaiming(table, control)
         control.is_silent = True
         parts.keeper._store_answered_at = 0.0
         table.during_probe = lambda: _open(control)
@@ -123,7 +123,7 @@
 def test_slots_whose_next_owner_was_not_written_are_taken_back_further():
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
-        parts = await _taking_back(table, control)
+        parts = await _reclaiming(table, control)
 
         async def refuse() -> None:
             table.refuse = 1
@@ -146,7 +146,7 @@
     # while the next owner is written must hold for it, too.
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
-        parts = await _taking_back(table, control)
+        parts = await _reclaiming(table, control)
         marks = [[5]]
         parts.plan.hot_to_move = lambda *_: marks.pop() if marks else []
 
@@ -167,7 +167,7 @@
     # A grant of the first release that got no answer may be carried out after
     # the second one fenced the owner off: under the same fence it would count.
     async def scenario():
-        parts = await _taking_back(_SlowTable(), _OpeningControl())
+        parts = await _reclaiming(_SlowTable(), _OpeningControl())
         before = parts.maps.by_service[builders.LOOKUPS].next_fence
         parts.keeper._given_at = keeper.clocks.monotonic() + _LONG_AGO_S
         parts.keeper._pause_s = lambda per_vm_s: 0.0
@@ -185,7 +185,7 @@
     # before it was sent again. Nothing tells then that it wasn't done.
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
-        parts = await _taking_back(table, control)
+        parts = await _reclaiming(table, control)
         table.lose_answers = 1
         writes = []
 
@@ -208,7 +208,7 @@
     # Its condition named the row of whoever leads now, and so it held.
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
-        parts = await _taking_back(table, control)
+        parts = await _reclaiming(table, control)
         before = parts.maps.by_service[builders.LOOKUPS]
         parts.keeper._store_answered_at = 0.0
 
@@ -258,11 +258,11 @@
         source.is_fenced = True
         parts.control.is_silent = True
         target = parts.book.by_id["u-1"]
-        await parts.keeper._take_back.keep(current, "u-1", source, _PIECES)
+        await parts.keeper._reclaimer.keep(current, "u-1", source, _PIECES)
         assert parts.control.kept
-        kept_until = clock[0] + takeback.KEEP_HOLD_S
+        kept_until = clock[0] + reclaim.KEEP_HOLD_S
         parts.control.is_silent = False
-        await parts.keeper._take_back.release(
+        await parts.keeper._reclaimer.release(
             current, target, source, list(_PIECES)
         )
         assert set(source.tokens) == set(_SLOTS)
--- a/tests/unit/test_gateway_keeper.py
+++ b/tests/unit/test_gateway_keeper.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from swiftstile.gateway import keeper
+from swiftstile.gateway import reclaim
 from swiftstile.gateway import renewals
 from swiftstile.gateway import slotplan
-from swiftstile.gateway import takeback
 from tests import gateway_builders as builders
 from tests import keeper_parts
 
@@ -53,7 +53,7 @@
     parts.control.is_silent = True
     clock = [1000.0]
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: clock[0])
-    source = takeback.Source(current.version, clock[0])
+    source = reclaim.Source(current.version, clock[0])
     source.is_fenced = True
     target = parts.book.by_id["u-1"]
     book = parts.renewing.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
@@ -61,7 +61,7 @@
     while clock[0] < 1010.0 and free_at is None:
         if source.may_release(clock[0]):
             asyncio.run(
-                parts.keeper._take_back.release(
+                parts.keeper._reclaimer.release(
                     current, target, source, [range(1, 2), range(1)]
                 )
             )
@@ -220,11 +220,11 @@
     parts.control.is_unreachable = True
     tries = []
     parts.control.before_send = lambda: tries.append(1)
-    source = takeback.Source(current.version, 0.0)
+    source = reclaim.Source(current.version, 0.0)
     source.is_fenced = True
     target = parts.book.by_id["u-1"]
     pieces = [range(index, index + 1) for index in range(100)]
-    run = parts.keeper._take_back.release(current, target, source, pieces)
+    run = parts.keeper._reclaimer.release(current, target, source, pieces)
     asyncio.run(run)
     assert 1 <= len(tries) <= 4
 
--- a/tests/unit/test_gateway_succession.py
+++ b/tests/unit/test_gateway_succession.py
@@ -11,10 +11,10 @@
 from swiftstile.gateway import keymap
 from swiftstile.gateway import leadership
 from swiftstile.gateway import moves
+from swiftstile.gateway import reclaim
 from swiftstile.gateway import renewals
 from swiftstile.gateway import reports
 from swiftstile.gateway import succession
-from swiftstile.gateway import takeback
 from tests import gateway_builders as builders
 
 _SLOTS = [3, 4]
@@ -267,8 +267,8 @@
         now = self._clock.now
         if now >= self._lost_at:
             if now < self._lost_at + self._goes_on_s and now >= self._keep_at:
-                self._keep_at = now + takeback.KEEP_EVERY_S
-                self._hold(takeback.KEEP_HOLD_S)
+                self._keep_at = now + reclaim.KEEP_INTERVAL_S
+                self._hold(reclaim.KEEP_HOLD_S)
             return
         told = _MARKED if self._is_marked() else _PLAIN
         if not self._deaf[0] <= now < self._deaf[1]:
@@ -280,8 +280,8 @@
             if self._is_marked():
                 self._third.learn(_MARKED, now, _SLOTS)
         if self._is_marked() and now >= self._keep_at:
-            self._keep_at = now + takeback.KEEP_EVERY_S
-            self._hold(takeback.KEEP_HOLD_S)
+            self._keep_at = now + reclaim.KEEP_INTERVAL_S
+            self._hold(reclaim.KEEP_HOLD_S)
 
     def _renew(self) -> None:
         now, renewer = self._clock.now, self._renewer
@@ -335,7 +335,7 @@
             vm.leads.former_leader,
             _ADOPTED,
             quorum_at + authority.LEADER_STOPPED_AFTER_S,
-            holds.max_held_s(takeback.KEEP_HOLD_S),
+            holds.max_held_s(reclaim.KEEP_HOLD_S),
         )
         return moves.clearance(
             builders.LOOKUPS,
