--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/keeper.py
@@ -162,7 +162,7 @@
             return
         empty = keymap.KeyMap.empty(len(dealt))
         started_ms = self._started_ms(set(dealt))
-        first = empty.give({}, dict(enumerate(dealt)), started_ms)
+        first = empty.assign({}, dict(enumerate(dealt)), started_ms)
         await self._write(first, "first deal")
 
     async def _give_to_new_lives(self, current) -> bool:
@@ -182,7 +182,7 @@
             for index in current.slots_by_owner[owner]
             if index not in current.leaving
         }
-        given = current.give({}, owners, self._started_ms(again))
+        given = current.assign({}, owners, self._started_ms(again))
         if await self._write(given, "owner started again"):
             self._meters.ownership.add("started-again", len(again))
         return True
@@ -232,7 +232,7 @@
         if owners & set(self._sources):
             # Orders of the release that this replaces may still arrive: they
             # must be older than those of the next one.
-            marked = marked.raise_fence()
+            marked = marked.with_newer_fence()
         if await self._write(marked, reason):
             done = self._marked_at = clocks.monotonic()
             version = self._maps.by_service[self._service].version
@@ -326,7 +326,9 @@
         sources = [self._sources[name] for name in leaves & set(self._sources)]
         for source in sources:
             source.is_reassigning = True
-        if await self._write(current.give(tokens, placed, started_ms), "moved"):
+        if await self._write(
+            current.assign(tokens, placed, started_ms), "moved"
+        ):
             self._given_at = clocks.monotonic()
             self._meters.ownership.add("moved", len(placed))
             return
@@ -338,7 +340,9 @@
 
         It may still send fencing grants; they must be older than ours.
         """
-        if not await self._write(current.raise_fence(), "moves taken over"):
+        if not await self._write(
+            current.with_newer_fence(), "moves taken over"
+        ):
             return
         done = clocks.monotonic()
         version = self._maps.by_service[self._service].version
--- a/src/swiftstile/gateway/keymap.py
+++ b/src/swiftstile/gateway/keymap.py
@@ -17,14 +17,14 @@
 
 __all__ = ["KeyMap", "KeySlot", "decode"]
 
-_NOBODY = 0xFFFF
+_NO_OWNER = 0xFFFF
 _COMPRESSION = 1
 # Owners are numbers of 2 bytes, fences of 4.
 _OWNER_CODE, _FENCE_CODE = "H", "I"
 # Slots that are compared at a time, to find the few that differ.
 _CHUNK = 64
 # Maps that differ in a larger part are read whole.
-_MOST_CHANGED = 0.2
+_MAX_CHANGED_SHARE = 0.2
 
 
 class KeySlot(msgspec.Struct, frozen=True):
@@ -78,7 +78,7 @@
             if slot.owner is not None:
                 self.slots_by_owner.setdefault(slot.owner, []).append(index)
         self.started_ms: dict[model.UpstreamId, int] = {}
-        self._runs_by_owner: dict[model.UpstreamId, list[range]] = {}
+        self._ranges_by_owner: dict[model.UpstreamId, list[range]] = {}
         # What it was read from, if it was.
         self._columns: _Columns | None = None
 
@@ -98,19 +98,19 @@
         slots = list(self.slots)
         for index, slot in changed.items():
             slots[index] = slot
-        if len(changed) > _MOST_CHANGED * len(slots):
-            made = KeyMap(version, next_fence, slots)
-            made.started_ms = self.started_ms
-            return made
-        made = KeyMap(version, next_fence, [])
-        made.started_ms = self.started_ms
-        made.slots = slots
-        made.leaving = self.leaving - set(changed)
-        made.leaving |= {i for i, slot in changed.items() if slot.is_leaving}
-        made.slots_by_owner = self._owned_after(changed)
-        return made
-
-    def _owned_after(
+        if len(changed) > _MAX_CHANGED_SHARE * len(slots):
+            result = KeyMap(version, next_fence, slots)
+            result.started_ms = self.started_ms
+            return result
+        result = KeyMap(version, next_fence, [])
+        result.started_ms = self.started_ms
+        result.slots = slots
+        result.leaving = self.leaving - set(changed)
+        result.leaving |= {i for i, slot in changed.items() if slot.is_leaving}
+        result.slots_by_owner = self._updated_owners(changed)
+        return result
+
+    def _updated_owners(
         self, changed: dict[int, KeySlot]
     ) -> dict[model.UpstreamId, list[int]]:
         owned = dict(self.slots_by_owner)
@@ -147,24 +147,28 @@
         width = model.KEY_SPACE // len(self.slots)
         return interfaces.KeyRange(index * width, (index + 1) * width - 1)
 
-    def runs_of(self, owner: model.UpstreamId) -> list[range]:
+    def ranges_of(self, owner: model.UpstreamId) -> list[range]:
         """Returns an owner's slots that stay, neighbours in one range."""
-        known = self._runs_by_owner.get(owner)
+        known = self._ranges_by_owner.get(owner)
         if known is not None:
             return known
-        runs = self._runs_by_owner[owner] = []
+        ranges = self._ranges_by_owner[owner] = []
         for index in self.slots_by_owner.get(owner, ()):
             slot = self.slots[index]
             if slot.is_leaving:
                 continue
-            last = runs[-1] if runs else None
-            if last and last.stop == index and self.is_alike(index - 1, index):
-                runs[-1] = range(last.start, index + 1)
+            last = ranges[-1] if ranges else None
+            if (
+                last
+                and last.stop == index
+                and self.were_assigned_together(index - 1, index)
+            ):
+                ranges[-1] = range(last.start, index + 1)
             else:
-                runs.append(range(index, index + 1))
-        return runs
+                ranges.append(range(index, index + 1))
+        return ranges
 
-    def is_alike(self, left: int, right: int) -> bool:
+    def were_assigned_together(self, left: int, right: int) -> bool:
         """Whether two slots came to one owner by the same move."""
         one, other = self.slots[left], self.slots[right]
         return (one.owner, one.fence, one.token) == (
@@ -173,13 +177,14 @@
             other.token,
         )
 
-    def keys_of_run(self, run: range) -> interfaces.KeyRange:
+    def keys_of_range(self, slot_range: range) -> interfaces.KeyRange:
         """Returns the keys of neighbouring slots."""
         return interfaces.KeyRange(
-            self.keys_of(run.start).first, self.keys_of(run[-1]).last
+            self.keys_of(slot_range.start).first,
+            self.keys_of(slot_range[-1]).last,
         )
 
-    def give(
+    def assign(
         self,
         tokens: dict[int, str],
         owners: dict[int, model.UpstreamId],
@@ -197,11 +202,11 @@
             index: KeySlot(owner, self.next_fence + 1, tokens.get(index, ""))
             for index, owner in owners.items()
         }
-        made = self.with_slots(changed, self.next_fence + 2, self.version)
-        made.started_ms = self.started_ms | (started_ms or {})
-        return made
+        result = self.with_slots(changed, self.next_fence + 2, self.version)
+        result.started_ms = self.started_ms | (started_ms or {})
+        return result
 
-    def raise_fence(self) -> "KeyMap":
+    def with_newer_fence(self) -> "KeyMap":
         """Returns the same map with a fence that nobody used yet."""
         return self.with_slots({}, self.next_fence + 2, self.version)
 
@@ -233,7 +238,7 @@
         number = {name: index for index, name in enumerate(names)}
         owners = array.array(
             _OWNER_CODE,
-            (number.get(slot.owner, _NOBODY) for slot in self.slots),
+            (number.get(slot.owner, _NO_OWNER) for slot in self.slots),
         )
         fences = array.array(_FENCE_CODE, (slot.fence for slot in self.slots))
         document = _Document(
@@ -267,18 +272,18 @@
     try:
         document = msgspec.msgpack.decode(zlib.decompress(data), type=_Document)
         columns = _Columns(document)
-        made = _changed_map(columns, version, known)
-        if made is None:
-            made = KeyMap(version, document.next_fence, columns.slots())
+        result = _changed_map(columns, version, known)
+        if result is None:
+            result = KeyMap(version, document.next_fence, columns.slots())
     except (msgspec.MsgspecError, zlib.error, ValueError, IndexError) as error:
         raise errors.ControlMessageError(
             repr(error), step="decode key map", peer=peer
         ) from error
-    made._columns = columns
-    made.started_ms = dict(
+    result._columns = columns
+    result.started_ms = dict(
         zip(document.upstreams, document.started_ms, strict=False)
     )
-    return made
+    return result
 
 
 class _Columns:
@@ -310,7 +315,7 @@
         """Returns one slot."""
         owner = self.owners[index]
         return KeySlot(
-            None if owner == _NOBODY else self.document.upstreams[owner],
+            None if owner == _NO_OWNER else self.document.upstreams[owner],
             self.fences[index],
             self.document.tokens.get(index, ""),
             index in self._leaving,
--- a/src/swiftstile/gateway/keyplan.py
+++ b/src/swiftstile/gateway/keyplan.py
@@ -93,7 +93,7 @@
             and len(last) < width
             and index not in apart
             and last[-1] not in apart
-            and current.is_alike(last[-1], index)
+            and current.were_assigned_together(last[-1], index)
         )
         if is_next:
             found[-1] = range(last.start, index + 1)
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -270,7 +270,8 @@
         nothing or on their way, a grant under a newer fence comes first: the
         owner refuses older ones from then on.
         """
-        address, keys = target.upstream.address, current.keys_of_run(slot_range)
+        address = target.upstream.address
+        keys = current.keys_of_range(slot_range)
         fence = current.slots[slot_range.start].fence
         if source.is_fenced:
             fence = current.next_fence
@@ -307,7 +308,7 @@
                 self._service,
                 target,
                 slot_range,
-                current.keys_of_run(slot_range),
+                current.keys_of_range(slot_range),
                 fence,
                 hold_s,
                 token,
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -305,7 +305,7 @@
             return []
         granted = self._granted.get(service, {})
         due, earliest = [], now + RENEW_EVERY_S
-        for run in key_map.runs_of(owner):
+        for run in key_map.ranges_of(owner):
             fence, at = granted.get(run.start, (0, 0.0))
             if fence != key_map.slots[run.start].fence:
                 at = 0.0
@@ -334,7 +334,7 @@
                 service,
                 target,
                 run,
-                key_map.keys_of_run(run),
+                key_map.keys_of_range(run),
                 slot.fence,
                 HOLD_S,
                 slot.token,
@@ -361,7 +361,7 @@
                 "grant refused",
                 upstream=owner,
                 service=service,
-                keys=str(key_map.keys_of_run(run)),
+                keys=str(key_map.keys_of_range(run)),
                 fence=slot.fence,
                 result=result.value,
             )
--- a/tests/keeper_parts.py
+++ b/tests/keeper_parts.py
@@ -142,7 +142,7 @@
         """Writes a map of which u-1 owns all, some of it leaving."""
         owners = dict.fromkeys(range(slotplan.SLOT_COUNT), "u-1")
         empty = keymap.KeyMap.empty(slotplan.SLOT_COUNT)
-        made = empty.give({}, owners, started_ms)
+        made = empty.assign({}, owners, started_ms)
         made = made.mark_leaving(leaving)
         key = keeper.MAP_PREFIX + builders.LOOKUPS
         write = interfaces.Write(key, made.encode("x"))
--- a/tests/many_vms.py
+++ b/tests/many_vms.py
@@ -106,7 +106,7 @@
             self.daemon._book.put(entry, self.now)
             names.append(entry.id)
         owners = {i: names[i % len(names)] for i in range(_SLOTS)}
-        owned = keymap.KeyMap.empty(_SLOTS).give({}, owners)
+        owned = keymap.KeyMap.empty(_SLOTS).assign({}, owners)
         owned.version = _MAP_VERSION
         self.daemon._maps.put(builders.LOOKUPS, owned, self.now)
 
--- a/tests/unit/test_gateway_circulation.py
+++ b/tests/unit/test_gateway_circulation.py
@@ -107,7 +107,7 @@
     def _renewals(peers):
         book = builders.book(builders.upstream("u-1", failure_domain="z1"))
         maps = renewals.KeyMaps()
-        owned = keymap.KeyMap.empty(1).give({}, {0: "u-1"})
+        owned = keymap.KeyMap.empty(1).assign({}, {0: "u-1"})
         maps.put(builders.LOOKUPS, owned, _NOW)
         return renewals.Renewals(
             maps, book, peers, None, None, metrics.Meters()
@@ -158,7 +158,7 @@
     # all with nothing, to the leader 20 times a second.
     peers = _peers(0, 9, range(9))
     owners = {index: f"u-{index % 4}" for index in range(16)}
-    made = keymap.KeyMap.empty(16).give({}, owners).mark_leaving(range(8))
+    made = keymap.KeyMap.empty(16).assign({}, owners).mark_leaving(range(8))
     made.version = 1
     view = _Site._renewals(peers)
     view._maps.put(builders.LOOKUPS, made, _NOW)
--- a/tests/unit/test_gateway_exclusivity_orders.py
+++ b/tests/unit/test_gateway_exclusivity_orders.py
@@ -295,7 +295,7 @@
     def _take_over(self) -> None:
         table = self._parts.table
         row = table.rows[_KEY]
-        adopted = keymap.decode(row.value, row.version).raise_fence()
+        adopted = keymap.decode(row.value, row.version).with_newer_fence()
         table.apply([], [interfaces.Write(_KEY, adopted.encode("another"))])
 
     def _step_back(self) -> None:
@@ -402,6 +402,6 @@
     def same(self):
         return self.with_slots({}, self.next_fence, self.version)
 
-    monkeypatch.setattr(keymap.KeyMap, "raise_fence", same)
+    monkeypatch.setattr(keymap.KeyMap, "with_newer_fence", same)
     # One in 200 days: the store is back, an order is late, another mark comes.
     assert _overlaps(monkeypatch, _KeptAndRemarked, range(240, 430)) > 0
--- a/tests/unit/test_gateway_gifts.py
+++ b/tests/unit/test_gateway_gifts.py
@@ -25,7 +25,7 @@
 _SLOTS = [0, 1]
 # They came to their owner together, so they are taken back as one.
 _PIECES = [range(2)]
-_KEYS = keymap.KeyMap.empty(slotplan.SLOT_COUNT).keys_of_run(_PIECES[0])
+_KEYS = keymap.KeyMap.empty(slotplan.SLOT_COUNT).keys_of_range(_PIECES[0])
 # Longer than any grant of an earlier run of the leader may last.
 _LONG_AGO_S = 60.0
 
--- a/tests/unit/test_gateway_keeper.py
+++ b/tests/unit/test_gateway_keeper.py
@@ -15,7 +15,7 @@
     # ended, while a release of the same slots was still working its way down.
     parts = keeper_parts.Parts()
     current = parts.start()
-    given = current.give({}, {0: "u-2", 1: "u-2"})
+    given = current.assign({}, {0: "u-2", 1: "u-2"})
     given.version = current.version + 1
     parts.maps.put(builders.LOOKUPS, given, 1.0)
     parts.release(current)
@@ -138,7 +138,7 @@
         current = parts.maps.by_service
         await _tick_until(parts, lambda: not current[builders.LOOKUPS].leaving)
         releases = [call[1] for call in parts.control.released]
-        keys = current[builders.LOOKUPS].keys_of_run(range(2))
+        keys = current[builders.LOOKUPS].keys_of_range(range(2))
         assert releases == [keys] * 2
 
     asyncio.run(scenario())
@@ -209,7 +209,7 @@
 
 
 def _given(current):
-    given = current.give({}, {0: "u-2", 1: "u-2"})
+    given = current.assign({}, {0: "u-2", 1: "u-2"})
     given.version = current.version + 1
     return given
 
@@ -262,7 +262,7 @@
         moving = parts.plan.hot_to_move(current, weights, now)
         assert moving == [slot]
         owners = parts.plan.destinations(current, moving, weights, now)
-        current = current.give({}, owners)
+        current = current.assign({}, owners)
     assert [current.slots[i].owner for i in (7, 9, 11)] == ["u-2", "u-3", "u-4"]
 
 
--- a/tests/unit/test_gateway_key_load.py
+++ b/tests/unit/test_gateway_key_load.py
@@ -11,7 +11,7 @@
 
 def _map(*owners: str) -> keymap.KeyMap:
     made = keymap.KeyMap.empty(len(owners))
-    return made.give({}, dict(enumerate(owners)))
+    return made.assign({}, dict(enumerate(owners)))
 
 
 def test_a_steady_rate_is_found():
--- a/tests/unit/test_gateway_keys.py
+++ b/tests/unit/test_gateway_keys.py
@@ -21,13 +21,13 @@
 
 def _dealt(weights=None, count: int = 64) -> keymap.KeyMap:
     owners = keyplan.deal(count, weights or _THREE)
-    return keymap.KeyMap.empty(count).give({}, dict(enumerate(owners)))
+    return keymap.KeyMap.empty(count).assign({}, dict(enumerate(owners)))
 
 
 def test_a_map_survives_its_document():
     dealt = _dealt()
     owner = dealt.slots[7].owner
-    before = dealt.give({7: "t"}, {7: owner}).mark_leaving([3, 5])
+    before = dealt.assign({7: "t"}, {7: owner}).mark_leaving([3, 5])
     after = keymap.decode(before.encode("x"), 9)
     assert after.slots == before.slots
     assert (after.version, after.next_fence) == (9, before.next_fence)
@@ -51,11 +51,11 @@
     for version, (kind, slots, owner) in enumerate(steps, start=1):
         if kind == "give":
             tokens = dict.fromkeys(list(slots)[::2], f"t{version}")
-            written = written.give(tokens, dict.fromkeys(slots, owner))
+            written = written.assign(tokens, dict.fromkeys(slots, owner))
         elif kind == "mark":
             written = written.mark_leaving(slots)
         elif kind == "raise":
-            written = written.raise_fence()
+            written = written.with_newer_fence()
         else:
             written = written.without_tokens()
         document = written.encode(f"a{version}")
@@ -67,7 +67,7 @@
             assert made.slots_by_owner == whole.slots_by_owner
             assert made.next_fence == whole.next_fence
             for name in whole.slots_by_owner:
-                assert made.runs_of(name) == whole.runs_of(name)
+                assert made.ranges_of(name) == whole.ranges_of(name)
         assert followed.version == version
 
 
@@ -112,7 +112,7 @@
     placed = keyplan.destinations(key_map, moving, weights)
     assert set(placed.values()) == {"u-4"}
     assert 50 <= len(placed) <= 60
-    after = key_map.give({}, placed)
+    after = key_map.assign({}, placed)
     assert keyplan.surplus(after, weights, most=400) == []
 
 
@@ -126,7 +126,7 @@
 
 
 def _ranges(key_map: keymap.KeyMap) -> int:
-    return sum(len(key_map.runs_of(name)) for name in key_map.slots_by_owner)
+    return sum(len(key_map.ranges_of(name)) for name in key_map.slots_by_owner)
 
 
 _TWENTY = {f"u-{i:02}": 3.0 for i in range(20)}
@@ -136,7 +136,7 @@
 
 def _in_blocks() -> keymap.KeyMap:
     owners = keyplan.deal(4096, _TWENTY, _WIDTH)
-    return keymap.KeyMap.empty(4096).give({}, dict(enumerate(owners)))
+    return keymap.KeyMap.empty(4096).assign({}, dict(enumerate(owners)))
 
 
 def test_one_grant_renews_a_whole_block():
@@ -187,7 +187,7 @@
         weights = _TWENTY | {names[number * 7 % 20]: 1.0}
         moving = keyplan.surplus(key_map, weights, most=400, width=_WIDTH)
         placed = keyplan.destinations(key_map, moving, weights, _WIDTH)
-        key_map = key_map.give({}, placed)
+        key_map = key_map.assign({}, placed)
     assert _ranges(key_map) <= 4 * _RANGES
 
 
@@ -202,18 +202,18 @@
 def test_fences_only_grow():
     key_map = _dealt()
     before = key_map.slots[4].fence
-    after = key_map.give({4: "warm"}, {4: "u-9"})
+    after = key_map.assign({4: "warm"}, {4: "u-9"})
     assert after.slots[4].fence > max(slot.fence for slot in key_map.slots)
     assert after.slots[4].token == "warm"
     assert key_map.slots[4].fence == before
 
 
 def test_neighbours_of_one_owner_are_one_run():
-    key_map = keymap.KeyMap.empty(8).give({}, dict.fromkeys(range(8), "u-1"))
-    assert key_map.runs_of("u-1") == [range(0, 8)]
-    assert key_map.mark_leaving([3]).runs_of("u-1") == [range(3), range(4, 8)]
-    moved = key_map.give({}, {2: "u-1"})
-    assert len(moved.runs_of("u-1")) == 3
+    key_map = keymap.KeyMap.empty(8).assign({}, dict.fromkeys(range(8), "u-1"))
+    assert key_map.ranges_of("u-1") == [range(0, 8)]
+    assert key_map.mark_leaving([3]).ranges_of("u-1") == [range(3), range(4, 8)]
+    moved = key_map.assign({}, {2: "u-1"})
+    assert len(moved.ranges_of("u-1")) == 3
 
 
 def test_a_grant_under_way_has_no_bound():
--- a/tests/unit/test_gateway_restart.py
+++ b/tests/unit/test_gateway_restart.py
@@ -60,10 +60,10 @@
 
 def test_a_map_remembers_to_which_life_slots_were_given():
     made = keymap.KeyMap.empty(8)
-    made = made.give({}, {0: "u-1", 1: "u-2"}, {"u-1": _FIRST})
+    made = made.assign({}, {0: "u-1", 1: "u-2"}, {"u-1": _FIRST})
     first = keymap.decode(made.encode("a"), 1)
     assert first.started_ms == {"u-1": _FIRST, "u-2": 0}
-    later = made.give({}, {0: "u-1"}, {"u-1": _SECOND})
+    later = made.assign({}, {0: "u-1"}, {"u-1": _SECOND})
     followed = keymap.decode(later.encode("b"), 2, known=first)
     assert followed.started_ms["u-1"] == _SECOND
     assert first.started_ms["u-1"] == _FIRST
--- a/tests/unit/test_gateway_slotplan.py
+++ b/tests/unit/test_gateway_slotplan.py
@@ -24,7 +24,7 @@
         width = keyplan.block_width(slotplan.SLOT_COUNT, len(_NAMES), _RANGES)
         dealt = keyplan.deal(slotplan.SLOT_COUNT, self.weights, width)
         empty = keymap.KeyMap.empty(slotplan.SLOT_COUNT)
-        self.map = empty.give({}, dict(enumerate(dealt)))
+        self.map = empty.assign({}, dict(enumerate(dealt)))
 
     def receive_load(self, slot: int, per_s: float, now: float) -> None:
         reported = {builders.LOOKUPS: {slot: per_s}}
@@ -33,7 +33,7 @@
     def move(self, now: float) -> list[int]:
         moving = self.plan.surplus_to_move(self.map, self.weights, now)
         placed = self.plan.destinations(self.map, moving, self.weights, now)
-        self.map = self.map.give({}, placed)
+        self.map = self.map.assign({}, placed)
         return moving
 
     def owned(self, name: str) -> int:
--- a/tests/unit/test_gateway_succession.py
+++ b/tests/unit/test_gateway_succession.py
@@ -49,7 +49,7 @@
 
     def learn(self, version: int, now: float, leaving=()) -> None:
         owners = dict.fromkeys(range(8), "u-1")
-        made = keymap.KeyMap.empty(8).give({}, owners).mark_leaving(leaving)
+        made = keymap.KeyMap.empty(8).assign({}, owners).mark_leaving(leaving)
         made.version = version
         self.maps.put(builders.LOOKUPS, made, now)
 
@@ -165,7 +165,7 @@
 def test_a_slot_that_was_given_and_marked_again_counts_from_the_later_mark():
     vm = _follower()
     owners = dict.fromkeys(range(8), "u-1")
-    again = keymap.KeyMap.empty(8).give({}, owners).give({}, {3: "u-2"})
+    again = keymap.KeyMap.empty(8).assign({}, owners).assign({}, {3: "u-2"})
     again = again.mark_leaving(_SLOTS)
     again.version = _MARKED + 5
     vm.maps.put(builders.LOOKUPS, again, 104.0)
