--- a/src/swiftstile/gateway/keyplan.py
+++ b/src/swiftstile/gateway/keyplan.py
@@ -10,21 +10,27 @@
 from swiftstile.gateway import keymap
 from swiftstile.gateway import model
 
-__all__ = ["block_width", "deal", "destinations", "pieces", "surplus"]
+__all__ = [
+    "assign_blocks",
+    "block_width",
+    "destinations",
+    "move_ranges",
+    "surplus",
+]
 
 # Blocks that an owner of mean capacity gets at least: with fewer its share
 # can't be met, and one hotspot takes too much of it.
-LEAST_PER_OWNER = 16
+MIN_BLOCKS_PER_OWNER = 16
 
 # A target may own this part more than its share before slots are moved away:
 # moving costs its callers more than so small an imbalance.
-TOLERANCE = 0.15
+IMBALANCE_TOLERANCE = 0.15
 # An owner that has this much more than its share is relieved, though no other
 # falls short by much: one of twenty that turned slow, or that has a hot slot.
 # Speeds are known to a tenth or two.
-OVERLOAD = 0.4
+OVERLOAD_TOLERANCE = 0.4
 # In slots: how far behind its share an owner must be to get two in a row.
-NEIGHBOUR_COST = 0.25
+ADJACENCY_PENALTY = 0.25
 
 
 def block_width(count: int, owners: int, most_ranges: int) -> int:
@@ -35,11 +41,11 @@
         owners: Upstreams that share them.
         most_ranges: Ranges that the fleet can afford to renew.
     """
-    ranges = max(LEAST_PER_OWNER * max(1, owners), most_ranges)
+    ranges = max(MIN_BLOCKS_PER_OWNER * max(1, owners), most_ranges)
     return max(1, round(count / ranges))
 
 
-def deal(
+def assign_blocks(
     count: int, weight_by_id: dict[model.UpstreamId, float], width: int = 1
 ) -> list[model.UpstreamId]:
     """Assigns blocks of slots, each owner's as far apart as possible.
@@ -54,35 +60,36 @@
     """
     total = sum(weight_by_id.values())
     credit = dict.fromkeys(sorted(weight_by_id), 0.0)
-    dealt: list[model.UpstreamId] = []
-    while len(dealt) < count:
+    assigned: list[model.UpstreamId] = []
+    while len(assigned) < count:
         for owner in credit:
             credit[owner] += weight_by_id[owner] / total
-        last = dealt[-1] if dealt else None
+        last = assigned[-1] if assigned else None
         best = max(
             credit,
-            key=lambda owner: credit[owner] - NEIGHBOUR_COST * (owner == last),
+            key=lambda owner: credit[owner]
+            - ADJACENCY_PENALTY * (owner == last),
         )
         credit[best] -= 1.0
-        dealt += [best] * min(width, count - len(dealt))
-    return dealt
+        assigned += [best] * min(width, count - len(assigned))
+    return assigned
 
 
-def pieces(
+def move_ranges(
     current: keymap.KeyMap,
     slots: collections.abc.Iterable[int],
     width: int = 1,
-    apart: collections.abc.Container[int] = (),
+    separate: collections.abc.Container[int] = (),
 ) -> list[range]:
     """Returns slots as ranges that are moved as one, in order.
 
-    Neighbours that one owner got at the same time are one piece.
+    Neighbours that one owner got at the same time are one range.
 
     Args:
         current: The map as it is.
         slots: The slots.
-        width: Widest piece, in slots.
-        apart: Slots that are pieces of their own.
+        width: Widest range, in slots.
+        separate: Slots that are ranges of their own.
     """
     found: list[range] = []
     for index in sorted(slots):
@@ -91,8 +98,8 @@
             last is not None
             and last.stop == index
             and len(last) < width
-            and index not in apart
-            and last[-1] not in apart
+            and index not in separate
+            and last[-1] not in separate
             and current.were_assigned_together(last[-1], index)
         )
         if is_next:
@@ -112,7 +119,7 @@
 def surplus(
     current: keymap.KeyMap,
     weight_by_id: dict[model.UpstreamId, float],
-    most: int,
+    limit: int,
     pinned: frozenset[int] = frozenset(),
     width: int = 1,
 ) -> list[int]:
@@ -123,7 +130,7 @@
     Args:
         current: The map as it is.
         weight_by_id: Share of each owner that stays.
-        most: Most slots to return.
+        limit: Most slots to return.
         pinned: Slots that stay where they are.
         width: Slots of a block.
     """
@@ -132,41 +139,43 @@
         owner: len(current.slots_by_owner.get(owner, ())) for owner in shares
     }
     missing = sum(
-        max(0.0, shares[owner] * (1 - TOLERANCE) - owned[owner])
+        max(0.0, shares[owner] * (1 - IMBALANCE_TOLERANCE) - owned[owner])
         for owner in shares
     )
     beyond = sum(
-        max(0.0, owned[owner] - shares[owner] * (1 + OVERLOAD))
+        max(0.0, owned[owner] - shares[owner] * (1 + OVERLOAD_TOLERANCE))
         for owner in shares
     )
     if missing < 1 and beyond < 1:
         return []
     busy = set(current.leaving_by_owner())
-    pieces_by_id = {
-        owner: _spread(pieces(current, set(slots) - pinned, width))
+    ranges_by_id = {
+        owner: _spread_out(move_ranges(current, set(slots) - pinned, width))
         for owner, slots in current.slots_by_owner.items()
         if owner in shares and owner not in busy
     }
     left = sum(max(0.0, shares[owner] - owned[owner]) for owner in shares)
-    left = min(left, most)
+    left = min(left, limit)
     chosen: list[int] = []
-    while pieces_by_id:
-        owner = max(pieces_by_id, key=lambda name: owned[name] - shares[name])
+    while ranges_by_id:
+        owner = max(ranges_by_id, key=lambda name: owned[name] - shares[name])
         extra = owned[owner] - shares[owner]
-        piece = pieces_by_id[owner].pop() if pieces_by_id[owner] else range(0)
-        if extra <= 0 or left < len(piece) / 2:
+        slot_range = (
+            ranges_by_id[owner].pop() if ranges_by_id[owner] else range(0)
+        )
+        if extra <= 0 or left < len(slot_range) / 2:
             break
-        if not piece:
+        if not slot_range:
             # All else it has is pinned.
-            del pieces_by_id[owner]
+            del ranges_by_id[owner]
             continue
-        chosen += piece
-        owned[owner] -= len(piece)
-        left -= len(piece)
+        chosen += slot_range
+        owned[owner] -= len(slot_range)
+        left -= len(slot_range)
     return chosen
 
 
-def _spread(in_order: list[range]) -> list[range]:
+def _spread_out(in_order: list[range]) -> list[range]:
     """Returns ranges in an order in which any last few lie far apart.
 
     Multiples of the golden ratio, modulo 1, are evenly spread at any count.
@@ -182,10 +191,10 @@
     weight_by_id: dict[model.UpstreamId, float],
     width: int = 1,
 ) -> dict[int, model.UpstreamId]:
-    """Returns a new owner for each slot that moves; pieces stay together.
+    """Returns a new owner for each slot that moves; ranges stay together.
 
     The owner that is furthest below its share comes first. One that owns a
-    neighbouring slot counts as if it had one such piece more.
+    neighbouring slot counts as if it had one such range more.
 
     Args:
         current: The map as it is.
@@ -205,19 +214,19 @@
         if owner in owned:
             owned[owner] -= 1
     placed: dict[int, model.UpstreamId] = {}
-    for piece in pieces(current, moving, width):
+    for slot_range in move_ranges(current, moving, width):
         near = {
             placed.get(i, current.slots[i].owner)
-            for i in (piece.start - 1, piece.stop)
+            for i in (slot_range.start - 1, slot_range.stop)
             if 0 <= i < len(current.slots)
         }
-        half = len(piece) / 2
+        half = len(slot_range) / 2
         below = [name for name in shares if owned[name] < shares[name] - half]
         excess = {
-            name: owned[name] - shares[name] + len(piece) * (name in near)
+            name: owned[name] - shares[name] + len(slot_range) * (name in near)
             for name in below or shares
         }
         best = min(excess, key=excess.get)
-        placed |= dict.fromkeys(piece, best)
-        owned[best] += len(piece)
+        placed |= dict.fromkeys(slot_range, best)
+        owned[best] += len(slot_range)
     return placed
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -123,7 +123,7 @@
         if not weights or now - self._members_at < SETTLED_S:
             return []
         width = self._block_width(SLOT_COUNT, weights)
-        return keyplan.deal(SLOT_COUNT, weights, width)
+        return keyplan.assign_blocks(SLOT_COUNT, weights, width)
 
     def hot_to_move(
         self, current: keymap.KeyMap, weights: Weights, now: float
@@ -188,7 +188,7 @@
         Hot slots are released one by one, as each gets an owner of its own.
         """
         width = self._block_width(len(current.slots), self._members)
-        return keyplan.pieces(current, slots, width, self._wanted)
+        return keyplan.move_ranges(current, slots, width, self._wanted)
 
     def _block_width(self, count: int, owners: collections.abc.Sized) -> int:
         return keyplan.block_width(count, len(owners), self._most_ranges())
--- a/tests/unit/test_gateway_exclusivity_orders.py
+++ b/tests/unit/test_gateway_exclusivity_orders.py
@@ -349,7 +349,7 @@
 @pytest.mark.parametrize("most_ranges", [_SLOTS, 1])
 @pytest.mark.parametrize("kind", [_Model, _Remarked, _Kept, _KeptAndRemarked])
 def test_no_two_owners_have_a_slot(monkeypatch, kind, most_ranges):
-    monkeypatch.setattr(keyplan, "LEAST_PER_OWNER", 1)
+    monkeypatch.setattr(keyplan, "MIN_BLOCKS_PER_OWNER", 1)
     monkeypatch.setattr(kind, "most_ranges", most_ranges)
     models = _play_all(monkeypatch, kind)
     assert [model.world.overlaps for model in models] == [0] * len(models)
@@ -390,7 +390,7 @@
 def test_without_the_wait_for_open_grants_of_one_fence_they_overlap(
     monkeypatch, most_ranges
 ):
-    monkeypatch.setattr(keyplan, "LEAST_PER_OWNER", 1)
+    monkeypatch.setattr(keyplan, "MIN_BLOCKS_PER_OWNER", 1)
     monkeypatch.setattr(_Kept, "most_ranges", most_ranges)
     monkeypatch.setattr(
         reclaim.Source, "note_unanswered", lambda self, now, hold_s: None
--- a/tests/unit/test_gateway_keys.py
+++ b/tests/unit/test_gateway_keys.py
@@ -19,15 +19,15 @@
 _THREE = {"u-1": 3.0, "u-2": 3.0, "u-3": 3.0}
 
 
-def _dealt(weights=None, count: int = 64) -> keymap.KeyMap:
-    owners = keyplan.deal(count, weights or _THREE)
+def _assigned(weights=None, count: int = 64) -> keymap.KeyMap:
+    owners = keyplan.assign_blocks(count, weights or _THREE)
     return keymap.KeyMap.empty(count).assign({}, dict(enumerate(owners)))
 
 
 def test_a_map_survives_its_document():
-    dealt = _dealt()
-    owner = dealt.slots[7].owner
-    before = dealt.assign({7: "t"}, {7: owner}).mark_leaving([3, 5])
+    assigned = _assigned()
+    owner = assigned.slots[7].owner
+    before = assigned.assign({7: "t"}, {7: owner}).mark_leaving([3, 5])
     after = keymap.decode(before.encode("x"), 9)
     assert after.slots == before.slots
     assert (after.version, after.next_fence) == (9, before.next_fence)
@@ -46,7 +46,7 @@
 
 @hypothesis.given(_STEPS)
 def test_a_map_read_by_its_changes_is_the_same_as_one_read_whole(steps):
-    written = _dealt(count=300)
+    written = _assigned(count=300)
     followed = None
     for version, (kind, slots, owner) in enumerate(steps, start=1):
         if kind == "give":
@@ -72,7 +72,7 @@
 
 
 def test_what_did_not_change_is_not_made_again():
-    before = keymap.decode(_dealt().encode("a"), 1)
+    before = keymap.decode(_assigned().encode("a"), 1)
     document = before.mark_leaving([3]).encode("b")
     after = keymap.decode(document, 2, known=before)
     assert after.changed_since(before) == [3]
@@ -87,7 +87,7 @@
 
 
 def test_all_keys_belong_to_exactly_one_slot():
-    key_map = _dealt()
+    key_map = _assigned()
     ends = [key_map.keys_of(index) for index in range(64)]
     assert ends[0].first == 0 and ends[-1].last == 65535
     for left, right in zip(ends, ends[1:], strict=False):
@@ -96,28 +96,30 @@
 
 
 def test_neighbouring_slots_have_different_owners():
-    owners = keyplan.deal(64, _THREE)
+    owners = keyplan.assign_blocks(64, _THREE)
     assert all(a != b for a, b in zip(owners, owners[1:], strict=False))
 
 
 def test_shares_follow_weights():
-    counts = collections.Counter(keyplan.deal(400, {"u-1": 3.0, "u-2": 1.0}))
+    counts = collections.Counter(
+        keyplan.assign_blocks(400, {"u-1": 3.0, "u-2": 1.0})
+    )
     assert counts == {"u-1": 300, "u-2": 100}
 
 
 def test_a_new_upstream_gets_its_share_and_no_more_moves():
-    key_map = _dealt(count=240)
+    key_map = _assigned(count=240)
     weights = _THREE | {"u-4": 3.0}
-    moving = keyplan.surplus(key_map, weights, most=400)
+    moving = keyplan.surplus(key_map, weights, limit=400)
     placed = keyplan.destinations(key_map, moving, weights)
     assert set(placed.values()) == {"u-4"}
     assert 50 <= len(placed) <= 60
     after = key_map.assign({}, placed)
-    assert keyplan.surplus(after, weights, most=400) == []
+    assert keyplan.surplus(after, weights, limit=400) == []
 
 
 def test_slots_of_a_lost_owner_are_spread():
-    key_map = _dealt(count=240)
+    key_map = _assigned(count=240)
     left = {"u-1": 3.0, "u-2": 3.0}
     lost = key_map.slots_by_owner["u-3"]
     placed = keyplan.destinations(key_map, lost, left)
@@ -135,7 +137,7 @@
 
 
 def _in_blocks() -> keymap.KeyMap:
-    owners = keyplan.deal(4096, _TWENTY, _WIDTH)
+    owners = keyplan.assign_blocks(4096, _TWENTY, _WIDTH)
     return keymap.KeyMap.empty(4096).assign({}, dict(enumerate(owners)))
 
 
@@ -170,13 +172,13 @@
 def test_what_an_owner_has_too_much_leaves_in_ranges():
     key_map = _in_blocks()
     weights = _TWENTY | {"u-07": 1.0}
-    moving = keyplan.surplus(key_map, weights, most=4096, width=_WIDTH)
+    moving = keyplan.surplus(key_map, weights, limit=4096, width=_WIDTH)
     placed = keyplan.destinations(key_map, moving, weights, _WIDTH)
     assert {key_map.slots[index].owner for index in moving} == {"u-07"}
-    moved = keyplan.pieces(key_map, moving, _WIDTH)
+    moved = keyplan.move_ranges(key_map, moving, _WIDTH)
     assert len(moved) <= _RANGES / len(_TWENTY)
-    for piece in moved:
-        assert len({placed[index] for index in piece}) == 1
+    for slot_range in moved:
+        assert len({placed[index] for index in slot_range}) == 1
 
 
 def test_ranges_stay_few_while_speeds_vary():
@@ -185,7 +187,7 @@
     names = sorted(_TWENTY)
     for number in range(200):
         weights = _TWENTY | {names[number * 7 % 20]: 1.0}
-        moving = keyplan.surplus(key_map, weights, most=400, width=_WIDTH)
+        moving = keyplan.surplus(key_map, weights, limit=400, width=_WIDTH)
         placed = keyplan.destinations(key_map, moving, weights, _WIDTH)
         key_map = key_map.assign({}, placed)
     assert _ranges(key_map) <= 4 * _RANGES
@@ -195,12 +197,14 @@
     key_map = _in_blocks()
     slots = key_map.slots_by_owner["u-03"][:5]
     first = slots[0]
-    found = keyplan.pieces(key_map, slots, _WIDTH, apart={first + 1, first + 2})
-    assert [len(piece) for piece in found] == [1, 1, 1, 2]
+    found = keyplan.move_ranges(
+        key_map, slots, _WIDTH, separate={first + 1, first + 2}
+    )
+    assert [len(slot_range) for slot_range in found] == [1, 1, 1, 2]
 
 
 def test_fences_only_grow():
-    key_map = _dealt()
+    key_map = _assigned()
     before = key_map.slots[4].fence
     after = key_map.assign({4: "warm"}, {4: "u-9"})
     assert after.slots[4].fence > max(slot.fence for slot in key_map.slots)
--- a/tests/unit/test_gateway_slotplan.py
+++ b/tests/unit/test_gateway_slotplan.py
@@ -22,7 +22,7 @@
         self.plan = self.parts.plan
         self.weights = dict.fromkeys(_NAMES, 3.0)
         width = keyplan.block_width(slotplan.SLOT_COUNT, len(_NAMES), _RANGES)
-        dealt = keyplan.deal(slotplan.SLOT_COUNT, self.weights, width)
+        dealt = keyplan.assign_blocks(slotplan.SLOT_COUNT, self.weights, width)
         empty = keymap.KeyMap.empty(slotplan.SLOT_COUNT)
         self.map = empty.assign({}, dict(enumerate(dealt)))
 
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -160,8 +160,8 @@
     _off(
         "one slow owner of many is relieved",
         "keyplan",
-        "OVERLOAD = 0.4",
-        "OVERLOAD = 1e9",
+        "OVERLOAD_TOLERANCE = 0.4",
+        "OVERLOAD_TOLERANCE = 1e9",
     ),
     _off(
         "shares by measured speed",
