--- a/src/swiftstile/gateway/keyplan.py
+++ b/src/swiftstile/gateway/keyplan.py
@@ -33,15 +33,15 @@
 ADJACENCY_PENALTY = 0.25
 
 
-def block_width(count: int, owners: int, most_ranges: int) -> int:
+def block_width(count: int, owners: int, max_ranges: int) -> int:
     """Returns the width of a block, in slots.
 
     Args:
         count: Slots of the service.
         owners: Upstreams that share them.
-        most_ranges: Ranges that the fleet can afford to renew.
+        max_ranges: Ranges that the fleet can afford to renew.
     """
-    ranges = max(MIN_BLOCKS_PER_OWNER * max(1, owners), most_ranges)
+    ranges = max(MIN_BLOCKS_PER_OWNER * max(1, owners), max_ranges)
     return max(1, round(count / ranges))
 
 
--- a/src/swiftstile/gateway/renewal_budget.py
+++ b/src/swiftstile/gateway/renewal_budget.py
@@ -10,7 +10,7 @@
 from swiftstile.gateway import renewals
 from swiftstile.gateway import reports
 
-__all__ = ["most_ranges"]
+__all__ = ["max_ranges"]
 
 # Part of a VM's link that renewals may take.
 RENEWAL_SHARE = 0.005
@@ -18,7 +18,7 @@
 GRANT_BITS = 8000
 
 
-def most_ranges(rows: collections.abc.Collection[reports.NodeRow]) -> int:
+def max_ranges(rows: collections.abc.Collection[reports.NodeRow]) -> int:
     """Returns how many ranges of a service the fleet can renew.
 
     Args:
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -53,7 +53,7 @@
         work_s: Returns the mean work of a service's requests, once measured.
         now: On the steady clock.
         limits: Which upstreams are cold, so that little may be sent there.
-        most_ranges: Returns how many ranges the fleet can afford to renew.
+        max_ranges: Returns how many ranges the fleet can afford to renew.
     """
 
     def __init__(
@@ -65,10 +65,10 @@
         work_s,
         now: float,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
-        most_ranges: collections.abc.Callable[[], int] = lambda: SLOT_COUNT,
+        max_ranges: collections.abc.Callable[[], int] = lambda: SLOT_COUNT,
     ):
         self._limits = limits
-        self._most_ranges = most_ranges
+        self._max_ranges = max_ranges
         self._service = service
         self._book = book
         self._speeds = speed_book
@@ -191,7 +191,7 @@
         return keyplan.move_ranges(current, slots, width, self._wanted)
 
     def _block_width(self, count: int, owners: collections.abc.Sized) -> int:
-        return keyplan.block_width(count, len(owners), self._most_ranges())
+        return keyplan.block_width(count, len(owners), self._max_ranges())
 
     def _left_beside_hot(
         self, current: keymap.KeyMap, weights: Weights, now: float
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -341,7 +341,7 @@
     def _most_ranges(self) -> int:
         peers = self._peers.by_node.values()
         rows = [peer.row for peer in peers if not peer.row.is_retired]
-        return renewal_budget.most_ranges([self._node, *rows])
+        return renewal_budget.max_ranges([self._node, *rows])
 
     def _on_report(self, peer: reports.Peer, now: float) -> None:
         self._succession.note_report(peer, now)
--- a/tests/keeper_parts.py
+++ b/tests/keeper_parts.py
@@ -67,7 +67,7 @@
         vms: VMs that read its maps, its own included.
         table: Its table; one in memory if there is none.
         control: Its upstreams; they do as they are told if there is none.
-        most_ranges: Ranges of keys that the fleet can renew.
+        max_ranges: Ranges of keys that the fleet can renew.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         vms: int = 1,
         table: builders.MemoryTable | None = None,
         control: Control | None = None,
-        most_ranges: int = 32,
+        max_ranges: int = 32,
     ):
         self.table = table or builders.MemoryTable()
         self.maps = renewals.KeyMaps()
@@ -110,7 +110,7 @@
         self.key_load = key_load.KeyLoadTable()
         self.speeds = speeds.SpeedBook()
         self.work_s: float | None = None
-        self.most_ranges = most_ranges
+        self.max_ranges = max_ranges
         self.plan = slotplan.SlotPlan(
             builders.LOOKUPS,
             self.book,
@@ -118,7 +118,7 @@
             self.key_load,
             lambda service: self.work_s,
             0.0,
-            most_ranges=lambda: self.most_ranges,
+            max_ranges=lambda: self.max_ranges,
         )
         self.keeper = keeper.MapKeeper(
             builders.LOOKUPS,
--- a/tests/unit/test_gateway_exclusivity_orders.py
+++ b/tests/unit/test_gateway_exclusivity_orders.py
@@ -208,7 +208,7 @@
     """Plays one sequence of events."""
 
     # Ranges of keys: each of 16 slots, or three that share them.
-    most_ranges = _SLOTS
+    max_ranges = _SLOTS
     # Slots that are leaving from the beginning.
     _most_leaving = 9
     # How often an owner has to be fenced off.
@@ -232,7 +232,7 @@
     async def _play(self) -> None:
         store, upstreams = _Store(self.world), _Upstreams(self.world)
         self._parts = parts = keeper_parts.Parts(
-            table=store, control=upstreams, most_ranges=self.most_ranges
+            table=store, control=upstreams, max_ranges=self.max_ranges
         )
         parts.book.put(builders.upstream("u-3"), 0.0)
         parts.start(leaving=range(self._draw.randint(1, self._most_leaving)))
@@ -346,11 +346,11 @@
 
 
 # Orders for single slots, and for up to five neighbours at a time.
-@pytest.mark.parametrize("most_ranges", [_SLOTS, 1])
+@pytest.mark.parametrize("max_ranges", [_SLOTS, 1])
 @pytest.mark.parametrize("kind", [_Model, _Remarked, _Kept, _KeptAndRemarked])
-def test_no_two_owners_have_a_slot(monkeypatch, kind, most_ranges):
+def test_no_two_owners_have_a_slot(monkeypatch, kind, max_ranges):
     monkeypatch.setattr(keyplan, "MIN_BLOCKS_PER_OWNER", 1)
-    monkeypatch.setattr(kind, "most_ranges", most_ranges)
+    monkeypatch.setattr(kind, "max_ranges", max_ranges)
     models = _play_all(monkeypatch, kind)
     assert [model.world.overlaps for model in models] == [0] * len(models)
     # Most of what was to move did.
@@ -386,12 +386,12 @@
     assert _overlaps(monkeypatch, _Remarked) > 0
 
 
-@pytest.mark.parametrize("most_ranges", [_SLOTS, 1])
+@pytest.mark.parametrize("max_ranges", [_SLOTS, 1])
 def test_without_the_wait_for_open_grants_of_one_fence_they_overlap(
-    monkeypatch, most_ranges
+    monkeypatch, max_ranges
 ):
     monkeypatch.setattr(keyplan, "MIN_BLOCKS_PER_OWNER", 1)
-    monkeypatch.setattr(_Kept, "most_ranges", most_ranges)
+    monkeypatch.setattr(_Kept, "max_ranges", max_ranges)
     monkeypatch.setattr(
         reclaim.Source, "note_unanswered", lambda self, now, hold_s: None
     )
--- a/tests/unit/test_gateway_keys.py
+++ b/tests/unit/test_gateway_keys.py
@@ -165,7 +165,7 @@
         builders.node_row(f"vm-{number}", link_mbps=link_mbps)
         for number in range(vms)
     ]
-    most = renewal_budget.most_ranges(rows)
+    most = renewal_budget.max_ranges(rows)
     assert keyplan.block_width(4096, owners, most) == width
 
 
--- a/tests/unit/test_gateway_slotplan.py
+++ b/tests/unit/test_gateway_slotplan.py
@@ -17,7 +17,7 @@
     """Twenty upstreams of 30 requests/s each, and a map that suits them."""
 
     def __init__(self):
-        self.parts = keeper_parts.Parts(most_ranges=_RANGES)
+        self.parts = keeper_parts.Parts(max_ranges=_RANGES)
         self.parts.work_s = 0.1
         self.plan = self.parts.plan
         self.weights = dict.fromkeys(_NAMES, 3.0)
