--- a/src/swiftstile/gateway/hotplan.py
+++ b/src/swiftstile/gateway/hotplan.py
@@ -8,7 +8,7 @@
 from swiftstile.gateway import keymap
 from swiftstile.gateway import model
 
-__all__ = ["BUSY_SHARE", "HOT_SHARE", "relocations", "shares"]
+__all__ = ["BUSY_SHARE", "HOT_SHARE", "busy_shares", "relocations"]
 
 # A slot is hot when it takes this part of its owner's capacity.
 HOT_SHARE = 0.4
@@ -17,10 +17,10 @@
 BUSY_SHARE = 0.2
 # A hot slot moves only to an upstream that is so much faster: less isn't worth
 # the requests that wait meanwhile, and speeds are known to a tenth or so.
-WORTH_MOVING = 1.25
+MIN_SPEEDUP = 1.25
 
 
-def shares(
+def busy_shares(
     current: keymap.KeyMap,
     rate_by_slot: dict[int, float],
     capacity_by_id: dict[model.UpstreamId, float],
@@ -66,7 +66,7 @@
         owner, best = current.slots[slot].owner, free[0]
         is_alone = owner in free
         gain = capacity_by_id[best] / capacity_by_id[owner]
-        if is_alone and gain < WORTH_MOVING:
+        if is_alone and gain < MIN_SPEEDUP:
             free.remove(owner)
             continue
         free.remove(best)
--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/keeper.py
@@ -148,7 +148,7 @@
         owners = () if current is None else current.slots_by_owner
         weights = self._plan.weights(now, owners)
         if current is None:
-            await self._first_deal(weights, now)
+            await self._assign_all(weights, now)
             return
         if await self._give_to_new_lives(current):
             return
@@ -156,13 +156,13 @@
         current = self._maps.by_service[self._service]
         await self._commit_cleared(current, weights, now)
 
-    async def _first_deal(self, weights, now: float) -> None:
-        dealt = self._plan.first_deal(weights, now)
-        if not dealt:
+    async def _assign_all(self, weights, now: float) -> None:
+        assigned = self._plan.initial_assignment(weights, now)
+        if not assigned:
             return
-        empty = keymap.KeyMap.empty(len(dealt))
-        started_ms = self._started_ms(set(dealt))
-        first = empty.assign({}, dict(enumerate(dealt)), started_ms)
+        empty = keymap.KeyMap.empty(len(assigned))
+        started_ms = self._started_ms(set(assigned))
+        first = empty.assign({}, dict(enumerate(assigned)), started_ms)
         await self._write(first, "first deal")
 
     async def _give_to_new_lives(self, current) -> bool:
@@ -220,10 +220,10 @@
         ):
             return
         if not moving:
-            moving = self._plan.hot_to_move(current, weights, now)
+            moving = self._plan.hot_slots_to_move(current, weights, now)
             reason = "hot slots"
         if not moving:
-            moving = self._plan.surplus_to_move(current, weights, now)
+            moving = self._plan.surplus_slots_to_move(current, weights, now)
             reason = "evening out"
         if not moving:
             return
@@ -282,7 +282,7 @@
                 current,
                 owner,
                 self._sources[owner],
-                self._plan.pieces(current, slots_by_source[owner]),
+                self._plan.move_ranges(current, slots_by_source[owner]),
                 fences,
             )
         if steps.cleared:
@@ -397,7 +397,7 @@
                     current,
                     owner,
                     source,
-                    self._plan.pieces(current, slots_by_source[owner]),
+                    self._plan.move_ranges(current, slots_by_source[owner]),
                 )
                 for owner, source in list(self._sources.items())
                 if owner in slots_by_source
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -22,21 +22,21 @@
 # blocks, which are cut where a neighbourhood of keys is hot.
 SLOT_COUNT = 4096
 # Before the first deal, no upstream joined for this long.
-SETTLED_S = 1.0
+STABLE_MEMBERSHIP_S = 1.0
 # Most slots that are moved at a time only to even things out: about a tenth,
 # so that no owner's keys are on the move all at once.
-MOVE_BATCH = 400
+MAX_REBALANCED_SLOTS = 400
 # Between two rounds of evening out: about what the effect of one takes to show.
-EVEN_OUT_EVERY_S = 1.5
+REBALANCE_INTERVAL_S = 1.5
 # A hot slot stays this long where it was put, so that it doesn't go back and
 # forth with noise.
-RELOCATE_EVERY_S = 3.0
+MIN_RELOCATION_INTERVAL_S = 3.0
 # Bounds of a target's speed over the mean, for its share of the keys. A slow
 # one keeps a few, which tell when it is fast again.
-SLOWEST_WEIGHT, FASTEST_WEIGHT = 0.1, 2.0
+MIN_SPEED, MAX_SPEED = 0.1, 2.0
 # What an owner keeps of its share of the keys beside a slot that takes all that
 # it can do: a few, so that it isn't empty when the hot time is over.
-LEAST_BESIDE_HOT = 0.1
+MIN_SHARE_BESIDE_HOT = 0.1
 
 # What owners can do, in slots of a target of mean speed.
 Weights = dict[model.UpstreamId, float]
@@ -75,11 +75,11 @@
         self._key_load = key_load_table
         self._work_s = work_s
         # Where hot slots are on their way to.
-        self._wanted: dict[int, model.UpstreamId] = {}
+        self._hot_destinations: dict[int, model.UpstreamId] = {}
         self._relocated_at: dict[int, float] = {}
-        self._evened_at = 0.0
+        self._rebalanced_at = 0.0
         # Hot slots beside which things were evened out last.
-        self._evened_for: frozenset[int] = frozenset()
+        self._rebalanced_for: frozenset[int] = frozenset()
         self._members: set[model.UpstreamId] = set()
         self._members_at = now
 
@@ -116,38 +116,39 @@
         self._members = set(weights)
         return weights
 
-    def first_deal(
+    def initial_assignment(
         self, weights: Weights, now: float
     ) -> list[model.UpstreamId]:
         """Returns the first owner of each slot; none until all have joined."""
-        if not weights or now - self._members_at < SETTLED_S:
+        if not weights or now - self._members_at < STABLE_MEMBERSHIP_S:
             return []
         width = self._block_width(SLOT_COUNT, weights)
         return keyplan.assign_blocks(SLOT_COUNT, weights, width)
 
-    def hot_to_move(
+    def hot_slots_to_move(
         self, current: keymap.KeyMap, weights: Weights, now: float
     ) -> list[int]:
         """Returns hot slots that should leave, and notes where they go."""
         capacity = self._capacities(weights)
-        busy = self._busy(current, capacity, now)
+        busy = self._busy_slots(current, capacity, now)
         hot = {
             slot: share
             for slot, share in busy.items()
             if share >= hotplan.HOT_SHARE
             and slot not in current.leaving
-            and now - self._relocated_at.get(slot, 0.0) > RELOCATE_EVERY_S
+            and now - self._relocated_at.get(slot, 0.0)
+            > MIN_RELOCATION_INTERVAL_S
         }
         taken = {
-            self._wanted.get(slot, current.slots[slot].owner)
+            self._hot_destinations.get(slot, current.slots[slot].owner)
             for slot in busy.keys() - hot.keys()
         }
         found = hotplan.relocations(current, hot, capacity, taken)
-        self._wanted |= found
+        self._hot_destinations |= found
         self._relocated_at |= dict.fromkeys(found, now)
         return list(found)
 
-    def surplus_to_move(
+    def surplus_slots_to_move(
         self, current: keymap.KeyMap, weights: Weights, now: float
     ) -> list[int]:
         """Returns slots that should leave owners that have too many.
@@ -155,13 +156,13 @@
         Nothing until it is time for that again. A slot that just became hot
         doesn't wait: it lasts for seconds only.
         """
-        left, hot = self._left_beside_hot(current, weights, now)
-        is_due = now - self._evened_at >= EVEN_OUT_EVERY_S
-        if not weights or not (is_due or hot - self._evened_for):
+        left, hot = self._weights_beside_hot(current, weights, now)
+        is_due = now - self._rebalanced_at >= REBALANCE_INTERVAL_S
+        if not weights or not (is_due or hot - self._rebalanced_for):
             return []
-        self._evened_at, self._evened_for = now, hot
+        self._rebalanced_at, self._rebalanced_for = now, hot
         width = self._block_width(len(current.slots), weights)
-        return keyplan.surplus(current, left, MOVE_BATCH, hot, width)
+        return keyplan.surplus(current, left, MAX_REBALANCED_SLOTS, hot, width)
 
     def destinations(
         self,
@@ -171,16 +172,16 @@
         now: float,
     ) -> dict[int, model.UpstreamId]:
         """Returns a new owner for each slot that moves."""
-        left, _ = self._left_beside_hot(current, weights, now)
+        left, _ = self._weights_beside_hot(current, weights, now)
         width = self._block_width(len(current.slots), weights)
         placed = keyplan.destinations(current, moving, left, width)
         for index in moving:
-            wanted = self._wanted.pop(index, None)
-            if wanted in weights:
-                placed[index] = wanted
+            destination = self._hot_destinations.pop(index, None)
+            if destination in weights:
+                placed[index] = destination
         return placed
 
-    def pieces(
+    def move_ranges(
         self, current: keymap.KeyMap, slots: collections.abc.Iterable[int]
     ) -> list[range]:
         """Returns slots of one owner as ranges that it releases as one.
@@ -188,12 +189,14 @@
         Hot slots are released one by one, as each gets an owner of its own.
         """
         width = self._block_width(len(current.slots), self._members)
-        return keyplan.move_ranges(current, slots, width, self._wanted)
+        return keyplan.move_ranges(
+            current, slots, width, self._hot_destinations
+        )
 
     def _block_width(self, count: int, owners: collections.abc.Sized) -> int:
         return keyplan.block_width(count, len(owners), self._max_ranges())
 
-    def _left_beside_hot(
+    def _weights_beside_hot(
         self, current: keymap.KeyMap, weights: Weights, now: float
     ) -> tuple[Weights, frozenset[int]]:
         """Returns what owners can do beside their hot slots, and these slots.
@@ -202,24 +205,24 @@
         of that owner's keys: they are better off elsewhere meanwhile.
         """
         left, hot = dict(weights), set()
-        busy = self._busy(current, self._capacities(weights), now)
+        busy = self._busy_slots(current, self._capacities(weights), now)
         for slot, share in busy.items():
             least = hotplan.HOT_SHARE
-            if slot in self._evened_for:
+            if slot in self._rebalanced_for:
                 # Not back and forth with noise.
                 least = hotplan.BUSY_SHARE
             owner = current.slots[slot].owner
             if share >= least and slot not in current.leaving:
                 hot.add(slot)
-                kept = LEAST_BESIDE_HOT * weights[owner]
+                kept = MIN_SHARE_BESIDE_HOT * weights[owner]
                 left[owner] = max(kept, left[owner] - share * weights[owner])
         return left, frozenset(hot)
 
-    def _busy(
+    def _busy_slots(
         self, current: keymap.KeyMap, capacity: Weights, now: float
     ) -> dict[int, float]:
         rates = self._key_load.rates(self._service, now)
-        return hotplan.shares(current, rates, capacity)
+        return hotplan.busy_shares(current, rates, capacity)
 
     def _capacities(self, weights: Weights) -> dict[model.UpstreamId, float]:
         """Returns the requests/s that upstreams can do, once known."""
@@ -231,5 +234,5 @@
 
 def _weight(target: targets.Target, ratio: float) -> float:
     """Returns how much a target can do: its slots over its slowness."""
-    speed = 1.0 / min(max(ratio, 1 / FASTEST_WEIGHT), 1 / SLOWEST_WEIGHT)
+    speed = 1.0 / min(max(ratio, 1 / MAX_SPEED), 1 / MIN_SPEED)
     return max(1, target.upstream.slots) * speed
--- a/tests/unit/test_gateway_evacuation.py
+++ b/tests/unit/test_gateway_evacuation.py
@@ -234,7 +234,7 @@
         0.0,
     )
     weights = plan.weights(10.0)
-    dealt = plan.first_deal(weights, 20.0)
-    assert {book.by_id[name].upstream.failure_domain for name in dealt} == {
+    assigned = plan.initial_assignment(weights, 20.0)
+    assert {book.by_id[name].upstream.failure_domain for name in assigned} == {
         builders.HOME if domain == builders.AWAY else builders.AWAY
     }
--- a/tests/unit/test_gateway_exclusivity_orders.py
+++ b/tests/unit/test_gateway_exclusivity_orders.py
@@ -237,8 +237,8 @@
         parts.book.put(builders.upstream("u-3"), 0.0)
         parts.start(leaving=range(self._draw.randint(1, self._most_leaving)))
         parts.keeper._started -= 60.0
-        parts.plan.hot_to_move = self._hot_to_move
-        parts.plan.surplus_to_move = lambda *_: []
+        parts.plan.hot_slots_to_move = self._hot_to_move
+        parts.plan.surplus_slots_to_move = lambda *_: []
         self._hold_all()
         self._plan(store, upstreams)
         while self._clock.now < _START_S + _LENGTH_S:
--- a/tests/unit/test_gateway_gifts.py
+++ b/tests/unit/test_gateway_gifts.py
@@ -148,7 +148,7 @@
         table, control = _SlowTable(), _OpeningControl()
         parts = await _reclaiming(table, control)
         marks = [[5]]
-        parts.plan.hot_to_move = lambda *_: marks.pop() if marks else []
+        parts.plan.hot_slots_to_move = lambda *_: marks.pop() if marks else []
 
         async def open_at_gift() -> None:
             if parts.maps.by_service[builders.LOOKUPS].leaving >= {5, *_SLOTS}:
@@ -171,7 +171,7 @@
         before = parts.maps.by_service[builders.LOOKUPS].next_fence
         parts.keeper._given_at = keeper.clocks.monotonic() + _LONG_AGO_S
         parts.keeper._pause_s = lambda per_vm_s: 0.0
-        parts.plan.hot_to_move = lambda *_: [5]
+        parts.plan.hot_slots_to_move = lambda *_: [5]
         await parts.keeper.tick()
         after = parts.maps.by_service[builders.LOOKUPS]
         assert after.leaving == {5, *_SLOTS}
--- a/tests/unit/test_gateway_keeper.py
+++ b/tests/unit/test_gateway_keeper.py
@@ -259,7 +259,7 @@
         # Each takes nearly all of u-1, and some of whatever it is moved to.
         reported[slot] = 9.0
         parts.key_load.receive("vm-2", {builders.LOOKUPS: dict(reported)}, now)
-        moving = parts.plan.hot_to_move(current, weights, now)
+        moving = parts.plan.hot_slots_to_move(current, weights, now)
         assert moving == [slot]
         owners = parts.plan.destinations(current, moving, weights, now)
         current = current.assign({}, owners)
--- a/tests/unit/test_gateway_key_load.py
+++ b/tests/unit/test_gateway_key_load.py
@@ -41,7 +41,7 @@
 def test_a_slot_is_hot_by_what_its_owner_can_do():
     current = _map("u-1", "u-2")
     rates = {0: 6.0, 1: 6.0}
-    shares = hotplan.shares(current, rates, _CAPACITY)
+    shares = hotplan.busy_shares(current, rates, _CAPACITY)
     assert shares == {0: 0.6, 1: 0.2}
     assert shares[0] >= hotplan.HOT_SHARE > shares[1]
 
--- a/tests/unit/test_gateway_slotplan.py
+++ b/tests/unit/test_gateway_slotplan.py
@@ -22,16 +22,18 @@
         self.plan = self.parts.plan
         self.weights = dict.fromkeys(_NAMES, 3.0)
         width = keyplan.block_width(slotplan.SLOT_COUNT, len(_NAMES), _RANGES)
-        dealt = keyplan.assign_blocks(slotplan.SLOT_COUNT, self.weights, width)
+        assigned = keyplan.assign_blocks(
+            slotplan.SLOT_COUNT, self.weights, width
+        )
         empty = keymap.KeyMap.empty(slotplan.SLOT_COUNT)
-        self.map = empty.assign({}, dict(enumerate(dealt)))
+        self.map = empty.assign({}, dict(enumerate(assigned)))
 
     def receive_load(self, slot: int, per_s: float, now: float) -> None:
         reported = {builders.LOOKUPS: {slot: per_s}}
         self.parts.key_load.receive("vm-2", reported, now)
 
     def move(self, now: float) -> list[int]:
-        moving = self.plan.surplus_to_move(self.map, self.weights, now)
+        moving = self.plan.surplus_slots_to_move(self.map, self.weights, now)
         placed = self.plan.destinations(self.map, moving, self.weights, now)
         self.map = self.map.assign({}, placed)
         return moving
@@ -62,13 +64,13 @@
     before = case.owned("u-7")
     now = _NOW
     while case.move(now):
-        now += slotplan.EVEN_OUT_EVERY_S
+        now += slotplan.REBALANCE_INTERVAL_S
     assert case.owned("u-7") < before * speed * 1.2
     # And gets its keys back when it is as fast as the others again.
     case.weights["u-7"] = 3.0
-    now += slotplan.EVEN_OUT_EVERY_S
+    now += slotplan.REBALANCE_INTERVAL_S
     while case.move(now):
-        now += slotplan.EVEN_OUT_EVERY_S
+        now += slotplan.REBALANCE_INTERVAL_S
     assert case.owned("u-7") > before * 0.8
 
 
@@ -101,7 +103,7 @@
     assert case.move(_NOW)
     now = _NOW + 10
     while case.move(now):
-        now += slotplan.EVEN_OUT_EVERY_S
+        now += slotplan.REBALANCE_INTERVAL_S
     assert case.owned("u-3") > 0.8 * before
 
 
@@ -121,5 +123,5 @@
     case = _Case()
     case.weights["u-7"] *= 0.2
     case.map = case.map.mark_leaving([case.map.slots_by_owner["u-7"][0]])
-    moving = case.plan.surplus_to_move(case.map, case.weights, _NOW)
+    moving = case.plan.surplus_slots_to_move(case.map, case.weights, _NOW)
     assert not any(case.map.slots[index].owner == "u-7" for index in moving)
