--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/keeper.py
@@ -408,7 +408,7 @@
         if owner is None or self._is_replaced(owner):
             return _Move.CLEAR
         hold_table = self._renewing.holds(self._service, len(current.slots))
-        known = moves.clearance(
+        known = moves.outstanding_grants(
             self._service,
             owner,
             source.version,
--- a/src/swiftstile/gateway/moves.py
+++ b/src/swiftstile/gateway/moves.py
@@ -13,10 +13,10 @@
 from swiftstile.gateway import model
 from swiftstile.gateway import reports
 
-__all__ = ["Clearance", "FormerLeader", "clearance"]
+__all__ = ["FormerLeader", "OutstandingGrants", "outstanding_grants"]
 
 
-class Clearance(msgspec.Struct):
+class OutstandingGrants(msgspec.Struct):
     """What is known of the grants of slots that are leaving.
 
     Attributes:
@@ -52,7 +52,7 @@
     max_held_s: float
 
 
-def clearance(
+def outstanding_grants(
     service: ids.ServiceName,
     owner: model.UpstreamId,
     marked_version: int,
@@ -63,7 +63,7 @@
     now: float,
     former: FormerLeader | None = None,
     quorum_since: float | None = None,
-) -> Clearance:
+) -> OutstandingGrants:
     """Combines what all VMs say of one owner's leaving slots.
 
     Args:
@@ -80,24 +80,26 @@
         quorum_since: Since when a majority follows this VM, which leads. One
             that was silent ever since has no right to renew.
     """
-    result = Clearance(True, own.held_s, own.open_s)
+    result = OutstandingGrants(True, own.held_s, own.open_s)
     for peer in peers:
         version, longest = marked_version, max_held_s
-        stop = min(stopped_at, _silenced_at(peer, quorum_since))
+        stop = min(stopped_at, _latest_stop_at(peer, quorum_since))
         if former is not None and peer.row.node == former.node:
             version = former.version
             stop, longest = former.stopped_at, former.max_held_s
-        hold = _word_of(peer, service, owner, version, now)
+        hold = _reported_hold(peer, service, owner, version, now)
         if hold is None:
             hold = _hold_until(stop + longest, now)
             result.all_stopped &= now > stop
         else:
             # An earlier run of it may have granted up to when it ended.
             end = peer.earlier_grants_end_at(max_held_s)
-            hold = _longer(hold, _hold_until(end, now))
+            hold = _longer_hold(hold, _hold_until(end, now))
         if former is not None and not peer.is_heard(now):
             # It may have led itself, before the one that led last.
-            hold = _longer(hold, _hold_until(stop + former.max_held_s, now))
+            hold = _longer_hold(
+                hold, _hold_until(stop + former.max_held_s, now)
+            )
         if hold.held_s > result.held_s:
             result.waits_for = peer.row.node
         result.held_s = max(result.held_s, hold.held_s)
@@ -105,16 +107,16 @@
     return result
 
 
-def _silenced_at(peer: reports.Peer, quorum_since: float | None) -> float:
+def _latest_stop_at(peer: reports.Peer, quorum_since: float | None) -> float:
     """Returns when a VM must have stopped as no leader counts it as heard."""
-    silent_since = float("inf")
+    unresponsive_since = float("inf")
     if quorum_since is not None:
-        silent_since = max(peer.heard_at, quorum_since)
+        unresponsive_since = max(peer.heard_at, quorum_since)
     if peer.row.is_retired:
         # Whoever led when it was retired hadn't heard it for long, and none
         # that led since counts it.
-        silent_since = min(silent_since, peer.retired_at)
-    return silent_since + authority.STOPPED_AFTER_S
+        unresponsive_since = min(unresponsive_since, peer.retired_at)
+    return unresponsive_since + authority.STOPPED_AFTER_S
 
 
 def _hold_until(end: float, now: float) -> reports.Hold:
@@ -122,13 +124,13 @@
     return reports.Hold(left_s, left_s)
 
 
-def _longer(one: reports.Hold, other: reports.Hold) -> reports.Hold:
+def _longer_hold(one: reports.Hold, other: reports.Hold) -> reports.Hold:
     return reports.Hold(
         max(one.held_s, other.held_s), max(one.open_s, other.open_s)
     )
 
 
-def _word_of(peer, service, owner, version, now) -> reports.Hold | None:
+def _reported_hold(peer, service, owner, version, now) -> reports.Hold | None:
     """Returns what a VM said of its grants; None if it may still grant."""
     report = peer.report
     if report is None or report.versions.get(service, 0) < version:
@@ -136,13 +138,13 @@
     if report.holds is None:
         # It led when it said this, and will say it to who leads now.
         return None
-    told = report.holds.get(service, {}).get(owner)
-    if told is None:
+    reported = report.holds.get(service, {}).get(owner)
+    if reported is None:
         # It knows the map, and lists what its grants may still hold: without
         # an entry there is nothing. Nor will there be, also if it is silent
         # since: who knows that a slot is leaving renews it no more.
         return reports.Hold(0.0, 0.0)
     age_s = now - peer.heard_at
     return reports.Hold(
-        max(0.0, told.held_s - age_s), max(0.0, told.open_s - age_s)
+        max(0.0, reported.held_s - age_s), max(0.0, reported.open_s - age_s)
     )
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -124,7 +124,7 @@
 
     def log_wait(
         self,
-        known: moves.Clearance,
+        known: moves.OutstandingGrants,
         owner: model.UpstreamId,
         count: int,
         now: float,
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -231,7 +231,7 @@
             if now >= self._mark_at:
                 self._marked_at = now
             return
-        known = moves.clearance(
+        known = moves.outstanding_grants(
             builders.LOOKUPS,
             "u-1",
             2,
@@ -381,7 +381,7 @@
 
 
 def test_without_the_wait_for_earlier_runs_they_overlap(monkeypatch):
-    original = moves.clearance
+    original = moves.outstanding_grants
 
     def without(service, owner, version, own, peers, *rest):
         for peer in peers:
@@ -389,7 +389,7 @@
         return original(service, owner, version, own, peers, *rest)
 
     assert _overlaps(monkeypatch, _Restarting) == 0
-    monkeypatch.setattr(moves, "clearance", without)
+    monkeypatch.setattr(moves, "outstanding_grants", without)
     assert _overlaps(monkeypatch, _Restarting) > 0
 
 
--- a/tests/unit/test_gateway_keys.py
+++ b/tests/unit/test_gateway_keys.py
@@ -258,8 +258,8 @@
     assert table.unanswered_for_s([0], 7.0) == 0.0
 
 
-def _clearance(peers, now, own=None, stopped_at=12.5):
-    return moves.clearance(
+def _outstanding_grants(peers, now, own=None, stopped_at=12.5):
+    return moves.outstanding_grants(
         builders.LOOKUPS,
         "u-1",
         7,
@@ -283,12 +283,12 @@
 
 
 def test_a_peer_that_stopped_and_granted_nothing_clears():
-    known = _clearance([_told(7, reports.Hold(0.0, 0.0), 10.1)], 10.2)
+    known = _outstanding_grants([_told(7, reports.Hold(0.0, 0.0), 10.1)], 10.2)
     assert known.all_stopped and known.held_s == 0.0
 
 
 def test_a_peer_with_an_older_map_may_still_renew():
-    known = _clearance([_told(6, None, 10.1)], 10.2)
+    known = _outstanding_grants([_told(6, None, 10.1)], 10.2)
     assert not known.all_stopped
     assert known.held_s == pytest.approx(2.3 + 5.25)
 
@@ -297,14 +297,14 @@
     row = builders.node_row("vm-2", is_retired=True)
     peer = builders.peer(row, None, heard_at=0.0)
     peer.retired_at = 3.0
-    known = _clearance([peer], 10.2, stopped_at=20.0)
+    known = _outstanding_grants([peer], 10.2, stopped_at=20.0)
     assert known.all_stopped
     assert known.held_s == pytest.approx(3.0 + 2.5 + 5.25 - 10.2)
-    assert _clearance([peer], 11.0, stopped_at=20.0).held_s == 0.0
+    assert _outstanding_grants([peer], 11.0, stopped_at=20.0).held_s == 0.0
 
 
 def test_what_a_peer_said_runs_down_while_it_is_silent():
-    known = _clearance([_told(7, reports.Hold(4.0, 2.0), 10.1)], 13.1)
+    known = _outstanding_grants([_told(7, reports.Hold(4.0, 2.0), 10.1)], 13.1)
     assert known.all_stopped
     assert known.held_s == pytest.approx(1.0)
     assert known.open_s == 0.0
@@ -312,9 +312,9 @@
 
 def test_a_silent_peer_is_waited_for_until_it_must_have_stopped():
     silent = builders.peer(builders.node_row("vm-2"), None, 0.0)
-    assert not _clearance([silent], 12.4).all_stopped
-    assert _clearance([silent], 17.0).held_s == pytest.approx(0.75)
-    late = _clearance([silent], 17.8)
+    assert not _outstanding_grants([silent], 12.4).all_stopped
+    assert _outstanding_grants([silent], 17.0).held_s == pytest.approx(0.75)
+    late = _outstanding_grants([silent], 17.8)
     assert late.all_stopped and late.held_s == 0.0
 
 
@@ -323,15 +323,15 @@
     told = peer.report
     peer.note_run(peer.row, 10.0)
     peer.note_report(told, 10.1)
-    assert _clearance([peer], 10.2).held_s == pytest.approx(5.05)
+    assert _outstanding_grants([peer], 10.2).held_s == pytest.approx(5.05)
 
 
 def test_one_that_led_when_it_spoke_may_hold_what_it_did_not_tell():
     peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
     peer.report.holds = None
-    assert _clearance([peer], 10.2).held_s > 0
+    assert _outstanding_grants([peer], 10.2).held_s > 0
     peer.note_report(_told(7, reports.Hold(1.0, 0.0), 10.1).report, 10.2)
-    assert _clearance([peer], 10.3).held_s == pytest.approx(0.9)
+    assert _outstanding_grants([peer], 10.3).held_s == pytest.approx(0.9)
 
 
 def _restarted(peer: reports.Peer, at: float, up_s: float) -> None:
@@ -346,7 +346,7 @@
     peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
     # It registered late, as the store was away.
     _restarted(peer, 10.0, up_s=4.1)
-    assert _clearance([peer], 10.2).held_s == pytest.approx(1.05)
+    assert _outstanding_grants([peer], 10.2).held_s == pytest.approx(1.05)
 
 
 def _leave(peer: reports.Peer, at: float, grants_end_s: float) -> None:
@@ -358,8 +358,8 @@
     peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
     _leave(peer, 9.0, grants_end_s=2.0)
     _restarted(peer, 10.0, up_s=0.1)
-    assert _clearance([peer], 10.2).held_s == pytest.approx(0.8)
-    assert _clearance([peer], 11.1).held_s == 0.0
+    assert _outstanding_grants([peer], 10.2).held_s == pytest.approx(0.8)
+    assert _outstanding_grants([peer], 11.1).held_s == 0.0
 
 
 def test_what_one_run_told_says_nothing_of_those_before_and_after():
@@ -368,12 +368,12 @@
     _restarted(peer, 10.0, up_s=0.1)
     _leave(peer, 10.5, grants_end_s=0.2)
     _restarted(peer, 11.0, up_s=0.1)
-    assert _clearance([peer], 11.1).held_s == pytest.approx(4.15)
+    assert _outstanding_grants([peer], 11.1).held_s == pytest.approx(4.15)
     # Killed once more.
     _restarted(peer, 12.0, up_s=0.1)
-    assert _clearance([peer], 12.2).held_s == pytest.approx(5.05)
+    assert _outstanding_grants([peer], 12.2).held_s == pytest.approx(5.05)
 
 
 def test_a_grant_under_way_here_blocks():
     infinite = reports.Hold(float("inf"), float("inf"))
-    assert _clearance([], 10.2, own=infinite).held_s == float("inf")
+    assert _outstanding_grants([], 10.2, own=infinite).held_s == float("inf")
--- a/tests/unit/test_gateway_succession.py
+++ b/tests/unit/test_gateway_succession.py
@@ -321,11 +321,11 @@
         if not vm.leads.is_leader:
             vm.follow(vm.row, _SECOND_ROW)
             vm.learn(_MARKED, now, _SLOTS)
-        known = self._clearance(now)
+        known = self._outstanding_grants(now)
         if known is not None and known.all_stopped and known.held_s <= 0:
             self._given_at = now
 
-    def _clearance(self, now: float) -> moves.Clearance | None:
+    def _outstanding_grants(self, now: float) -> moves.OutstandingGrants | None:
         vm = self._third
         stopped_at = vm.stopped_at()
         if stopped_at is None:
@@ -337,7 +337,7 @@
             quorum_at + authority.LEADER_STOPPED_AFTER_S,
             holds.max_held_s(reclaim.KEEP_HOLD_S),
         )
-        return moves.clearance(
+        return moves.outstanding_grants(
             builders.LOOKUPS,
             "u-1",
             _MARKED,
@@ -385,10 +385,10 @@
 def test_without_the_wait_for_the_former_leader_slots_overlap(monkeypatch):
     monkeypatch.setattr(authority, "LEADER_STOPPED_AFTER_S", -10.0)
     monkeypatch.setattr(authority, "STOPPED_AFTER_S", -5.0)
-    original = moves.clearance
+    original = moves.outstanding_grants
 
     def without(*arguments):
         return original(*arguments[:-1])
 
-    monkeypatch.setattr(moves, "clearance", without)
+    monkeypatch.setattr(moves, "outstanding_grants", without)
     assert any(model.overlap_s for model in _play_all(monkeypatch))
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -227,7 +227,7 @@
     _off(
         "silent VMs aren't waited for",
         "moves",
-        "        stop = min(stopped_at, _silenced_at(peer, quorum_since))",
+        "        stop = min(stopped_at, _latest_stop_at(peer, quorum_since))",
         "        stop = stopped_at",
     ),
     _off(
