--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -173,7 +173,7 @@
         self._maps = maps
         self._book = book
         self._peers = peers
-        self._sharing = sharing.Sharing(peers.me)
+        self._responsibilities = sharing.Responsibilities(peers.me)
         self._control = control
         self._authority = authority
         self._meters = meters
@@ -186,7 +186,7 @@
         self._tasks: dict[model.UpstreamId, asyncio.Task] = {}
         self._is_stopped = False
         # Since when this VM has had the right to renew without a break.
-        self._able_since: float | None = None
+        self._authorised_since: float | None = None
         self.holds_by_service: dict[ids.ServiceName, holds.HoldTable] = {}
         self.unreachable: set[model.UpstreamId] = set()
 
@@ -206,7 +206,7 @@
         Told to the others, it saves a successor the wait for what this run may
         have granted until its end.
         """
-        if sharing.able_by_domain(self._peers, now):
+        if sharing.authorised_by_domain(self._peers, now):
             self._is_stopped = True
             for task in self._tasks.values():
                 task.cancel()
@@ -228,11 +228,11 @@
         if not self._authority.is_able(now):
             # Others say the same of themselves while there is no leader. Taken
             # for those that are gone, each VM would look after all upstreams.
-            self._able_since = None
+            self._authorised_since = None
             return
-        if self._able_since is None:
-            self._able_since = now
-        wanted = self._sharing.mine(self._look(now))
+        if self._authorised_since is None:
+            self._authorised_since = now
+        wanted = self._responsibilities.upstreams(self._cluster_view(now))
         for owner in [name for name in self._tasks if name not in wanted]:
             self._tasks.pop(owner).cancel()
             self.unreachable.discard(owner)
@@ -241,11 +241,13 @@
             if task is None or task.done():
                 self._tasks[owner] = asyncio.create_task(self._renew(owner))
 
-    def _look(self, now: float) -> sharing.Look:
+    def _cluster_view(self, now: float) -> sharing.ClusterView:
         """Returns all that decides which upstreams this VM looks after."""
         by_id = self._book.by_id
-        return sharing.Look(
-            sharing.able_by_domain(self._peers, now, self._able_since),
+        return sharing.ClusterView(
+            sharing.authorised_by_domain(
+                self._peers, now, self._authorised_since
+            ),
             self._peers.circulation.heard_of(now),
             frozenset(self.unreachable),
             {
--- a/src/swiftstile/gateway/sharing.py
+++ b/src/swiftstile/gateway/sharing.py
@@ -1,10 +1,10 @@
 """Which VM looks after which upstream: decisions only.
 
 VMs share the upstreams out by what they see of each other. All that decides is
-in a `Look`; the answer is worked out anew only when that differs from the last
-one. It is looked at several times a second and at each change of a map, and its
-cost grows with VMs times upstreams: worked out each time it would be most of
-what a VM of a large deployment does for itself.
+in a `ClusterView`; the answer is worked out anew only when that differs from
+the last one. It is looked at several times a second and at each change of a
+map, and its cost grows with VMs times upstreams: worked out each time it would
+be most of what a VM of a large deployment does for itself.
 """
 
 import functools
@@ -16,19 +16,26 @@
 from swiftstile.gateway import model
 from swiftstile.gateway import reports
 
-__all__ = ["CROWD", "Able", "Look", "Sharing", "able_by_domain", "affinity"]
+__all__ = [
+    "SINGLE_RETRY_VMS",
+    "AuthorisedVm",
+    "ClusterView",
+    "Responsibilities",
+    "affinity",
+    "authorised_by_domain",
+]
 
 # With so many VMs in a domain an upstream that none of them reaches is tried by
 # one of them; with less, VMs of other domains try, too.
-CROWD = 6
+SINGLE_RETRY_VMS = 6
 # A leader's word reaches all VMs, and theirs all others, within this.
-SETTLE_S = 0.6
+PROPAGATION_S = 0.6
 # Pairs of VM and upstream that are remembered: enough for 60 VMs of one domain
 # with all of 270 upstreams.
-_AFFINITIES = 16384
+_MAX_CACHED_AFFINITIES = 16384
 
 
-class Able(typing.NamedTuple):
+class AuthorisedVm(typing.NamedTuple):
     """A VM that may renew grants, as it told.
 
     Attributes:
@@ -40,23 +47,23 @@
     unreachable: tuple[model.UpstreamId, ...]
 
 
-class Look(typing.NamedTuple):
+class ClusterView(typing.NamedTuple):
     """All that decides which upstreams this VM looks after.
 
     Attributes:
-        able_by_domain: Other VMs that may renew grants, by failure domain.
-        heard_of: Domains whose VMs live, though they aren't heard.
+        authorised_by_domain: Other VMs that may renew grants, by domain.
+        reported_domains: Domains whose VMs live, though they aren't heard.
         unreachable: Upstreams that this VM can't reach.
         domain_by_owner: Failure domains of the upstreams that own keys.
     """
 
-    able_by_domain: dict[ids.FailureDomain, list[Able]]
-    heard_of: set[ids.FailureDomain]
+    authorised_by_domain: dict[ids.FailureDomain, list[AuthorisedVm]]
+    reported_domains: set[ids.FailureDomain]
     unreachable: frozenset[model.UpstreamId]
     domain_by_owner: dict[model.UpstreamId, ids.FailureDomain]
 
 
-class Sharing:
+class Responsibilities:
     """The upstreams that one VM looks after.
 
     Args:
@@ -65,60 +72,62 @@
 
     def __init__(self, me: reports.NodeRow):
         self._me = me
-        self._look: Look | None = None
-        self._mine: frozenset[model.UpstreamId] = frozenset()
+        self._view: ClusterView | None = None
+        self._upstreams: frozenset[model.UpstreamId] = frozenset()
 
-    def mine(self, look: Look) -> frozenset[model.UpstreamId]:
+    def upstreams(self, view: ClusterView) -> frozenset[model.UpstreamId]:
         """Returns them, by what is seen now."""
-        if look != self._look:
-            self._look = look
-            self._mine = frozenset(
+        if view != self._view:
+            self._view = view
+            self._upstreams = frozenset(
                 owner
-                for owner in look.domain_by_owner
-                if self._is_mine(owner, look)
+                for owner in view.domain_by_owner
+                if self._is_responsible(owner, view)
             )
-        return self._mine
+        return self._upstreams
 
-    def _is_mine(self, owner: model.UpstreamId, look: Look) -> bool:
-        me, domain = self._me, look.domain_by_owner[owner]
-        near = _reaching(look.able_by_domain.get(domain, ()), owner)
+    def _is_responsible(
+        self, owner: model.UpstreamId, view: ClusterView
+    ) -> bool:
+        me, domain = self._me, view.domain_by_owner[owner]
+        near = _reaching(view.authorised_by_domain.get(domain, ()), owner)
         if domain != me.domain and near:
             # One of those looks after it.
             return False
-        reaches_it = owner not in look.unreachable
+        reaches_it = owner not in view.unreachable
         if domain == me.domain and reaches_it:
             return _is_first(me, near, owner)
         if near:
             return False
-        return self._is_mine_in_need(owner, domain, look, reaches_it)
+        return self._is_fallback(owner, domain, view, reaches_it)
 
-    def _is_mine_in_need(
+    def _is_fallback(
         self,
         owner: model.UpstreamId,
         domain: ids.FailureDomain,
-        look: Look,
+        view: ClusterView,
         reaches_it: bool,
     ) -> bool:
         """The same where no VM that is known to reach it is in its domain."""
         me = self._me
-        if domain in look.heard_of:
+        if domain in view.reported_domains:
             # Its own domain looks after it, and says nothing of it here.
             return False
-        near = look.able_by_domain.get(domain, [])
-        if domain == me.domain and len(near) >= CROWD:
+        near = view.authorised_by_domain.get(domain, [])
+        if domain == me.domain and len(near) >= SINGLE_RETRY_VMS:
             # Nobody near reaches it. One goes on trying, not all of them.
-            return _is_first(me, [able.row for able in near], owner)
+            return _is_first(me, [vm.row for vm in near], owner)
         reaching = [
             row
-            for able in look.able_by_domain.values()
-            for row in _reaching(able, owner)
+            for vms in view.authorised_by_domain.values()
+            for row in _reaching(vms, owner)
         ]
         return not reaching or (reaches_it and _is_first(me, reaching, owner))
 
 
-def able_by_domain(
-    peers: gossip.Peers, now: float, able_since: float | None = None
-) -> dict[ids.FailureDomain, list[Able]]:
+def authorised_by_domain(
+    peers: gossip.Peers, now: float, authorised_since: float | None = None
+) -> dict[ids.FailureDomain, list[AuthorisedVm]]:
     """Returns the peers that may renew grants, by failure domain.
 
     All VMs get that right from the same leader at nearly the same time, but
@@ -127,17 +136,21 @@
     Args:
         peers: The other VMs.
         now: The time.
-        able_since: Since when this VM may; None if that doesn't matter.
+        authorised_since: Since when this VM may; None if that doesn't matter.
     """
-    settled_at = float("-inf") if able_since is None else able_since + SETTLE_S
-    able: dict[ids.FailureDomain, list[Able]] = {}
+    propagated_at = (
+        float("-inf")
+        if authorised_since is None
+        else authorised_since + PROPAGATION_S
+    )
+    authorised: dict[ids.FailureDomain, list[AuthorisedVm]] = {}
     for peer in peers.heard(now):
         report = peer.report
-        is_able = report.is_able or peer.heard_at < settled_at
+        is_able = report.is_able or peer.heard_at < propagated_at
         if is_able and not report.is_leaving:
-            entry = Able(peer.row, tuple(report.unreachable))
-            able.setdefault(peer.row.domain, []).append(entry)
-    return able
+            entry = AuthorisedVm(peer.row, tuple(report.unreachable))
+            authorised.setdefault(peer.row.domain, []).append(entry)
+    return authorised
 
 
 def _is_first(
@@ -149,12 +162,12 @@
 
 
 def _reaching(
-    able: typing.Iterable[Able], owner: model.UpstreamId
+    vms: typing.Iterable[AuthorisedVm], owner: model.UpstreamId
 ) -> list[reports.NodeRow]:
-    return [entry.row for entry in able if owner not in entry.unreachable]
+    return [entry.row for entry in vms if owner not in entry.unreachable]
 
 
-@functools.lru_cache(maxsize=_AFFINITIES)
+@functools.lru_cache(maxsize=_MAX_CACHED_AFFINITIES)
 def affinity(node: model.NodeId, owner: model.UpstreamId) -> int:
     """Returns how much a VM is preferred for an upstream, alike on all VMs."""
     return zlib.crc32(f"{node}/{owner}".encode())
--- a/tests/unit/test_gateway_circulation.py
+++ b/tests/unit/test_gateway_circulation.py
@@ -116,7 +116,7 @@
     def renewers(self) -> list[str]:
         found = []
         for view in self.views:
-            if view._sharing.mine(view._look(_NOW)):
+            if view._responsibilities.upstreams(view._cluster_view(_NOW)):
                 found.append(view._peers.me.domain)
         return found
 
--- a/tests/unit/test_gateway_sharing.py
+++ b/tests/unit/test_gateway_sharing.py
@@ -91,7 +91,7 @@
 
 def test_one_that_says_later_that_it_may_not_is_replaced(site):
     share = _shared_out(site)
-    site.now += sharing.SETTLE_S + 0.1
+    site.now += sharing.PROPAGATION_S + 0.1
     _hear_leader(site, is_able=True)
     _others_say(site, is_able=False)
     assert _shared_out(site) > share
