--- a/src/swiftstile/gateway/authority.py
+++ b/src/swiftstile/gateway/authority.py
@@ -4,11 +4,12 @@
 where a VM is cut off. So a right to renew needs fresh word from others:
 
 * the leader may renew while more than half of the registered VMs, itself
-  included, told it within `FRESH_S` that they follow its leadership, and the
-  store answered it within `STORELESS_S`;
-* any other VM may while it heard the leader within `FRESH_S`, which has that
-  right itself and hears this VM, and both know the same version of the map. So
-  a VM that is silent, to the leader, for long has no right, whatever it hears.
+  included, told it within `MAX_REPORT_AGE_S` that they follow its leadership,
+  and the store answered it within `MAX_STORE_OUTAGE_S`;
+* any other VM may while it heard the leader within `MAX_REPORT_AGE_S`, which
+  has that right itself and hears this VM, and both know the same version of the
+  map. So a VM that is silent, to the leader, for long has no right, whatever it
+  hears.
 
 Another leader counts on the former one having stopped when more than half of
 the VMs told that they follow the new one: any two majorities share a VM. No
@@ -23,25 +24,25 @@
 from swiftstile.gateway import reports
 
 __all__ = [
-    "FRESH_S",
     "LEADER_STOPPED_AFTER_S",
+    "MAX_REPORT_AGE_S",
+    "MAX_STORE_OUTAGE_S",
     "STOPPED_AFTER_S",
-    "STORELESS_S",
     "PeerAuthority",
 ]
 
 # Word of a VM counts so long. Four heartbeats; three may be lost.
-FRESH_S = 1.0
+MAX_REPORT_AGE_S = 1.0
 # Without the store a leader goes on for so long: more than the longest outage
 # that the users know, 9 s. Counted from the last call that succeeded, which
 # may have been under way for 4 s.
-STORELESS_S = 16.0
+MAX_STORE_OUTAGE_S = 16.0
 # A VM follows a former leader until so long after that lost its right: both
 # may count on word that is nearly stale. The rest is for messages under way.
-STOPPED_AFTER_S = 2 * FRESH_S + 0.5
+STOPPED_AFTER_S = 2 * MAX_REPORT_AGE_S + 0.5
 # A former leader itself gives no orders from so long after a majority followed
 # another one: the newest word that it may still count on is older than that.
-LEADER_STOPPED_AFTER_S = FRESH_S + 0.5
+LEADER_STOPPED_AFTER_S = MAX_REPORT_AGE_S + 0.5
 
 
 class PeerAuthority(renewals.Authority):
@@ -78,35 +79,35 @@
         # How old handed-on word is rests on the one that hands it on, which may
         # have stood still meanwhile.
         followers = sum(
-            peer.is_heard_directly(now, FRESH_S)
+            peer.is_heard_directly(now, MAX_REPORT_AGE_S)
             and peer.report.leader_version == self._leads.version
             for peer in self._peers.by_node.values()
         )
         registered = len(self._peers.counted(now)) + 1
         return 2 * (followers + 1) > registered
 
-    def is_able(self, now: float) -> bool:
+    def is_authorised(self, now: float) -> bool:
         """See base class."""
         if not self._is_registered():
             return False
         if self._leads.is_leader:
             storeless_s = now - self._store_contact_at()
-            return self._has_quorum(now) and storeless_s < STORELESS_S
-        return self._able_leader(now) is not None
+            return self._has_quorum(now) and storeless_s < MAX_STORE_OUTAGE_S
+        return self._authorising_leader(now) is not None
 
     def may_renew(self, service: ids.ServiceName) -> bool:
         """See base class."""
         now = clocks.monotonic()
         if self._leads.is_leader:
-            return self.is_able(now)
-        leader = self._able_leader(now)
+            return self.is_authorised(now)
+        leader = self._authorising_leader(now)
         if leader is None or not self._is_registered():
             return False
         key_map = self._maps.by_service.get(service)
-        told = leader.report.versions.get(service)
-        return key_map is not None and told == key_map.version
+        leader_version = leader.report.versions.get(service)
+        return key_map is not None and leader_version == key_map.version
 
-    def _able_leader(self, now: float) -> reports.Peer | None:
+    def _authorising_leader(self, now: float) -> reports.Peer | None:
         """Returns the leader, if it gives this VM the right to renew."""
         leader = self._leader(now)
         if leader is None or not leader.report.is_able or not leader.hears_us:
@@ -118,7 +119,7 @@
         if row is None:
             return None
         peer = self._peers.by_node.get(row.node)
-        if peer is None or not peer.is_heard_directly(now, FRESH_S):
+        if peer is None or not peer.is_heard_directly(now, MAX_REPORT_AGE_S):
             return None
         is_same = (
             peer.report.is_leader
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -194,7 +194,7 @@
             sequence,
             self._leads.is_leader,
             self._is_leaving,
-            self._authority.is_able(now),
+            self._authority.is_authorised(now),
             self._leads.version,
             round(store.silent_s(now), 1),
             shared,
--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/keeper.py
@@ -96,7 +96,7 @@
         table: interfaces.StateTable,
         follower: follow.TableFollower,
         control: interfaces.UpstreamControl,
-        right: authority.PeerAuthority,
+        peer_authority: authority.PeerAuthority,
         row_bytes: int,
         started: float,
         meters: metrics.Meters,
@@ -113,13 +113,20 @@
         self._succession = successor
         self._table = table
         self._follower = follower
-        self._authority = right
+        self._authority = peer_authority
         self._row_bytes = row_bytes
         self._meters = meters
         self._started = started
         self._sources: dict[model.UpstreamId, reclaim.Source] = {}
         self._reclaimer = reclaim.Reclaimer(
-            service, maps, book, renewing, leads, control, right, meters
+            service,
+            maps,
+            book,
+            renewing,
+            leads,
+            control,
+            peer_authority,
+            meters,
         )
         self._store_answered_at = 0.0
         self._store_failed_at = 0.0
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -160,7 +160,7 @@
         renewing: renewals.Renewals,
         leads: leadership.Leadership,
         control: interfaces.UpstreamControl,
-        right: authority.PeerAuthority,
+        peer_authority: authority.PeerAuthority,
         meters: metrics.Meters,
     ):
         self._service = service
@@ -169,7 +169,7 @@
         self._renewing = renewing
         self._leads = leads
         self._control = control
-        self._authority = right
+        self._authority = peer_authority
         self._meters = meters
 
     def start(
@@ -258,7 +258,7 @@
             not source.is_reassigning
             and all(_is_still_leaving(latest, current, i) for i in slot_range)
             and self._leads.is_leader
-            and self._authority.is_able(clocks.monotonic())
+            and self._authority.is_authorised(clocks.monotonic())
         )
 
     async def _release_range(
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -145,7 +145,7 @@
     """Knows whether grants may be renewed by what this VM knows."""
 
     @abc.abstractmethod
-    def is_able(self, now: float) -> bool:
+    def is_authorised(self, now: float) -> bool:
         """Whether this VM has the right to renew for any service."""
 
     @abc.abstractmethod
@@ -225,7 +225,7 @@
     def _share_out(self, now: float) -> None:
         if self._is_stopped:
             return
-        if not self._authority.is_able(now):
+        if not self._authority.is_authorised(now):
             # Others say the same of themselves while there is no leader. Taken
             # for those that are gone, each VM would look after all upstreams.
             self._authorised_since = None
--- a/tests/keeper_parts.py
+++ b/tests/keeper_parts.py
@@ -92,8 +92,8 @@
             led_since=0.0,
             row=None,
         )
-        self.right = types.SimpleNamespace(
-            is_able=lambda now: True,
+        self.authority = types.SimpleNamespace(
+            is_authorised=lambda now: True,
             may_renew=lambda service: True,
             quorum_since=0.0,
         )
@@ -104,7 +104,7 @@
             peers.apply(row, row.node, 0.0)
         meters = metrics.Meters()
         self.renewing = renewals.Renewals(
-            self.maps, self.book, peers, self.control, self.right, meters
+            self.maps, self.book, peers, self.control, self.authority, meters
         )
         follower = types.SimpleNamespace(failing_since=None, version=0)
         self.key_load = key_load.KeyLoadTable()
@@ -132,7 +132,7 @@
             self.table,
             follower,
             self.control,
-            self.right,
+            self.authority,
             65536,
             clocks.monotonic(),
             meters,
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -71,7 +71,7 @@
         )
         maps = renewals.KeyMaps()
         self._maps = maps
-        self.right = authority.PeerAuthority(
+        self.authority = authority.PeerAuthority(
             peers, leads, maps, lambda: True, lambda: clock.now
         )
         self.learn(1)
@@ -180,7 +180,9 @@
             # A new run registers before anything else, with the newest map.
             renewer.learn(2 if self._marked_at else 1)
             self._peer.note_run(renewer.row, now)
-        if now < renewer.due or not renewer.right.may_renew(builders.LOOKUPS):
+        if now < renewer.due or not renewer.authority.may_renew(
+            builders.LOOKUPS
+        ):
             return
         if renewer.version >= 2:
             return
@@ -339,12 +341,14 @@
 
 
 def test_without_the_leaders_word_that_it_hears_a_vm_they_overlap(monkeypatch):
-    def able_leader(self, now):
+    def authorising_leader(self, now):
         leader = self._leader(now)
         is_able = leader is not None and leader.report.is_able
         return leader if is_able else None
 
-    monkeypatch.setattr(authority.PeerAuthority, "_able_leader", able_leader)
+    monkeypatch.setattr(
+        authority.PeerAuthority, "_authorising_leader", authorising_leader
+    )
     assert _overlaps(monkeypatch, _Mute) > 0
 
 
@@ -394,7 +398,7 @@
 
 
 def test_without_fresh_word_of_the_leader_they_overlap(monkeypatch):
-    monkeypatch.setattr(authority, "FRESH_S", 1000.0)
+    monkeypatch.setattr(authority, "MAX_REPORT_AGE_S", 1000.0)
     assert _overlaps(monkeypatch) > 0
 
 
@@ -405,30 +409,30 @@
     peers = gossip.Peers(me, lambda *_: None)
     leads = types.SimpleNamespace(is_leader=True, version=5, row=None)
     contact = {"at": clock.now}
-    right = authority.PeerAuthority(
+    peer_authority = authority.PeerAuthority(
         peers, leads, renewals.KeyMaps(), lambda: True, lambda: contact["at"]
     )
     for name in ("vm-2", "vm-3", "vm-4"):
         row = builders.node_row(name)
         told = builders.report(row, leader_version=5)
         peers.by_node[name] = builders.peer(row, told, clock.now)
-    assert right.is_able(clock.now)
+    assert peer_authority.is_authorised(clock.now)
     # One that follows another leader, and one that is silent: two of four.
     peers.by_node["vm-2"].report.leader_version = 6
     silent = peers.by_node["vm-3"]
     silent.heard_at = silent.direct_at = clock.now - 2.0
-    assert not right.is_able(clock.now)
+    assert not peer_authority.is_authorised(clock.now)
     # Word that another VM handed on doesn't count, however fresh it seems.
     silent.note_word(silent.report, clock.now)
     assert silent.is_heard(clock.now)
-    assert not right.is_able(clock.now)
+    assert not peer_authority.is_authorised(clock.now)
     silent.note_direct(clock.now, hears_us=True)
-    assert right.is_able(clock.now)
-    right.tick(clock.now)
-    assert right.quorum_since == clock.now
+    assert peer_authority.is_authorised(clock.now)
+    peer_authority.tick(clock.now)
+    assert peer_authority.quorum_since == clock.now
     # Without the store for too long, whoever follows.
-    contact["at"] = clock.now - authority.STORELESS_S - 1
-    assert not right.is_able(clock.now)
+    contact["at"] = clock.now - authority.MAX_STORE_OUTAGE_S - 1
+    assert not peer_authority.is_authorised(clock.now)
 
 
 @pytest.mark.parametrize("version", [1, 3])
@@ -447,8 +451,8 @@
     renewer.leader.heard_at = clock.now
     renewer.leader.note_direct(clock.now, hears_us=True)
     renewer.learn(version)
-    assert not renewer.right.may_renew(builders.LOOKUPS)
+    assert not renewer.authority.may_renew(builders.LOOKUPS)
     renewer.learn(2)
-    assert renewer.right.may_renew(builders.LOOKUPS)
+    assert renewer.authority.may_renew(builders.LOOKUPS)
     renewer.leader.hears_us = False
-    assert not renewer.right.may_renew(builders.LOOKUPS)
+    assert not renewer.authority.may_renew(builders.LOOKUPS)
--- a/tests/unit/test_gateway_keeper.py
+++ b/tests/unit/test_gateway_keeper.py
@@ -74,7 +74,7 @@
 def test_without_the_right_to_act_nothing_is_sent():
     parts = keeper_parts.Parts()
     current = parts.start()
-    parts.right.is_able = lambda now: False
+    parts.authority.is_authorised = lambda now: False
     parts.release(current)
     assert parts.control.grants == []
 
@@ -191,7 +191,7 @@
     parts.start(leaving=())
 
     def lose() -> None:
-        parts.right.may_renew = lambda service: False
+        parts.authority.may_renew = lambda service: False
 
     parts.control.before_send = lose
     asyncio.run(parts.renewing._renew_due(builders.LOOKUPS, "u-1"))
--- a/tests/unit/test_gateway_succession.py
+++ b/tests/unit/test_gateway_succession.py
@@ -190,7 +190,7 @@
         self.vm.peers.by_node["vm-1"] = self.vm.first
         self.vm.follow(self.vm.first.row, _FIRST_ROW)
         self.vm.learn(_PLAIN, clock.now)
-        self.right = authority.PeerAuthority(
+        self.authority = authority.PeerAuthority(
             self.vm.peers,
             self.vm.leads,
             self.vm.maps,
@@ -287,7 +287,7 @@
         now, renewer = self._clock.now, self._renewer
         if now < renewer.due or renewer.knows_mark():
             return
-        if not renewer.right.may_renew(builders.LOOKUPS):
+        if not renewer.authority.may_renew(builders.LOOKUPS):
             return
         renewer.due = now + renewals.RENEW_EVERY_S
         run = range(3, 5)
