--- a/src/swiftstile/gateway/authority.py
+++ b/src/swiftstile/gateway/authority.py
@@ -56,13 +56,13 @@
     def __init__(
         self,
         peers: gossip.Peers,
-        leads: leadership.Leadership,
+        leader_state: leadership.Leadership,
         maps: renewals.KeyMaps,
         is_registered,
         store_contact_at,
     ):
         self._peers = peers
-        self._leads = leads
+        self._leader_state = leader_state
         self._maps = maps
         self._is_registered = is_registered
         self._store_contact_at = store_contact_at
@@ -70,7 +70,7 @@
 
     def tick(self, now: float) -> None:
         """Looks whether this VM's leadership is followed."""
-        if not self._leads.is_leader or not self._has_quorum(now):
+        if not self._leader_state.is_leader or not self._has_quorum(now):
             self.quorum_since = None
         elif self.quorum_since is None:
             self.quorum_since = now
@@ -80,7 +80,7 @@
         # have stood still meanwhile.
         followers = sum(
             peer.is_heard_directly(now, MAX_REPORT_AGE_S)
-            and peer.report.leader_version == self._leads.version
+            and peer.report.leader_version == self._leader_state.version
             for peer in self._peers.by_node.values()
         )
         registered = len(self._peers.counted(now)) + 1
@@ -90,7 +90,7 @@
         """See base class."""
         if not self._is_registered():
             return False
-        if self._leads.is_leader:
+        if self._leader_state.is_leader:
             storeless_s = now - self._store_contact_at()
             return self._has_quorum(now) and storeless_s < MAX_STORE_OUTAGE_S
         return self._authorising_leader(now) is not None
@@ -98,7 +98,7 @@
     def may_renew(self, service: ids.ServiceName) -> bool:
         """See base class."""
         now = clocks.monotonic()
-        if self._leads.is_leader:
+        if self._leader_state.is_leader:
             return self.is_authorised(now)
         leader = self._authorising_leader(now)
         if leader is None or not self._is_registered():
@@ -115,7 +115,7 @@
         return leader
 
     def _leader(self, now: float) -> reports.Peer | None:
-        row = self._leads.row
+        row = self._leader_state.row
         if row is None:
             return None
         peer = self._peers.by_node.get(row.node)
@@ -124,6 +124,6 @@
         is_same = (
             peer.report.is_leader
             and peer.row.incarnation == row.incarnation
-            and peer.report.leader_version == self._leads.version
+            and peer.report.leader_version == self._leader_state.version
         )
         return peer if is_same else None
--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/keeper.py
@@ -91,7 +91,7 @@
         plan: slotplan.SlotPlan,
         peers: gossip.Peers,
         renewing: renewals.Renewals,
-        leads: leadership.Leadership,
+        leader_state: leadership.Leadership,
         successor: succession.Succession,
         table: interfaces.StateTable,
         follower: follow.TableFollower,
@@ -109,7 +109,7 @@
         self._given_at = 0.0
         self._peers = peers
         self._renewing = renewing
-        self._leads = leads
+        self._leader_state = leader_state
         self._succession = successor
         self._table = table
         self._follower = follower
@@ -123,7 +123,7 @@
             maps,
             book,
             renewing,
-            leads,
+            leader_state,
             control,
             peer_authority,
             meters,
@@ -142,11 +142,11 @@
 
     async def tick(self) -> None:
         """Looks at what is to be done and does the next step of it."""
-        if self._led_version != self._leads.version:
+        if self._led_version != self._leader_state.version:
             # Another VM may have led since the last tick, which waits as long
             # as a write does, and may have let owners go on with their slots.
             self.forget()
-            self._led_version = self._leads.version
+            self._led_version = self._leader_state.version
         now = clocks.monotonic()
         if self._follower.failing_since is not None:
             await self._keep_leaving()
@@ -368,7 +368,7 @@
             stopped_at = self._succession.stopped_at(self._service, marked)
         if stopped_at is None:
             return reclaim.Source(version, now)
-        former = (self._leads.former_leader, version)
+        former = (self._leader_state.former_leader, version)
         return reclaim.Source(marked, now, stopped_at, former)
 
     async def _store_answers(self) -> bool:
@@ -477,7 +477,7 @@
         return target is not None and target.is_replaced
 
     async def _write(self, changed: keymap.KeyMap, reason: str) -> bool:
-        if not self._leads.is_leader:
+        if not self._leader_state.is_leader:
             # Replaced while this tick waited: the condition would name the row
             # of whoever leads now, and hold.
             return False
@@ -489,7 +489,7 @@
             changed = changed.without_tokens()
             value = changed.encode(ids.new_attempt_id())
         conditions = [
-            self._leads.condition(),
+            self._leader_state.condition(),
             interfaces.Condition(key, changed.version),
         ]
         try:
--- a/src/swiftstile/gateway/leadership.py
+++ b/src/swiftstile/gateway/leadership.py
@@ -26,26 +26,26 @@
 
 LEADER_KEY = "leader"
 # A leader without the store for this long is replaced if others reach it.
-STORELESS_S = 1.5
+STORE_OUTAGE_S = 1.5
 # After an outage of the store for this VM, too, the leader gets so long to
 # reach it again: twice the longest pause between its tries. Each change of the
 # leader makes moves wait for what the former one may have done.
-LEADER_RETURNS_S = 1.0
+LEADER_RECONNECT_S = 1.0
 # A leader whose failure domain is cut off isn't replaced by the smaller part,
 # unless it is silent for so long.
-LONG_SILENCE_S = 4.0
+LEADER_TIMEOUT_S = 4.0
 # Between two tries to take over, so that VMs don't race again and again.
-TRY_PAUSE_S = 0.5
+RETRY_INTERVAL_S = 0.5
 # Each VM waits up to this long at random before it tries, for the same reason.
-SPREAD_S = 0.25
+JITTER_S = 0.25
 # The same for each VM, where they are many. Word of a new leader takes some
 # 0.1 s to reach all; the first of them tries about this soon, however many.
-SPREAD_PER_VM_S = 0.01
+JITTER_PER_VM_S = 0.01
 # VMs with narrow links wait so much longer than any other, until word of one of
 # these came. A leader tells all VMs, and its link must not fill.
-NARROW_PAUSE_S = 0.2
+NARROW_LINK_DELAY_S = 0.2
 # After the start, until reports of others came in.
-START_PAUSE_S = 0.4
+STARTUP_DELAY_S = 0.4
 
 
 class LeaderRow(msgspec.Struct, array_like=True):
@@ -87,8 +87,8 @@
         self._table = table
         self._follower = follower
         self._started = clocks.monotonic()
-        self._try_at = 0.0
-        self._silent_since: float | None = None
+        self._retry_at = 0.0
+        self._unresponsive_since: float | None = None
         self._applied_at = self._started
         self.row: LeaderRow | None = None
         self.version = interfaces.NEW_ROW
@@ -110,7 +110,7 @@
         before, vacated = self.version, self.row.vacated if self.row else 0
         self.version = change.version
         self._applied_at = clocks.monotonic()
-        self._silent_since = None
+        self._unresponsive_since = None
         self.row = None
         if change.value is not None:
             self.row = msgspec.msgpack.decode(change.value, type=LeaderRow)
@@ -142,25 +142,25 @@
         now = clocks.monotonic()
         if self.is_leader or not self._follower.is_loaded:
             return
-        if now - self._started < START_PAUSE_S or now < self._try_at:
+        if now - self._started < STARTUP_DELAY_S or now < self._retry_at:
             return
         if not self._is_vacant(now) or self._follower.failing_since is not None:
             return
-        await asyncio.sleep(self._pause_s())
+        await asyncio.sleep(self._takeover_delay_s())
         if self._is_vacant(clocks.monotonic()):
             await self._take_over()
-        self._try_at = clocks.monotonic() + TRY_PAUSE_S
+        self._retry_at = clocks.monotonic() + RETRY_INTERVAL_S
 
-    def _pause_s(self) -> float:
+    def _takeover_delay_s(self) -> float:
         """Returns how long to wait before a try to take over."""
         places, vms = self._peers.places, len(self._peers.by_node) + 1
         wide = places.wide
-        wide_spread_s = max(SPREAD_S, SPREAD_PER_VM_S * wide)
+        wide_jitter_s = max(JITTER_S, JITTER_PER_VM_S * wide)
         if not places.is_narrow(self._peers.me):
-            return random.uniform(0, wide_spread_s)
-        spread_s = max(SPREAD_S, SPREAD_PER_VM_S * (vms - wide))
-        after_s = wide_spread_s + NARROW_PAUSE_S
-        return after_s + random.uniform(0, spread_s)
+            return random.uniform(0, wide_jitter_s)
+        jitter_s = max(JITTER_S, JITTER_PER_VM_S * (vms - wide))
+        delay_s = wide_jitter_s + NARROW_LINK_DELAY_S
+        return delay_s + random.uniform(0, jitter_s)
 
     def _is_vacant(self, now: float) -> bool:
         if self.row is None or not self.row.node:
@@ -169,27 +169,31 @@
         if leader is None or leader.row.incarnation != self.row.incarnation:
             return True
         if leader.is_heard(now):
-            self._silent_since = None
-            return self._gave_up(leader.report, now)
-        if self._silent_since is None:
+            self._unresponsive_since = None
+            return self._cannot_lead(leader.report, now)
+        if self._unresponsive_since is None:
             # Where VMs are many, one of another domain says nothing here before
             # it leads.
-            self._silent_since = max(
+            self._unresponsive_since = max(
                 leader.heard_at, leader.changed_at, self._applied_at
             )
         known = self._peers.counted(now)
         heard = self._peers.circulation.heard(now)
-        silent_s = now - self._silent_since
-        if silent_s < reports.SILENT_AFTER_S:
+        unresponsive_s = now - self._unresponsive_since
+        if unresponsive_s < reports.SILENT_AFTER_S:
             return False
-        return 2 * heard > len(known) or silent_s > LONG_SILENCE_S
+        return 2 * heard > len(known) or unresponsive_s > LEADER_TIMEOUT_S
 
-    def _gave_up(self, report: reports.Report, now: float) -> bool:
+    def _cannot_lead(self, report: reports.Report, now: float) -> bool:
         """Whether a leader that is heard can't lead for now."""
         if report.is_leaving:
             return True
-        is_just_back = now - self._follower.recovered_at < LEADER_RETURNS_S
-        return report.store_silent_s > STORELESS_S and not is_just_back
+        has_just_reconnected = (
+            now - self._follower.recovered_at < LEADER_RECONNECT_S
+        )
+        return (
+            report.store_silent_s > STORE_OUTAGE_S and not has_just_reconnected
+        )
 
     async def _take_over(self) -> None:
         me = self._peers.me
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -158,7 +158,7 @@
         maps: renewals.KeyMaps,
         book: targets.TargetBook,
         renewing: renewals.Renewals,
-        leads: leadership.Leadership,
+        leader_state: leadership.Leadership,
         control: interfaces.UpstreamControl,
         peer_authority: authority.PeerAuthority,
         meters: metrics.Meters,
@@ -167,7 +167,7 @@
         self._maps = maps
         self._book = book
         self._renewing = renewing
-        self._leads = leads
+        self._leader_state = leader_state
         self._control = control
         self._authority = peer_authority
         self._meters = meters
@@ -257,7 +257,7 @@
         return (
             not source.is_reassigning
             and all(_is_still_leaving(latest, current, i) for i in slot_range)
-            and self._leads.is_leader
+            and self._leader_state.is_leader
             and self._authority.is_authorised(clocks.monotonic())
         )
 
--- a/src/swiftstile/gateway/succession.py
+++ b/src/swiftstile/gateway/succession.py
@@ -29,12 +29,14 @@
     """Remembers when the leader told which versions of the key maps.
 
     Args:
-        leads: Who leads.
+        leader_state: Who leads.
         maps: The maps, with the marks of this VM's own knowledge.
     """
 
-    def __init__(self, leads: leadership.Leadership, maps: renewals.KeyMaps):
-        self._leads = leads
+    def __init__(
+        self, leader_state: leadership.Leadership, maps: renewals.KeyMaps
+    ):
+        self._leader_state = leader_state
         self._maps = maps
         # The version of the leader's row whose reports are noted below.
         self._row_version = 0
@@ -43,17 +45,17 @@
 
     def note_report(self, peer: reports.Peer, now: float) -> None:
         """Takes in a report, if it is the leader's."""
-        leads, report = self._leads, peer.report
-        row = leads.row
-        if leads.is_leader or row is None or peer.row.node != row.node:
+        leader_state, report = self._leader_state, peer.report
+        row = leader_state.row
+        if leader_state.is_leader or row is None or peer.row.node != row.node:
             return
-        if self._row_version != leads.version:
-            self._row_version = leads.version
+        if self._row_version != leader_state.version:
+            self._row_version = leader_state.version
             self._told.clear()
         is_in_force = (
             report.is_leader
             and report.is_able
-            and report.leader_version == leads.version
+            and report.leader_version == leader_state.version
             and peer.row.incarnation == row.incarnation
         )
         if not is_in_force:
@@ -75,7 +77,7 @@
         marks = self._maps.marks_by_service.get(service, {})
         found = [marks.get(index) for index in slots]
         if not found or any(
-            mark is None or mark.known_at > self._leads.led_since
+            mark is None or mark.known_at > self._leader_state.led_since
             for mark in found
         ):
             return None
@@ -92,10 +94,10 @@
             service: The service.
             marked_version: What `marked_version` returned.
         """
-        leads = self._leads
+        leader_state = self._leader_state
         if (
-            leads.former_leader is None
-            or leads.predecessor != self._row_version
+            leader_state.former_leader is None
+            or leader_state.predecessor != self._row_version
         ):
             return None
         versions, times = self._told.get(service, ([], []))
--- a/tests/unit/test_gateway_store.py
+++ b/tests/unit/test_gateway_store.py
@@ -278,7 +278,7 @@
 
 def _lead(made: leadership.Leadership) -> None:
     made._started = -10.0
-    made._try_at = 0.0
+    made._retry_at = 0.0
     asyncio.run(made.tick())
 
 
@@ -298,7 +298,7 @@
     for number, one in enumerate(mbps, 1):
         row = builders.node_row(f"vm-{number}", link_mbps=one)
         peers.apply(row, row.node, 1.0)
-    return [made._pause_s() for _ in range(200)]
+    return [made._takeover_delay_s() for _ in range(200)]
 
 
 def test_vms_with_narrow_links_let_others_lead():
@@ -311,8 +311,8 @@
 
 
 def test_where_all_links_are_alike_none_waits_for_others():
-    assert max(_pauses([10.0] * 8, 10.0)) <= leadership.SPREAD_S
-    assert max(_pauses([0.0] * 8, 0.0)) <= leadership.SPREAD_S
+    assert max(_pauses([10.0] * 8, 10.0)) <= leadership.JITTER_S
+    assert max(_pauses([0.0] * 8, 0.0)) <= leadership.JITTER_S
 
 
 def test_a_former_leader_can_write_nothing():
@@ -350,7 +350,7 @@
     _lead(two)
     assert not two.is_leader
     # Without the store it is replaced by one that has it.
-    told.store_silent_s = leadership.STORELESS_S + 0.1
+    told.store_silent_s = leadership.STORE_OUTAGE_S + 0.1
     _lead(two)
     assert two.is_leader
 
@@ -366,7 +366,7 @@
     two._follower.recovered_at = 49.7
     _lead(two)
     assert not two.is_leader
-    two._follower.recovered_at = 50.0 - leadership.LEADER_RETURNS_S - 0.1
+    two._follower.recovered_at = 50.0 - leadership.LEADER_RECONNECT_S - 0.1
     _lead(two)
     assert two.is_leader
 
@@ -380,7 +380,7 @@
         peers.by_node[name] = builders.peer(row, told, heard_at=48.0)
     _lead(two)
     assert not two.is_leader
-    clock.now = 48.0 + leadership.LONG_SILENCE_S + 0.1
+    clock.now = 48.0 + leadership.LEADER_TIMEOUT_S + 0.1
     _lead(two)
     assert two.is_leader
 
@@ -393,7 +393,7 @@
     clock.now = 50.5
     _lead(two)
     assert not two.is_leader
-    clock.now = 50.0 + leadership.LONG_SILENCE_S + 0.1
+    clock.now = 50.0 + leadership.LEADER_TIMEOUT_S + 0.1
     _lead(two)
     assert two.is_leader
 
