--- a/src/swiftstile/gateway/succession.py
+++ b/src/swiftstile/gateway/succession.py
@@ -22,7 +22,7 @@
 __all__ = ["Succession"]
 
 # Versions of a map that are remembered: those of a minute of the busiest moves.
-_MOST_TOLD = 600
+_MAX_VERSIONS = 600
 
 
 class Succession:
@@ -41,7 +41,7 @@
         # The version of the leader's row whose reports are noted below.
         self._row_version = 0
         # Versions told, and when each came first, both growing.
-        self._told: dict[ids.ServiceName, tuple[list[int], list[float]]] = {}
+        self._history: dict[ids.ServiceName, tuple[list[int], list[float]]] = {}
 
     def note_report(self, peer: reports.Peer, now: float) -> None:
         """Takes in a report, if it is the leader's."""
@@ -51,21 +51,21 @@
             return
         if self._row_version != leader_state.version:
             self._row_version = leader_state.version
-            self._told.clear()
-        is_in_force = (
+            self._history.clear()
+        is_leading = (
             report.is_leader
             and report.is_able
             and report.leader_version == leader_state.version
             and peer.row.incarnation == row.incarnation
         )
-        if not is_in_force:
+        if not is_leading:
             return
         for service, version in report.versions.items():
-            versions, times = self._told.setdefault(service, ([], []))
+            versions, times = self._history.setdefault(service, ([], []))
             if not versions or version > versions[-1]:
                 versions.append(version)
                 times.append(now)
-                del versions[:-_MOST_TOLD], times[:-_MOST_TOLD]
+                del versions[:-_MAX_VERSIONS], times[:-_MAX_VERSIONS]
 
     def marked_version(
         self, service: ids.ServiceName, slots: list[int]
@@ -100,7 +100,7 @@
             or leader_state.predecessor != self._row_version
         ):
             return None
-        versions, times = self._told.get(service, ([], []))
+        versions, times = self._history.get(service, ([], []))
         position = bisect.bisect_left(versions, marked_version)
         if position == len(versions):
             return None
