--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -63,7 +63,7 @@
         arbiter: arbiter_lib.Arbiter,
         book: targets.TargetBook,
         maps: renewals.KeyMaps,
-        renewing: renewals.Renewals,
+        renewing: renewals.GrantRenewer,
         right: authority.PeerAuthority,
         peers: gossip.Peers,
         leads: leadership.Leadership,
--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/keeper.py
@@ -90,7 +90,7 @@
         book: targets.TargetBook,
         plan: slotplan.SlotPlan,
         peers: gossip.Peers,
-        renewing: renewals.Renewals,
+        renewer: renewals.GrantRenewer,
         leader_state: leadership.Leadership,
         successor: succession.Succession,
         table: interfaces.StateTable,
@@ -108,7 +108,7 @@
         self._marked_at = 0.0
         self._given_at = 0.0
         self._peers = peers
-        self._renewing = renewing
+        self._renewer = renewer
         self._leader_state = leader_state
         self._succession = successor
         self._table = table
@@ -122,7 +122,7 @@
             service,
             maps,
             book,
-            renewing,
+            renewer,
             leader_state,
             control,
             peer_authority,
@@ -414,7 +414,7 @@
     def _state_of(self, current, owner, source, slots, now: float) -> "_Move":
         if owner is None or self._is_replaced(owner):
             return _Move.CLEAR
-        hold_table = self._renewing.holds(self._service, len(current.slots))
+        hold_table = self._renewer.holds(self._service, len(current.slots))
         known = moves.outstanding_grants(
             self._service,
             owner,
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -157,7 +157,7 @@
         service: ids.ServiceName,
         maps: renewals.KeyMaps,
         book: targets.TargetBook,
-        renewing: renewals.Renewals,
+        renewer: renewals.GrantRenewer,
         leader_state: leadership.Leadership,
         control: interfaces.UpstreamControl,
         peer_authority: authority.PeerAuthority,
@@ -166,7 +166,7 @@
         self._service = service
         self._maps = maps
         self._book = book
-        self._renewing = renewing
+        self._renewer = renewer
         self._leader_state = leader_state
         self._control = control
         self._authority = peer_authority
@@ -304,7 +304,7 @@
     ) -> interfaces.GrantResult:
         """Grants slots to the owner that they leave, as long as that may be."""
         try:
-            return await self._renewing.grant_counted(
+            return await self._renewer.grant_and_record(
                 self._service,
                 target,
                 slot_range,
--- a/src/swiftstile/gateway/renewal_budget.py
+++ b/src/swiftstile/gateway/renewal_budget.py
@@ -26,4 +26,4 @@
     """
     narrowest_bps = min(row.link_mbps for row in rows) * 1e6
     grants_per_s = len(rows) * RENEWAL_SHARE * narrowest_bps / GRANT_BITS
-    return int(grants_per_s * renewals.RENEW_EVERY_S)
+    return int(grants_per_s * renewals.RENEW_INTERVAL_S)
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -29,22 +29,22 @@
 from swiftstile.gateway import sharing
 from swiftstile.gateway import targets
 
-__all__ = ["HOLD_S", "Authority", "KeyMaps", "Renewals"]
+__all__ = ["HOLD_S", "Authority", "GrantRenewer", "KeyMaps"]
 
 # Hold of each grant. A lost owner's keys wait so long for another; longer
 # holds would need fewer renewals.
 HOLD_S = 5.0
 # Between two renewals of a slot: two may fail before the hold is over.
-RENEW_EVERY_S = 1.8
+RENEW_INTERVAL_S = 1.8
 # Between two looks for what is due.
-_TICK_S = 0.15
+_POLL_INTERVAL_S = 0.15
 # After a failed grant.
-_FAILURE_PAUSE_S = 0.25
+_RETRY_DELAY_S = 0.25
 # Grants to one upstream at the same time: enough to renew all its slots in
 # a fraction of the interval, at a few milliseconds each.
 _PARALLEL = 4
 # The same to an upstream that leaves orders without an answer.
-_PARALLEL_LOSING = 24
+_PARALLEL_UNRESPONSIVE = 24
 # Without an answer to so many, the upstream counts as out of reach.
 _GIVE_UP_AFTER = 4
 
@@ -107,38 +107,40 @@
         self.marks_by_service[service] = marks
 
 
-class _Sending:
+class _GrantAttempt:
     """Counts one grant: that it was sent, and what became of it."""
 
-    def __init__(self, hold_table: holds.HoldTable, run: range, hold_s: float):
+    def __init__(
+        self, hold_table: holds.HoldTable, slot_range: range, hold_s: float
+    ):
         self._holds = hold_table
-        self._run = run
+        self._slot_range = slot_range
         self._hold_s = hold_s
         self._is_open = False
 
-    def begin(self) -> None:
+    def note_sending(self) -> None:
         """It is about to be sent."""
         self._is_open = True
-        self._holds.note_sent(self._run)
+        self._holds.note_sent(self._slot_range)
 
-    def end_answered(self) -> None:
+    def note_answered(self) -> None:
         """It was answered."""
         self._is_open = False
         now = clocks.monotonic()
-        self._holds.note_answered(self._run, now, self._hold_s)
+        self._holds.note_answered(self._slot_range, now, self._hold_s)
 
-    def end_unsent(self) -> None:
+    def note_unsent(self) -> None:
         """It wasn't sent after all."""
         if self._is_open:
             self._is_open = False
-            self._holds.note_unsent(self._run)
+            self._holds.note_unsent(self._slot_range)
 
-    def end_lost(self) -> None:
+    def note_unanswered(self) -> None:
         """Nothing more comes of it; it may have arrived if it is open."""
         if self._is_open:
             self._is_open = False
             now = clocks.monotonic()
-            self._holds.note_unanswered(self._run, now, self._hold_s)
+            self._holds.note_unanswered(self._slot_range, now, self._hold_s)
 
 
 class Authority(abc.ABC):
@@ -153,7 +155,7 @@
         """Whether this VM's map of a service is current enough."""
 
 
-class Renewals:
+class GrantRenewer:
     """Grants and renews keys.
 
     Attributes:
@@ -177,12 +179,12 @@
         self._control = control
         self._authority = authority
         self._meters = meters
-        # When a run of slots was last granted, and under which fence, by its
+        # When a range of slots was last granted, and under which fence, by its
         # first slot.
         self._granted: dict[ids.ServiceName, dict[int, tuple[int, float]]] = {}
         # Until when none of an owner's slots is due, by the map that says so.
-        self._due: dict[model.UpstreamId, tuple[keymap.KeyMap, float]] = {}
-        self._losing: set[model.UpstreamId] = set()
+        self._next_due: dict[model.UpstreamId, tuple[keymap.KeyMap, float]] = {}
+        self._unresponsive: set[model.UpstreamId] = set()
         self._tasks: dict[model.UpstreamId, asyncio.Task] = {}
         self._is_stopped = False
         # Since when this VM has had the right to renew without a break.
@@ -194,8 +196,8 @@
         """Renews until cancelled."""
         try:
             while True:
-                self._share_out(clocks.monotonic())
-                await self._maps.changed.wait(_TICK_S)
+                self._update_tasks(clocks.monotonic())
+                await self._maps.changed.wait(_POLL_INTERVAL_S)
         finally:
             for task in self._tasks.values():
                 task.cancel()
@@ -222,7 +224,7 @@
             (table.max_remaining_s(now) for table in tables), default=0.0
         )
 
-    def _share_out(self, now: float) -> None:
+    def _update_tasks(self, now: float) -> None:
         if self._is_stopped:
             return
         if not self._authority.is_authorised(now):
@@ -264,29 +266,29 @@
             is_answering = await self._renew_due(service, owner)
             if is_answering:
                 self.unreachable.discard(owner)
-                await self._maps.changed.wait(_TICK_S)
+                await self._maps.changed.wait(_POLL_INTERVAL_S)
             else:
                 self.unreachable.add(owner)
-                await asyncio.sleep(_FAILURE_PAUSE_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
 
     async def _renew_due(self, service, owner) -> bool:
         key_map = self._maps.by_service[service]
         now = clocks.monotonic()
         if not self._authority.may_renew(service):
             return True
-        if self._has_started_again(key_map, owner):
+        if self._has_restarted(key_map, owner):
             # Its new life needs a newer fence, which the leader gives it.
             return True
-        queue = self._due_runs(service, key_map, owner, now)
+        queue = self._due_ranges(service, key_map, owner, now)
         if not queue:
             return True
         # Orders that get no answer cost nothing but waiting: more at a time.
-        is_losing = owner in self._losing
-        count = _PARALLEL_LOSING if is_losing else _PARALLEL
+        is_unresponsive = owner in self._unresponsive
+        count = _PARALLEL_UNRESPONSIVE if is_unresponsive else _PARALLEL
         answers: list[bool] = []
 
-        async def grant(run: range) -> None:
-            answers.append(await self._grant(service, owner, run))
+        async def grant(slot_range: range) -> None:
+            answers.append(await self._grant(service, owner, slot_range))
 
         await parallel.work_off(
             queue,
@@ -295,48 +297,48 @@
             lambda: any(answers) or len(answers) < _GIVE_UP_AFTER,
         )
         if all(answers):
-            self._losing.discard(owner)
+            self._unresponsive.discard(owner)
         else:
-            self._losing.add(owner)
+            self._unresponsive.add(owner)
         return any(answers)
 
-    def _due_runs(self, service, key_map, owner, now: float) -> list[range]:
+    def _due_ranges(self, service, key_map, owner, now: float) -> list[range]:
         """Returns runs of slots to renew, the one granted longest ago last."""
-        known = self._due.get(owner)
+        known = self._next_due.get(owner)
         if known is not None and known[0] is key_map and now < known[1]:
             return []
         granted = self._granted.get(service, {})
-        due, earliest = [], now + RENEW_EVERY_S
-        for run in key_map.ranges_of(owner):
-            fence, at = granted.get(run.start, (0, 0.0))
-            if fence != key_map.slots[run.start].fence:
+        due, earliest = [], now + RENEW_INTERVAL_S
+        for slot_range in key_map.ranges_of(owner):
+            fence, at = granted.get(slot_range.start, (0, 0.0))
+            if fence != key_map.slots[slot_range.start].fence:
                 at = 0.0
-            if now - at >= RENEW_EVERY_S:
-                due.append((at, run))
+            if now - at >= RENEW_INTERVAL_S:
+                due.append((at, slot_range))
             else:
-                earliest = min(earliest, at + RENEW_EVERY_S)
+                earliest = min(earliest, at + RENEW_INTERVAL_S)
         if not due:
-            self._due[owner] = key_map, earliest
+            self._next_due[owner] = key_map, earliest
         due.sort(key=lambda entry: entry[0], reverse=True)
-        return [run for _, run in due]
+        return [slot_range for _, slot_range in due]
 
-    async def _grant(self, service, owner, run: range) -> bool:
+    async def _grant(self, service, owner, slot_range: range) -> bool:
         key_map = self._maps.by_service[service]
-        slot = key_map.slots[run.start]
+        slot = key_map.slots[slot_range.start]
         target = self._book.by_id.get(owner)
         now = clocks.monotonic()
 
         def is_due() -> bool:
-            return self._is_due(service, owner, run, slot)
+            return self._is_due(service, owner, slot_range, slot)
 
         if target is None or not is_due():
             return True
         try:
-            result = await self.grant_counted(
+            result = await self.grant_and_record(
                 service,
                 target,
-                run,
-                key_map.keys_of_range(run),
+                slot_range,
+                key_map.keys_of_range(slot_range),
                 slot.fence,
                 HOLD_S,
                 slot.token,
@@ -354,7 +356,7 @@
             return False
         self._meters.ownership.add(f"grant-{result.value}")
         granted = self._granted.setdefault(service, {})
-        granted[run.start] = slot.fence, now
+        granted[slot_range.start] = slot.fence, now
         if result is interfaces.GrantResult.REPLACED:
             self._book.mark_replaced(target, now)
             return False
@@ -363,26 +365,28 @@
                 "grant refused",
                 upstream=owner,
                 service=service,
-                keys=str(key_map.keys_of_range(run)),
+                keys=str(key_map.keys_of_range(slot_range)),
                 fence=slot.fence,
                 result=result.value,
             )
         return True
 
-    def _is_due(self, service, owner, run: range, first) -> bool:
-        """Whether a run of slots is still its owner's, and ours to renew."""
+    def _is_due(self, service, owner, slot_range: range, first) -> bool:
+        """Whether a range of slots is still its owner's, and ours to renew."""
         key_map = self._maps.by_service[service]
-        if any(self._is_stale(key_map.slots[i], owner, first) for i in run):
+        if any(
+            self._is_stale(key_map.slots[i], owner, first) for i in slot_range
+        ):
             return False
-        if self._has_started_again(key_map, owner):
+        if self._has_restarted(key_map, owner):
             return False
         return self._authority.may_renew(service)
 
-    async def grant_counted(
+    async def grant_and_record(
         self,
         service: ids.ServiceName,
         target: targets.Target,
-        run: range,
+        slot_range: range,
         keys: interfaces.KeyRange,
         fence: int,
         hold_s: float,
@@ -394,7 +398,7 @@
         Args:
             service: The service.
             target: The upstream.
-            run: Slots that are granted.
+            slot_range: Slots that are granted.
             keys: Their keys.
             fence: Under which fence.
             hold_s: For how long, from its arrival.
@@ -408,14 +412,14 @@
             PeerUnavailableError: Nothing was sent.
         """
         count = len(self._maps.by_service[service].slots)
-        sending = _Sending(self.holds(service, count), run, hold_s)
+        attempt = _GrantAttempt(self.holds(service, count), slot_range, hold_s)
 
         def on_send() -> None:
             if self._is_stopped or not is_due():
                 raise errors.PeerUnavailableError(
                     "not due any more", step="grant keys", peer=target.id
                 )
-            sending.begin()
+            attempt.note_sending()
 
         try:
             result = await self._control.grant(
@@ -427,17 +431,17 @@
                 token,
                 on_send,
             )
-            sending.end_answered()
+            attempt.note_answered()
         except errors.PeerTimeoutError:
             raise
         except errors.PeerUnavailableError:
-            sending.end_unsent()
+            attempt.note_unsent()
             raise
         finally:
-            sending.end_lost()
+            attempt.note_unanswered()
         return result
 
-    def _has_started_again(self, key_map: keymap.KeyMap, owner) -> bool:
+    def _has_restarted(self, key_map: keymap.KeyMap, owner) -> bool:
         """Whether an owner started again since its slots were given to it."""
         target = self._book.by_id.get(owner)
         return target is not None and target.upstream.is_life_after(
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -258,7 +258,7 @@
             ),
             self._meters,
         )
-        self._renewing = renewals.Renewals(
+        self._renewing = renewals.GrantRenewer(
             self._maps,
             self._book,
             self._peers,
--- a/tests/keeper_parts.py
+++ b/tests/keeper_parts.py
@@ -103,7 +103,7 @@
             row = builders.node_row(f"vm-{number}")
             peers.apply(row, row.node, 0.0)
         meters = metrics.Meters()
-        self.renewing = renewals.Renewals(
+        self.renewer = renewals.GrantRenewer(
             self.maps, self.book, peers, self.control, self.authority, meters
         )
         follower = types.SimpleNamespace(failing_since=None, version=0)
@@ -126,7 +126,7 @@
             self.book,
             self.plan,
             peers,
-            self.renewing,
+            self.renewer,
             self.leads,
             succession.Succession(self.leads, self.maps),
             self.table,
--- a/tests/unit/test_gateway_circulation.py
+++ b/tests/unit/test_gateway_circulation.py
@@ -109,7 +109,7 @@
         maps = renewals.KeyMaps()
         owned = keymap.KeyMap.empty(1).assign({}, {0: "u-1"})
         maps.put(builders.LOOKUPS, owned, _NOW)
-        return renewals.Renewals(
+        return renewals.GrantRenewer(
             maps, book, peers, None, None, metrics.Meters()
         )
 
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -89,7 +89,7 @@
                 self.book.held_for_s(_SLOT, now),
                 self.book.unanswered_for_s(_SLOT, now),
             )
-            # What means nothing isn't told, as `Renewals.leaving_holds` does.
+            # Empty holds are left out, as in `GrantRenewer.leaving_holds`.
             if hold.held_s > 0 or hold.open_s > 0:
                 told = {builders.LOOKUPS: {"u-1": hold}}
         return builders.report(
@@ -186,7 +186,7 @@
             return
         if renewer.version >= 2:
             return
-        renewer.due = now + renewals.RENEW_EVERY_S
+        renewer.due = now + renewals.RENEW_INTERVAL_S
         renewer.book.note_sent(_SLOT)
         if self._random.random() < self._late_share:
             self._late.append((now, now + self._random.uniform(0.5, 12)))
--- a/tests/unit/test_gateway_exclusivity_orders.py
+++ b/tests/unit/test_gateway_exclusivity_orders.py
@@ -253,7 +253,7 @@
 
     def _hold_all(self) -> None:
         """Grants of before; some got no answer, so owners are fenced off."""
-        book = self._parts.renewing.holds(builders.LOOKUPS, _SLOTS)
+        book = self._parts.renewer.holds(builders.LOOKUPS, _SLOTS)
         every = range(_SLOTS)
         is_open = self._draw.random() < self._open_share
         book.note_sent(every)
--- a/tests/unit/test_gateway_gifts.py
+++ b/tests/unit/test_gateway_gifts.py
@@ -112,7 +112,7 @@
         table.during_probe = lambda: _open(control)
         await parts.keeper.tick()
         await _settle()
-        book = parts.renewing.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+        book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
         assert control.grants
         assert book.unanswered_for_s(_SLOTS, 0.0) > 0
         assert parts.maps.by_service[builders.LOOKUPS].leaving == set(_SLOTS)
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -77,7 +77,9 @@
     is 0.1 ms.
     """
     _grow_with_vms_at_most(
-        _steps(sites, lambda site: site.daemon._renewing._share_out(site.now))
+        _steps(
+            sites, lambda site: site.daemon._renewing._update_tasks(site.now)
+        )
     )
 
 
@@ -111,13 +113,13 @@
     # What is remembered must not outlive what it was worked out from.
     site = sites[0]
     renewing, peers = site.daemon._renewing, site.daemon._peers
-    renewing._share_out(site.now)
+    renewing._update_tasks(site.now)
     before = set(renewing._tasks)
     others = [p for p in peers.by_node.values() if p.is_heard(site.now)]
     near = [p for p in others if p.row.domain == peers.me.domain]
     for peer in near:
         peer.heard_at = site.now - 2.0
-    renewing._share_out(site.now)
+    renewing._update_tasks(site.now)
     alone = set(renewing._tasks)
     book = site.daemon._book.by_id.values()
     own = {t.id for t in book if t.upstream.failure_domain == peers.me.domain}
@@ -125,11 +127,11 @@
     assert own <= alone
     for peer in near:
         peer.heard_at = site.now
-    renewing._share_out(site.now)
+    renewing._update_tasks(site.now)
     assert set(renewing._tasks) == before
     unreachable = next(iter(before))
     renewing.unreachable.add(unreachable)
-    renewing._share_out(site.now)
+    renewing._update_tasks(site.now)
     assert set(renewing._tasks) == before - {unreachable}
 
 
--- a/tests/unit/test_gateway_keeper.py
+++ b/tests/unit/test_gateway_keeper.py
@@ -26,7 +26,7 @@
 def test_a_fencing_grant_under_way_keeps_the_slot_from_being_given():
     parts = keeper_parts.Parts()
     current = parts.start()
-    book = parts.renewing.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+    book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     seen = []
     parts.control.during = lambda: seen.append(book.held_for_s([0], 1e12))
     parts.release(current)
@@ -39,7 +39,7 @@
     current = parts.start()
     parts.control.is_silent = True
     source = parts.release(current)
-    book = parts.renewing.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+    book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     now = keeper.clocks.monotonic()
     assert source.tokens == {}
     assert 0 < book.held_for_s([0], now) < renewals.HOLD_S
@@ -56,7 +56,7 @@
     source = reclaim.Source(current.version, clock[0])
     source.is_fenced = True
     target = parts.book.by_id["u-1"]
-    book = parts.renewing.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+    book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     free_at = None
     while clock[0] < 1010.0 and free_at is None:
         if source.may_release(clock[0]):
@@ -130,7 +130,7 @@
         fence = parts.maps.by_service[builders.LOOKUPS].next_fence
         # Both slots by one grant, as they were released together.
         assert set(parts.control.kept) == {("u-1", 0, fence, "warm")}
-        book = parts.renewing.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+        book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
         assert book.held_for_s([0, 1], keeper.clocks.monotonic()) > 0
         # Once the store is back the slots are taken back again, then given.
         parts.control.release = original
@@ -163,11 +163,11 @@
     # were over.
     parts = keeper_parts.Parts()
     parts.start(leaving=())
-    book = parts.renewing.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+    book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     seen = []
     parts.control.before_send = lambda: seen.append(book.held_for_s([0], 0.0))
     parts.control.is_unreachable = True
-    asyncio.run(parts.renewing._renew_due(builders.LOOKUPS, "u-1"))
+    asyncio.run(parts.renewer._renew_due(builders.LOOKUPS, "u-1"))
     assert seen and set(seen) == {0.0}
     assert book.held_for_s([0], 0.0) == 0.0
 
@@ -182,7 +182,7 @@
         parts.maps.put(builders.LOOKUPS, marked, 1.0)
 
     parts.control.before_send = mark
-    asyncio.run(parts.renewing._renew_due(builders.LOOKUPS, "u-1"))
+    asyncio.run(parts.renewer._renew_due(builders.LOOKUPS, "u-1"))
     assert parts.control.grants == []
 
 
@@ -194,7 +194,7 @@
         parts.authority.may_renew = lambda service: False
 
     parts.control.before_send = lose
-    asyncio.run(parts.renewing._renew_due(builders.LOOKUPS, "u-1"))
+    asyncio.run(parts.renewer._renew_due(builders.LOOKUPS, "u-1"))
     assert parts.control.grants == []
 
 
@@ -241,7 +241,7 @@
     clock[0] = 120.0
     made = keeper_parts.Parts()
     made.maps.put(builders.LOOKUPS, current, 120.0)
-    book = parts.renewing.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+    book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     # Built when the process started, at 100, and led since 120.
     assert parts.keeper._own_hold(book, [0], 120.0).held_s == 0.0
     assert made.keeper._own_hold(book, [0], 120.0).held_s > 5.0
--- a/tests/unit/test_gateway_leaving.py
+++ b/tests/unit/test_gateway_leaving.py
@@ -22,7 +22,7 @@
 
 
 def _grant(parts, current) -> None:
-    grant = parts.renewing.grant_counted(
+    grant = parts.renewer.grant_and_record(
         builders.LOOKUPS,
         parts.book.by_id["u-1"],
         range(0, 1),
@@ -43,16 +43,16 @@
 def test_while_it_grants_it_promises_nothing():
     parts, current = _parts(with_others=True)
     _grant(parts, current)
-    assert parts.renewing.grants_end_s(100.0) is None
+    assert parts.renewer.grants_end_s(100.0) is None
 
 
 def test_once_it_stopped_it_tells_until_when_its_grants_hold():
     parts, current = _parts(with_others=True)
     _grant(parts, current)
-    assert parts.renewing.stop(100.0)
-    assert parts.renewing.grants_end_s(100.0) == pytest.approx(5.25)
-    assert parts.renewing.grants_end_s(103.0) == pytest.approx(2.25)
-    assert parts.renewing.grants_end_s(106.0) == 0.0
+    assert parts.renewer.stop(100.0)
+    assert parts.renewer.grants_end_s(100.0) == pytest.approx(5.25)
+    assert parts.renewer.grants_end_s(103.0) == pytest.approx(2.25)
+    assert parts.renewer.grants_end_s(106.0) == 0.0
     with pytest.raises(errors.PeerUnavailableError):
         _grant(parts, current)
     assert len(parts.control.grants) == 1
@@ -63,12 +63,12 @@
     parts.control.is_silent = True
     with pytest.raises(errors.PeerTimeoutError):
         _grant(parts, current)
-    parts.renewing.stop(100.0)
-    assert parts.renewing.grants_end_s(100.0) == pytest.approx(5.25)
+    parts.renewer.stop(100.0)
+    assert parts.renewer.grants_end_s(100.0) == pytest.approx(5.25)
 
 
 def test_where_nobody_else_would_it_goes_on():
     parts, current = _parts(with_others=False)
-    assert not parts.renewing.stop(100.0)
-    assert parts.renewing.grants_end_s(100.0) is None
+    assert not parts.renewer.stop(100.0)
+    assert parts.renewer.grants_end_s(100.0) is None
     _grant(parts, current)
--- a/tests/unit/test_gateway_restart.py
+++ b/tests/unit/test_gateway_restart.py
@@ -73,7 +73,7 @@
     parts, _ = _parts()
 
     def renew():
-        asyncio.run(parts.renewing._renew_due(builders.LOOKUPS, "u-1"))
+        asyncio.run(parts.renewer._renew_due(builders.LOOKUPS, "u-1"))
 
     parts.book.put(_life(_SECOND), 1.0)
     renew()
@@ -94,7 +94,7 @@
     assert new.fence > old.fence
     # What was on its way to another upstream goes on.
     assert after.leaving == {0, 1}
-    asyncio.run(parts.renewing._renew_due(builders.LOOKUPS, "u-1"))
+    asyncio.run(parts.renewer._renew_due(builders.LOOKUPS, "u-1"))
     assert {fence for _, _, fence in parts.control.grants} == {new.fence}
 
 
--- a/tests/unit/test_gateway_sharing.py
+++ b/tests/unit/test_gateway_sharing.py
@@ -52,8 +52,8 @@
             peer.note_report(told, site.now)
 
 
-def _shared_out(site) -> int:
-    site.renewing._share_out(site.now)
+def _upstreams_of(site) -> int:
+    site.renewing._update_tasks(site.now)
     return len(site.renewing._tasks)
 
 
@@ -62,36 +62,36 @@
 
 
 def test_a_vm_looks_after_its_share(site):
-    assert _shared_out(site) < _in_domain() / 5
+    assert _upstreams_of(site) < _in_domain() / 5
 
 
 def test_without_a_leader_none_takes_over_what_others_look_after(site):
-    share = _shared_out(site)
+    share = _upstreams_of(site)
     site.now += 0.5
     _hear_leader(site, is_able=False)
     _others_say(site, is_able=False)
-    assert _shared_out(site) == share
+    assert _upstreams_of(site) == share
 
 
 def test_when_all_get_the_right_at_once_each_takes_its_share(site):
-    share = _shared_out(site)
+    share = _upstreams_of(site)
     site.now += 0.5
     _hear_leader(site, is_able=False)
     _others_say(site, is_able=False)
-    _shared_out(site)
+    _upstreams_of(site)
     # The leader is back; what others told is older than that.
     site.now += 0.3
     _hear_leader(site, is_able=True)
-    assert _shared_out(site) == share
+    assert _upstreams_of(site) == share
     site.now += 0.3
     _others_say(site, is_able=True)
     _hear_leader(site, is_able=True)
-    assert _shared_out(site) == share
+    assert _upstreams_of(site) == share
 
 
 def test_one_that_says_later_that_it_may_not_is_replaced(site):
-    share = _shared_out(site)
+    share = _upstreams_of(site)
     site.now += sharing.PROPAGATION_S + 0.1
     _hear_leader(site, is_able=True)
     _others_say(site, is_able=False)
-    assert _shared_out(site) > share
+    assert _upstreams_of(site) > share
--- a/tests/unit/test_gateway_succession.py
+++ b/tests/unit/test_gateway_succession.py
@@ -289,7 +289,7 @@
             return
         if not renewer.authority.may_renew(builders.LOOKUPS):
             return
-        renewer.due = now + renewals.RENEW_EVERY_S
+        renewer.due = now + renewals.RENEW_INTERVAL_S
         run = range(3, 5)
         renewer.book.note_sent(run)
         renewer.book.note_answered(run, now, renewals.HOLD_S)
