--- a/src/swiftstile/gateway/owners.py
+++ b/src/swiftstile/gateway/owners.py
@@ -8,23 +8,23 @@
 from swiftstile.gateway import renewals
 from swiftstile.gateway import targets
 
-__all__ = ["KeyOwners", "OwnerOfKey"]
+__all__ = ["KeyOwnerLookup", "KeyOwners"]
 
 # A new owner is asked this long after it is known: its first grant goes out
 # when the map arrives, and takes a round trip or two.
-FIRST_GRANT_S = 0.03
+FIRST_GRANT_DELAY_S = 0.03
 # A hand-over takes about this long from the release to the next owner.
-HAND_OVER_S = 0.3
+HANDOVER_S = 0.3
 # After an owner said that it doesn't hold a key that isn't leaving, its next
 # grant is waited for.
 REGRANT_S = 0.15
 # An owner that is lost keeps its keys for about one hold.
-LOST_OWNER_S = renewals.HOLD_S
+FAILED_OWNER_S = renewals.HOLD_S
 # With all upstreams of a service evacuated, its keys get no owner until the
 # operator takes a failure domain back.
 NO_UPSTREAM_S = float("inf")
 # How long the word of an owner that it doesn't hold a key counts.
-MISDIRECTED_LIFE_S = 0.5
+MISDIRECTED_TTL_S = 0.5
 
 
 class KeyOwners:
@@ -55,11 +55,11 @@
             tuple[ids.ServiceName, int], tuple[int, float]
         ] = {}
 
-    def lookup(self, service: ids.ServiceName, key: int) -> "OwnerOfKey":
+    def lookup(self, service: ids.ServiceName, key: int) -> "KeyOwnerLookup":
         """Returns a lookup for one request."""
-        return OwnerOfKey(self, service, key)
+        return KeyOwnerLookup(self, service, key)
 
-    def note_demand(self, waiter: admission.Waiter) -> None:
+    def count_request(self, waiter: admission.Waiter) -> None:
         """Counts a request for a slot of keys.
 
         Whoever decides on it counts it: one VM sees all requests for an owner,
@@ -102,22 +102,22 @@
             return None, self._next_owner_s(service)
         if target.upstream.is_life_after(key_map.started_ms.get(slot.owner, 0)):
             # It holds nothing until the leader gave it its slots once more.
-            return None, HAND_OVER_S
+            return None, HANDOVER_S
         changed = self._maps.changed_at[service].get(index, 0.0)
-        if now - changed < FIRST_GRANT_S:
-            return None, changed + FIRST_GRANT_S - now
+        if now - changed < FIRST_GRANT_DELAY_S:
+            return None, changed + FIRST_GRANT_DELAY_S - now
         refused = self._misdirected.get((service, index))
         if refused is not None:
             fence, at = refused
-            pause_s = HAND_OVER_S if slot.is_leaving else REGRANT_S
+            pause_s = HANDOVER_S if slot.is_leaving else REGRANT_S
             if fence == slot.fence and now - at < pause_s:
                 return None, at + pause_s - now
-            if now - at > MISDIRECTED_LIFE_S or fence != slot.fence:
+            if now - at > MISDIRECTED_TTL_S or fence != slot.fence:
                 del self._misdirected[service, index]
         if target.is_failing and (
             target.is_gone or self._is_cut_off(target, now)
         ):
-            return None, LOST_OWNER_S
+            return None, FAILED_OWNER_S
         if target.is_penalised(now):
             return None, target.penalty_left_s(now)
         return target, 0.0
@@ -126,7 +126,7 @@
         """Returns when a key is likely to have an owner that can be asked."""
         if self._book.evacuated_at and not self._book.has_staying(service):
             return NO_UPSTREAM_S
-        return HAND_OVER_S
+        return HANDOVER_S
 
     def _is_cut_off(self, target: targets.Target, now: float) -> bool:
         """Whether nothing is heard of a target's failure domain.
@@ -137,7 +137,7 @@
         return self._peers.is_silent(target.upstream.failure_domain, now)
 
 
-class OwnerOfKey(admission.OwnerLookup):
+class KeyOwnerLookup(admission.OwnerLookup):
     """The owner of one key."""
 
     def __init__(self, owners: KeyOwners, service: ids.ServiceName, key: int):
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -200,7 +200,7 @@
             admission.Admission(
                 self._book, self._node.domain, self._drain_s, self._cold_limits
             ),
-            key_owners.note_demand,
+            key_owners.count_request,
         )
         self._registry = registry = registry_lib.Registry(
             self._book, adapters.decode_upstream, gate.pump, self._meters
--- a/tests/unit/test_gateway_owners.py
+++ b/tests/unit/test_gateway_owners.py
@@ -42,7 +42,7 @@
     assert case.find() == (case.target, 0.0)
     # A connection to it couldn't be opened; the penalty is over by now.
     case.target.note_failure(_NOW - 1)
-    assert case.find() == (None, owners.LOST_OWNER_S)
+    assert case.find() == (None, owners.FAILED_OWNER_S)
 
 
 @pytest.mark.parametrize("heard_at", [_NOW - 0.1, _NOW - 0.9])
