--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -26,7 +26,7 @@
 from swiftstile.gateway import succession
 from swiftstile.gateway import targets
 
-__all__ = ["MAP_PREFIX", "MapKeeper"]
+__all__ = ["MAP_PREFIX", "KeyAssigner"]
 
 MAP_PREFIX = "keys/"
 # An owner that never registered while this VM runs is gone after this long.
@@ -47,12 +47,12 @@
 # Each write of a map goes to all VMs. Where these are many, moves wait a little
 # and share one: at 77 VMs marks come each 0.46 s and gifts each 0.17 s, instead
 # of up to 30 writes/s between them.
-SPARED_VMS = 20
-MARK_PAUSE_PER_VM_S = 0.008
-GIVE_PAUSE_PER_VM_S = 0.003
+UNTHROTTLED_VMS = 20
+MARK_INTERVAL_PER_VM_S = 0.008
+ASSIGN_INTERVAL_PER_VM_S = 0.003
 
 
-class _Move(enum.Enum):
+class _MoveState(enum.Enum):
     """How far the slots are that leave one owner."""
 
     WAITING = "waiting"
@@ -62,7 +62,7 @@
     CLEAR = "clear"
 
 
-class _Steps(typing.NamedTuple):
+class _NextSteps(typing.NamedTuple):
     """What may be done next with slots that are leaving.
 
     Attributes:
@@ -80,7 +80,7 @@
         return bool(self.cleared or self.releases)
 
 
-class MapKeeper:
+class KeyAssigner:
     """Keeps the key map of one service while this VM leads."""
 
     def __init__(
@@ -106,7 +106,7 @@
         self._book = book
         self._plan = plan
         self._marked_at = 0.0
-        self._given_at = 0.0
+        self._assigned_at = 0.0
         self._peers = peers
         self._renewer = renewer
         self._leader_state = leader_state
@@ -132,7 +132,7 @@
         self._store_failed_at = 0.0
         self._unknown_since: dict[model.UpstreamId, float] = {}
         # Version of the leader's row under which `_sources` were made.
-        self._led_version = interfaces.NEW_ROW
+        self._leader_version = interfaces.NEW_ROW
 
     def forget(self) -> None:
         """Drops what only a leader needs."""
@@ -142,14 +142,14 @@
 
     async def tick(self) -> None:
         """Looks at what is to be done and does the next step of it."""
-        if self._led_version != self._leader_state.version:
+        if self._leader_version != self._leader_state.version:
             # Another VM may have led since the last tick, which waits as long
             # as a write does, and may have let owners go on with their slots.
             self.forget()
-            self._led_version = self._leader_state.version
+            self._leader_version = self._leader_state.version
         now = clocks.monotonic()
         if self._follower.failing_since is not None:
-            await self._keep_leaving()
+            await self._keep_at_owners()
             return
         current = self._maps.by_service.get(self._service)
         owners = () if current is None else current.slots_by_owner
@@ -157,11 +157,11 @@
         if current is None:
             await self._assign_all(weights, now)
             return
-        if await self._give_to_new_lives(current):
+        if await self._reassign_to_restarted(current):
             return
         await self._mark(current, weights, now)
         current = self._maps.by_service[self._service]
-        await self._commit_cleared(current, weights, now)
+        await self._advance_moves(current, weights, now)
 
     async def _assign_all(self, weights, now: float) -> None:
         assigned = self._plan.initial_assignment(weights, now)
@@ -172,7 +172,7 @@
         first = empty.assign({}, dict(enumerate(assigned)), started_ms)
         await self._write(first, "first deal")
 
-    async def _give_to_new_lives(self, current) -> bool:
+    async def _reassign_to_restarted(self, current) -> bool:
         """Gives the slots of owners that started again to them once more.
 
         The new life holds nothing, and grants of before may still arrive there
@@ -180,7 +180,7 @@
         slots stay with it, as another upstream would have to wait until all
         that may be granted to it by the old fence is over.
         """
-        again = self._started_again(current)
+        again = self._restarted_owners(current)
         if not again:
             return False
         owners = {
@@ -194,7 +194,7 @@
             self._meters.ownership.add("started-again", len(again))
         return True
 
-    def _started_again(self, current) -> list[model.UpstreamId]:
+    def _restarted_owners(self, current) -> list[model.UpstreamId]:
         """Returns owners that started again since they got their slots."""
         return [
             owner
@@ -217,13 +217,13 @@
         lost = [
             index
             for owner, slots in current.slots_by_owner.items()
-            if owner not in weights and self._is_lost(owner, now)
+            if owner not in weights and self._has_left(owner, now)
             for index in slots
             if index not in current.leaving
         ]
         moving, reason = lost, "owner lost"
-        if not moving and now - self._marked_at < self._pause_s(
-            MARK_PAUSE_PER_VM_S
+        if not moving and now - self._marked_at < self._write_interval_s(
+            MARK_INTERVAL_PER_VM_S
         ):
             return
         if not moving:
@@ -254,11 +254,11 @@
             self._sources[owner].cancel()
         self._sources[owner] = source
 
-    def _pause_s(self, per_vm_s: float) -> float:
+    def _write_interval_s(self, per_vm_s: float) -> float:
         """Returns the time between two writes of a map, by how many read it."""
-        return per_vm_s * max(0, len(self._peers.by_node) - SPARED_VMS)
+        return per_vm_s * max(0, len(self._peers.by_node) - UNTHROTTLED_VMS)
 
-    def _is_lost(self, owner: model.UpstreamId, now: float) -> bool:
+    def _has_left(self, owner: model.UpstreamId, now: float) -> bool:
         target = self._book.by_id.get(owner)
         if target is not None:
             self._unknown_since.pop(owner, None)
@@ -266,19 +266,19 @@
         since = self._unknown_since.setdefault(owner, now)
         return now - since > UNKNOWN_OWNER_S
 
-    async def _commit_cleared(self, current, weights, now: float) -> None:
+    async def _advance_moves(self, current, weights, now: float) -> None:
         slots_by_source = current.leaving_by_owner()
         for owner in [
             name for name in self._sources if name not in slots_by_source
         ]:
             del self._sources[owner]
         if set(slots_by_source) - set(self._sources):
-            await self._adopt(current, set(slots_by_source))
+            await self._adopt_moves(current, set(slots_by_source))
             return
         if not self._next_steps(current, weights, now).is_any:
             return
         if not await self._store_answers():
-            await self._keep_leaving()
+            await self._keep_at_owners()
             return
         # Releases went on while the store was asked, and may have granted slots
         # whose holds were over: only what holds now counts.
@@ -298,27 +298,29 @@
             for owner in steps.cleared:
                 tokens |= self._sources[owner].tokens
             placed = self._plan.destinations(current, moving, weights, now)
-            await self._give(current, placed, tokens)
+            await self._assign(current, placed, tokens)
 
-    def _next_steps(self, current, weights, now: float) -> "_Steps":
+    def _next_steps(self, current, weights, now: float) -> "_NextSteps":
         """Returns what may be done next with the slots that are leaving."""
-        steps = _Steps({}, [])
-        is_paused = now - self._given_at < self._pause_s(GIVE_PAUSE_PER_VM_S)
+        steps = _NextSteps({}, [])
+        is_throttled = now - self._assigned_at < self._write_interval_s(
+            ASSIGN_INTERVAL_PER_VM_S
+        )
         for owner, slots in current.leaving_by_owner().items():
             source = self._sources.get(owner)
             if source is None:
                 # This VM began to leave.
                 continue
             state = self._state_of(current, owner, source, slots, now)
-            if state is _Move.CLEAR:
-                if weights and not is_paused:
+            if state is _MoveState.CLEAR:
+                if weights and not is_throttled:
                     steps.cleared[owner] = slots
-            elif state is not _Move.WAITING and source.may_release(now):
-                fences = state is _Move.FENCE_AND_RELEASE
+            elif state is not _MoveState.WAITING and source.may_release(now):
+                fences = state is _MoveState.FENCE_AND_RELEASE
                 steps.releases.append((owner, fences))
         return steps
 
-    async def _give(self, current, placed, tokens) -> None:
+    async def _assign(self, current, placed, tokens) -> None:
         """Gives cleared slots to others.
 
         From the look at their holds until this is settled nothing may be
@@ -326,7 +328,7 @@
         and the flag that forbids it.
         """
         started_ms = self._started_ms(set(placed.values()))
-        if self._started_again(current):
+        if self._restarted_owners(current):
             # One fence is for one life: its other slots come first.
             return
         leaves = {current.slots[index].owner for index in placed}
@@ -336,13 +338,15 @@
         if await self._write(
             current.assign(tokens, placed, started_ms), "moved"
         ):
-            self._given_at = clocks.monotonic()
+            self._assigned_at = clocks.monotonic()
             self._meters.ownership.add("moved", len(placed))
             return
         for source in sources:
             source.is_reassigning = False
 
-    async def _adopt(self, current, owners: set[model.UpstreamId]) -> None:
+    async def _adopt_moves(
+        self, current, owners: set[model.UpstreamId]
+    ) -> None:
         """Takes over moves that a former leader began.
 
         It may still send fencing grants; they must be older than ours.
@@ -356,11 +360,13 @@
         self.forget()
         slots = current.leaving_by_owner()
         self._sources = {
-            owner: self._adopted(slots.get(owner, []), version, done)
+            owner: self._adopted_source(slots.get(owner, []), version, done)
             for owner in owners
         }
 
-    def _adopted(self, slots, version: int, now: float) -> reclaim.Source:
+    def _adopted_source(
+        self, slots, version: int, now: float
+    ) -> reclaim.Source:
         """Returns what is known of slots that a former leader marked."""
         marked = self._succession.marked_version(self._service, slots)
         stopped_at = None
@@ -392,7 +398,7 @@
         self._store_answered_at = clocks.monotonic()
         return True
 
-    async def _keep_leaving(self) -> None:
+    async def _keep_at_owners(self) -> None:
         """Lets owners go on with slots that can't be moved for now."""
         current = self._maps.by_service.get(self._service)
         if current is None or not current.leaving:
@@ -411,9 +417,11 @@
             )
         )
 
-    def _state_of(self, current, owner, source, slots, now: float) -> "_Move":
+    def _state_of(
+        self, current, owner, source, slots, now: float
+    ) -> "_MoveState":
         if owner is None or self._is_replaced(owner):
-            return _Move.CLEAR
+            return _MoveState.CLEAR
         hold_table = self._renewer.holds(self._service, len(current.slots))
         known = moves.outstanding_grants(
             self._service,
@@ -428,17 +436,21 @@
             self._authority.quorum_since,
         )
         if known.all_stopped and known.held_s <= 0:
-            return _Move.CLEAR
+            return _MoveState.CLEAR
         is_certain = known.all_stopped and known.open_s <= 0
         if set(slots) <= set(source.tokens):
-            is_shut = source.is_fenced and now >= source.unanswered_until
-            return _Move.CLEAR if is_shut or is_certain else _Move.WAITING
+            is_fenced_off = source.is_fenced and now >= source.unanswered_until
+            return (
+                _MoveState.CLEAR
+                if is_fenced_off or is_certain
+                else _MoveState.WAITING
+            )
         if is_certain:
-            return _Move.RELEASE
+            return _MoveState.RELEASE
         if now - source.marked_at > STOP_WAIT_S:
             source.log_wait(known, owner, len(slots), now)
-            return _Move.FENCE_AND_RELEASE
-        return _Move.WAITING
+            return _MoveState.FENCE_AND_RELEASE
+        return _MoveState.WAITING
 
     def _own_hold(self, hold_table, slots, now: float) -> reports.Hold:
         """Returns what grants of this VM mean, its earlier runs included."""
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -25,7 +25,7 @@
 from swiftstile.gateway import gossip
 from swiftstile.gateway import handler as handler_lib
 from swiftstile.gateway import interfaces
-from swiftstile.gateway import keeper
+from swiftstile.gateway import key_assigner
 from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
 from swiftstile.gateway import leadership
@@ -310,8 +310,10 @@
         )
         return self._daemon
 
-    def _make_keeper(self, service: ids.ServiceName) -> keeper.MapKeeper:
-        return keeper.MapKeeper(
+    def _make_keeper(
+        self, service: ids.ServiceName
+    ) -> key_assigner.KeyAssigner:
+        return key_assigner.KeyAssigner(
             service,
             self._maps,
             self._book,
@@ -362,8 +364,10 @@
             self._leads.apply(change)
         elif key.startswith(membership.NODE_PREFIX):
             self._member.apply(change)
-        elif key.startswith(keeper.MAP_PREFIX) and change.value is not None:
-            service = ids.ServiceName(key.removeprefix(keeper.MAP_PREFIX))
+        elif (
+            key.startswith(key_assigner.MAP_PREFIX) and change.value is not None
+        ):
+            service = ids.ServiceName(key.removeprefix(key_assigner.MAP_PREFIX))
             known = self._maps.by_service.get(service)
             if known is not None and known.version >= change.version:
                 # This VM wrote it.
--- a/tests/keeper_parts.py
+++ b/tests/assigner_parts.py
@@ -8,7 +8,7 @@
 from swiftstile import metrics
 from swiftstile.gateway import gossip
 from swiftstile.gateway import interfaces
-from swiftstile.gateway import keeper
+from swiftstile.gateway import key_assigner
 from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
 from swiftstile.gateway import reclaim
@@ -120,7 +120,7 @@
             0.0,
             max_ranges=lambda: self.max_ranges,
         )
-        self.keeper = keeper.MapKeeper(
+        self.assigner = key_assigner.KeyAssigner(
             builders.LOOKUPS,
             self.maps,
             self.book,
@@ -144,7 +144,7 @@
         empty = keymap.KeyMap.empty(slotplan.SLOT_COUNT)
         made = empty.assign({}, owners, started_ms)
         made = made.mark_leaving(leaving)
-        key = keeper.MAP_PREFIX + builders.LOOKUPS
+        key = key_assigner.MAP_PREFIX + builders.LOOKUPS
         write = interfaces.Write(key, made.encode("x"))
         made.version = self.table.apply([], [write])
         self.maps.put(builders.LOOKUPS, made, 0.0)
@@ -155,7 +155,7 @@
         source.is_fenced = is_fenced
         target = self.book.by_id["u-1"]
         asyncio.run(
-            self.keeper._reclaimer.release(
+            self.assigner._reclaimer.release(
                 current, target, source, [range(1, 2), range(1)]
             )
         )
--- a/tests/integration/test_narrow_links.py
+++ b/tests/integration/test_narrow_links.py
@@ -34,8 +34,8 @@
 from swiftstile.gateway import relay
 from swiftstile.gateway import reports
 from swiftstile.peers import links
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 from tests import row_parts
 from tests.integration import gateways
 from tests.integration import narrow_link
@@ -116,7 +116,7 @@
             store.write([(_TABLE, "keys/lookups", _big_row())])
             following = asyncio.create_task(table.wait_for_changes(0, 0.1))
             await asyncio.sleep(0.05)
-            leader = keeper_parts.Parts(table=table).keeper
+            leader = assigner_parts.Parts(table=table).assigner
             assert await leader._store_answers()
             assert not following.done()
             await following
@@ -127,7 +127,7 @@
 def test_the_leader_is_told_when_the_store_does_not_answer():
     async def scenario():
         async with _store_table() as (store, table, _):
-            leader = keeper_parts.Parts(table=table).keeper
+            leader = assigner_parts.Parts(table=table).assigner
             store.mode_by_door[0] = "busy"
             assert not await leader._store_answers()
 
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -12,8 +12,8 @@
 from swiftstile.gateway import gossip
 from swiftstile.gateway import slotplan
 from swiftstile.gateway import targets
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 from tests import load_player
 
 _PER_S = 5.9
@@ -220,7 +220,7 @@
                 for number, is_cold in enumerate(cold, 1)
             )
         )
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         self.plan = slotplan.SlotPlan(
             builders.LOOKUPS,
             self.book,
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -27,8 +27,8 @@
 from swiftstile.gateway import permits
 from swiftstile.gateway import registry
 from swiftstile.gateway import targets
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 _DRAIN_S = 2.5
 # A request that was sent is on its way, behind others on a narrow link.
@@ -47,7 +47,7 @@
     """
 
     def __init__(self):
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         meters = metrics.Meters()
         self.book = parts.book
         self._put(model.UpstreamState.READY, 0.0)
--- a/tests/unit/test_gateway_evacuation.py
+++ b/tests/unit/test_gateway_evacuation.py
@@ -17,8 +17,8 @@
 from swiftstile.gateway import registry
 from swiftstile.gateway import slotplan
 from swiftstile.gateway import targets
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 _KEY = 100
 _EVACUATED_AT = 50.0
@@ -136,7 +136,7 @@
     """A keyed service, of which `u-1` owns all keys in one domain."""
 
     def __init__(self):
-        self.parts = keeper_parts.Parts()
+        self.parts = assigner_parts.Parts()
         self.book = self.parts.book
         for name, domain in (("u-1", builders.AWAY), ("u-2", builders.HOME)):
             self.book.put(builders.upstream(name, failure_domain=domain), 0.0)
@@ -189,7 +189,7 @@
     async def tick() -> None:
         for _ in range(200):
             now[0] += 0.05
-            await parts.keeper.tick()
+            await parts.assigner.tick()
             # Releases run beside it.
             await asyncio.sleep(0)
 
@@ -224,7 +224,7 @@
 def test_new_keys_are_dealt_to_others(domain):
     book = _book(builders.HOME, builders.AWAY)
     book.evacuate(domain, 0.0)
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     plan = slotplan.SlotPlan(
         builders.LOOKUPS,
         book,
--- a/tests/unit/test_gateway_exclusivity_orders.py
+++ b/tests/unit/test_gateway_exclusivity_orders.py
@@ -17,20 +17,20 @@
 
 from swiftstile import errors
 from swiftstile.gateway import interfaces
-from swiftstile.gateway import keeper
+from swiftstile.gateway import key_assigner
 from swiftstile.gateway import keymap
 from swiftstile.gateway import keyplan
 from swiftstile.gateway import reclaim
 from swiftstile.gateway import renewals
 from swiftstile.gateway import slotplan
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 _START_S = 100.0
 _LENGTH_S = 14.0
 _SLOTS = 16
 _TICK_S = 0.05
-_KEY = keeper.MAP_PREFIX + builders.LOOKUPS
+_KEY = key_assigner.MAP_PREFIX + builders.LOOKUPS
 # As the orders' own limits (platform/users_platform/control.py).
 _GRANT_TIMEOUT_S, _RELEASE_TIMEOUT_S = 0.25, 1.5
 # A leader that is replaced has a right to give orders for so long.
@@ -231,25 +231,25 @@
 
     async def _play(self) -> None:
         store, upstreams = _Store(self.world), _Upstreams(self.world)
-        self._parts = parts = keeper_parts.Parts(
+        self._parts = parts = assigner_parts.Parts(
             table=store, control=upstreams, max_ranges=self.max_ranges
         )
         parts.book.put(builders.upstream("u-3"), 0.0)
         parts.start(leaving=range(self._draw.randint(1, self._most_leaving)))
-        parts.keeper._started -= 60.0
+        parts.assigner._started -= 60.0
         parts.plan.hot_slots_to_move = self._hot_to_move
         parts.plan.surplus_slots_to_move = lambda *_: []
         self._hold_all()
         self._plan(store, upstreams)
         while self._clock.now < _START_S + _LENGTH_S:
             await asyncio.sleep(_TICK_S)
-            parts.keeper._follower.failing_since = (
+            parts.assigner._follower.failing_since = (
                 store.away[0] if store.is_away() else None
             )
             if parts.leads.is_leader:
-                await parts.keeper.tick()
+                await parts.assigner.tick()
             else:
-                parts.keeper.forget()
+                parts.assigner.forget()
 
     def _hold_all(self) -> None:
         """Grants of before; some got no answer, so owners are fenced off."""
@@ -365,7 +365,7 @@
 
 
 def test_without_the_second_look_at_the_holds_they_overlap(monkeypatch):
-    original = keeper.MapKeeper._next_steps
+    original = key_assigner.KeyAssigner._next_steps
     # The map that was looked at, and what was seen.
     looked = [None, None]
 
@@ -377,7 +377,7 @@
         looked[:] = (current, steps) if steps.is_any else (None, None)
         return steps
 
-    monkeypatch.setattr(keeper.MapKeeper, "_next_steps", only_the_first)
+    monkeypatch.setattr(key_assigner.KeyAssigner, "_next_steps", only_the_first)
     assert _overlaps(monkeypatch) > 0
 
 
--- a/tests/unit/test_gateway_gifts.py
+++ b/tests/unit/test_gateway_gifts.py
@@ -15,12 +15,12 @@
 import asyncio
 
 from swiftstile.gateway import interfaces
-from swiftstile.gateway import keeper
+from swiftstile.gateway import key_assigner
 from swiftstile.gateway import keymap
 from swiftstile.gateway import reclaim
 from swiftstile.gateway import slotplan
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 _SLOTS = [0, 1]
 # They came to their owner together, so they are taken back as one.
@@ -49,7 +49,7 @@
         return await super().wait_for_changes(after, wait_s)
 
 
-class _OpeningControl(keeper_parts.Control):
+class _OpeningControl(assigner_parts.Control):
     """Sends nothing before its connections are open."""
 
     def __init__(self):
@@ -72,18 +72,18 @@
     await _settle()
 
 
-async def _reclaiming(table, control) -> keeper_parts.Parts:
+async def _reclaiming(table, control) -> assigner_parts.Parts:
     """Returns a leader that takes slots back whose holds are over.
 
     Its fencing grants are about to be sent.
     """
-    parts = keeper_parts.Parts(table=table, control=control)
+    parts = assigner_parts.Parts(table=table, control=control)
     parts.start(_SLOTS)
-    parts.keeper._started -= _LONG_AGO_S
-    await parts.keeper.tick()
+    parts.assigner._started -= _LONG_AGO_S
+    await parts.assigner.tick()
     current = parts.maps.by_service[builders.LOOKUPS]
-    source = parts.keeper._sources["u-1"]
-    parts.keeper._reclaimer.start(current, "u-1", source, _PIECES, True)
+    source = parts.assigner._sources["u-1"]
+    parts.assigner._reclaimer.start(current, "u-1", source, _PIECES, True)
     await _settle()
     return parts
 
@@ -94,7 +94,7 @@
         parts = await _reclaiming(table, control)
         table.during_write = lambda: _open(control)
         version = parts.maps.by_service[builders.LOOKUPS].version
-        await parts.keeper.tick()
+        await parts.assigner.tick()
         await _settle()
         given = parts.maps.by_service[builders.LOOKUPS]
         assert given.version > version and not given.leaving
@@ -108,9 +108,9 @@
         table, control = _SlowTable(), _OpeningControl()
         parts = await _reclaiming(table, control)
         control.is_silent = True
-        parts.keeper._store_answered_at = 0.0
+        parts.assigner._store_answered_at = 0.0
         table.during_probe = lambda: _open(control)
-        await parts.keeper.tick()
+        await parts.assigner.tick()
         await _settle()
         book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
         assert control.grants
@@ -129,7 +129,7 @@
             table.refuse = 1
 
         table.during_write = refuse
-        await parts.keeper.tick()
+        await parts.assigner.tick()
         assert parts.maps.by_service[builders.LOOKUPS].leaving == set(_SLOTS)
         await _open(control)
         assert {fence for _, _, fence in control.grants} == {
@@ -155,7 +155,7 @@
                 await _open(control)
 
         table.during_write = open_at_gift
-        await parts.keeper.tick()
+        await parts.assigner.tick()
         await _settle()
         assert not parts.maps.by_service[builders.LOOKUPS].leaving
         assert control.grants == []
@@ -169,10 +169,12 @@
     async def scenario():
         parts = await _reclaiming(_SlowTable(), _OpeningControl())
         before = parts.maps.by_service[builders.LOOKUPS].next_fence
-        parts.keeper._given_at = keeper.clocks.monotonic() + _LONG_AGO_S
-        parts.keeper._pause_s = lambda per_vm_s: 0.0
+        parts.assigner._assigned_at = (
+            key_assigner.clocks.monotonic() + _LONG_AGO_S
+        )
+        parts.assigner._write_interval_s = lambda per_vm_s: 0.0
         parts.plan.hot_slots_to_move = lambda *_: [5]
-        await parts.keeper.tick()
+        await parts.assigner.tick()
         after = parts.maps.by_service[builders.LOOKUPS]
         assert after.leaving == {5, *_SLOTS}
         assert after.next_fence > before
@@ -192,11 +194,11 @@
         async def overwrite() -> None:
             writes.append(table.version)
             if len(writes) == 2:
-                key = keeper.MAP_PREFIX + builders.LOOKUPS
+                key = key_assigner.MAP_PREFIX + builders.LOOKUPS
                 table.apply([], [interfaces.Write(key, b"of another leader")])
 
         table.during_write = overwrite
-        await parts.keeper.tick()
+        await parts.assigner.tick()
         await _open(control)
         assert len(writes) == 2
         assert control.grants == []
@@ -210,13 +212,13 @@
         table, control = _SlowTable(), _OpeningControl()
         parts = await _reclaiming(table, control)
         before = parts.maps.by_service[builders.LOOKUPS]
-        parts.keeper._store_answered_at = 0.0
+        parts.assigner._store_answered_at = 0.0
 
         async def replace() -> None:
             parts.leads.is_leader = False
 
         table.during_probe = replace
-        await parts.keeper.tick()
+        await parts.assigner.tick()
         assert parts.maps.by_service[builders.LOOKUPS] is before
 
     asyncio.run(scenario())
@@ -226,15 +228,15 @@
     # Another VM led in between and let the owner go on with its slots: what was
     # released before that says nothing.
     async def scenario():
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         parts.start(_SLOTS)
-        await parts.keeper.tick()
-        source = parts.keeper._sources["u-1"]
+        await parts.assigner.tick()
+        source = parts.assigner._sources["u-1"]
         source.is_fenced = True
         source.tokens = dict.fromkeys(_SLOTS, "warm")
         parts.leads.version += 2
         before = parts.maps.by_service[builders.LOOKUPS]
-        await parts.keeper.tick()
+        await parts.assigner.tick()
         after = parts.maps.by_service[builders.LOOKUPS]
         assert after.leaving == set(_SLOTS)
         assert after.next_fence > before.next_fence
@@ -249,29 +251,29 @@
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: clock[0])
 
     async def scenario():
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         parts.start(_SLOTS)
-        parts.keeper._started -= _LONG_AGO_S
-        await parts.keeper.tick()
+        parts.assigner._started -= _LONG_AGO_S
+        await parts.assigner.tick()
         current = parts.maps.by_service[builders.LOOKUPS]
-        source = parts.keeper._sources["u-1"]
+        source = parts.assigner._sources["u-1"]
         source.is_fenced = True
         parts.control.is_silent = True
         target = parts.book.by_id["u-1"]
-        await parts.keeper._reclaimer.keep(current, "u-1", source, _PIECES)
+        await parts.assigner._reclaimer.keep(current, "u-1", source, _PIECES)
         assert parts.control.kept
         kept_until = clock[0] + reclaim.KEEP_HOLD_S
         parts.control.is_silent = False
-        await parts.keeper._reclaimer.release(
+        await parts.assigner._reclaimer.release(
             current, target, source, list(_PIECES)
         )
         assert set(source.tokens) == set(_SLOTS)
         clock[0] += 0.1
-        await parts.keeper.tick()
+        await parts.assigner.tick()
         assert parts.maps.by_service[builders.LOOKUPS].leaving == set(_SLOTS)
         while parts.maps.by_service[builders.LOOKUPS].leaving:
             clock[0] += 0.1
-            await parts.keeper.tick()
+            await parts.assigner.tick()
             assert clock[0] < kept_until + 1.0
         assert clock[0] > kept_until
 
--- a/tests/unit/test_gateway_keeper.py
+++ b/tests/unit/test_gateway_key_assigner.py
@@ -2,18 +2,18 @@
 
 import asyncio
 
-from swiftstile.gateway import keeper
+from swiftstile.gateway import key_assigner
 from swiftstile.gateway import reclaim
 from swiftstile.gateway import renewals
 from swiftstile.gateway import slotplan
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 
 def test_a_release_that_outlives_its_move_sends_nothing():
     # Found on trouble-3 of hbrt-gw: slots were given away as their holds had
     # ended, while a release of the same slots was still working its way down.
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     current = parts.start()
     given = current.assign({}, {0: "u-2", 1: "u-2"})
     given.version = current.version + 1
@@ -24,7 +24,7 @@
 
 
 def test_a_fencing_grant_under_way_keeps_the_slot_from_being_given():
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     current = parts.start()
     book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     seen = []
@@ -35,12 +35,12 @@
 
 
 def test_a_fencing_grant_without_answer_counts_as_a_grant():
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     current = parts.start()
     parts.control.is_silent = True
     source = parts.release(current)
     book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
-    now = keeper.clocks.monotonic()
+    now = key_assigner.clocks.monotonic()
     assert source.tokens == {}
     assert 0 < book.held_for_s([0], now) < renewals.HOLD_S
 
@@ -48,7 +48,7 @@
 def test_tries_to_fence_off_a_silent_owner_let_its_slots_free(monkeypatch):
     # Found by seed 3 of the soak: each try counted as a grant of full length,
     # so the keys of a dead owner were never given away.
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     current = parts.start()
     parts.control.is_silent = True
     clock = [1000.0]
@@ -61,7 +61,7 @@
     while clock[0] < 1010.0 and free_at is None:
         if source.may_release(clock[0]):
             asyncio.run(
-                parts.keeper._reclaimer.release(
+                parts.assigner._reclaimer.release(
                     current, target, source, [range(1, 2), range(1)]
                 )
             )
@@ -72,7 +72,7 @@
 
 
 def test_without_the_right_to_act_nothing_is_sent():
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     current = parts.start()
     parts.authority.is_authorised = lambda now: False
     parts.release(current)
@@ -80,9 +80,9 @@
 
 
 def test_fencing_grants_of_a_former_leader_are_older_than_ours():
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     before = parts.start()
-    asyncio.run(parts.keeper.tick())
+    asyncio.run(parts.assigner.tick())
     after = parts.maps.by_service[builders.LOOKUPS]
     assert after.version > before.version
     assert after.next_fence > before.next_fence
@@ -91,11 +91,11 @@
 
 def test_slots_of_an_owner_that_released_them_are_given_with_its_tokens():
     async def scenario():
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         parts.start()
         async with asyncio.timeout(5):
             while parts.maps.by_service[builders.LOOKUPS].leaving:
-                await parts.keeper.tick()
+                await parts.assigner.tick()
                 await asyncio.sleep(0.01)
         given = parts.maps.by_service[builders.LOOKUPS]
         assert [given.slots[i].token for i in (0, 1)] == ["warm", "warm"]
@@ -107,7 +107,7 @@
 async def _tick_until(parts, condition) -> None:
     async with asyncio.timeout(5):
         while not condition():
-            await parts.keeper.tick()
+            await parts.assigner.tick()
             await asyncio.sleep(0.01)
 
 
@@ -115,14 +115,14 @@
     # Found by CI: an outage of the store in the middle of a move left the
     # released slots without an owner until the store was back.
     async def scenario():
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         parts.start()
         # The store answers until the slots were released.
         original = parts.control.release
 
         async def release(*arguments):
             parts.table.refuse = 10**6
-            parts.keeper._store_answered_at = 0.0
+            parts.assigner._store_answered_at = 0.0
             return await original(*arguments)
 
         parts.control.release = release
@@ -131,7 +131,7 @@
         # Both slots by one grant, as they were released together.
         assert set(parts.control.kept) == {("u-1", 0, fence, "warm")}
         book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
-        assert book.held_for_s([0, 1], keeper.clocks.monotonic()) > 0
+        assert book.held_for_s([0, 1], key_assigner.clocks.monotonic()) > 0
         # Once the store is back the slots are taken back again, then given.
         parts.control.release = original
         parts.table.refuse = 0
@@ -146,10 +146,10 @@
 
 def test_nothing_is_released_while_the_store_does_not_answer():
     async def scenario():
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         parts.start()
-        await parts.keeper.tick()
-        parts.keeper._store_answered_at = 0.0
+        await parts.assigner.tick()
+        parts.assigner._store_answered_at = 0.0
         parts.table.refuse = 10**6
         await _tick_until(parts, lambda: parts.control.kept)
         assert parts.control.releases == []
@@ -161,7 +161,7 @@
     # Found on trouble-3 of armor-encheres: while connections to a lost owner
     # were being opened its slots counted as held, for seconds after all holds
     # were over.
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     parts.start(leaving=())
     book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     seen = []
@@ -173,7 +173,7 @@
 
 
 def test_a_slot_that_is_marked_while_a_connection_opens_is_not_granted():
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     current = parts.start(leaving=())
 
     def mark() -> None:
@@ -187,7 +187,7 @@
 
 
 def test_one_that_lost_its_right_while_a_connection_opens_does_not_grant():
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     parts.start(leaving=())
 
     def lose() -> None:
@@ -199,7 +199,7 @@
 
 
 def test_a_slot_that_was_given_while_a_connection_opens_is_not_fenced_off():
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     current = parts.start()
     parts.control.before_send = lambda: parts.maps.put(
         builders.LOOKUPS, _given(current), 1.0
@@ -215,7 +215,7 @@
 
 
 def test_one_slot_of_an_owner_out_of_reach_is_tried_not_all():
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     current = parts.start(leaving=range(100))
     parts.control.is_unreachable = True
     tries = []
@@ -224,7 +224,7 @@
     source.is_fenced = True
     target = parts.book.by_id["u-1"]
     pieces = [range(index, index + 1) for index in range(100)]
-    run = parts.keeper._reclaimer.release(current, target, source, pieces)
+    run = parts.assigner._reclaimer.release(current, target, source, pieces)
     asyncio.run(run)
     assert 1 <= len(tries) <= 4
 
@@ -236,19 +236,19 @@
     # counted what an earlier run of its own may have granted from then on.
     clock = [100.0]
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: clock[0])
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     current = parts.start(leaving=(0,))
     clock[0] = 120.0
-    made = keeper_parts.Parts()
+    made = assigner_parts.Parts()
     made.maps.put(builders.LOOKUPS, current, 120.0)
     book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     # Built when the process started, at 100, and led since 120.
-    assert parts.keeper._own_hold(book, [0], 120.0).held_s == 0.0
-    assert made.keeper._own_hold(book, [0], 120.0).held_s > 5.0
+    assert parts.assigner._own_hold(book, [0], 120.0).held_s == 0.0
+    assert made.assigner._own_hold(book, [0], 120.0).held_s > 5.0
 
 
 def test_slots_that_turn_hot_one_after_the_other_are_placed_apart(monkeypatch):
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     for name in ("u-3", "u-4"):
         parts.book.put(builders.upstream(name), 0.0)
     current = parts.start(leaving=())
@@ -270,15 +270,15 @@
     """Returns writes of the map while another slot is hot at each look."""
 
     async def scenario() -> int:
-        parts = keeper_parts.Parts(vms)
+        parts = assigner_parts.Parts(vms)
         parts.start(leaving=())
         slots = iter(range(slotplan.SLOT_COUNT))
         monkeypatch.setattr(
             slotplan.hotplan, "relocations", lambda *_: {next(slots): "u-2"}
         )
         before = parts.table.version
-        end = keeper.clocks.monotonic() + for_s
-        await _tick_until(parts, lambda: keeper.clocks.monotonic() > end)
+        end = key_assigner.clocks.monotonic() + for_s
+        await _tick_until(parts, lambda: key_assigner.clocks.monotonic() > end)
         return parts.table.version - before
 
     return asyncio.run(scenario())
@@ -295,14 +295,14 @@
 
 def test_slots_of_an_owner_that_is_gone_are_not_granted_to_it():
     async def scenario():
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         parts.start()
-        await parts.keeper.tick()
-        parts.book.mark_gone("u-1", keeper.clocks.monotonic())
-        parts.keeper._store_answered_at = 0.0
+        await parts.assigner.tick()
+        parts.book.mark_gone("u-1", key_assigner.clocks.monotonic())
+        parts.assigner._store_answered_at = 0.0
         parts.table.refuse = 10**6
         for _ in range(5):
-            await parts.keeper.tick()
+            await parts.assigner.tick()
         assert parts.control.kept == []
 
     asyncio.run(scenario())
--- a/tests/unit/test_gateway_leaving.py
+++ b/tests/unit/test_gateway_leaving.py
@@ -6,12 +6,12 @@
 
 from swiftstile import errors
 from swiftstile.gateway import keymap
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 
-def _parts(with_others: bool) -> tuple[keeper_parts.Parts, keymap.KeyMap]:
-    parts = keeper_parts.Parts()
+def _parts(with_others: bool) -> tuple[assigner_parts.Parts, keymap.KeyMap]:
+    parts = assigner_parts.Parts()
     current = parts.start(leaving=())
     if with_others:
         row = builders.node_row("vm-2")
--- a/tests/unit/test_gateway_owners.py
+++ b/tests/unit/test_gateway_owners.py
@@ -4,8 +4,8 @@
 
 from swiftstile.gateway import key_load
 from swiftstile.gateway import owners
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 _KEY = 100
 _NOW = 50.0
@@ -15,7 +15,7 @@
     """One upstream of another domain that owns all keys, and a VM there."""
 
     def __init__(self, heard_at: float):
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         parts.book.put(
             builders.upstream("u-1", failure_domain=builders.AWAY), 0.0
         )
--- a/tests/unit/test_gateway_restart.py
+++ b/tests/unit/test_gateway_restart.py
@@ -6,8 +6,8 @@
 from swiftstile.gateway import keymap
 from swiftstile.gateway import model
 from swiftstile.gateway import owners
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 _FIRST, _SECOND = 1_789_144_553_235, 1_789_144_560_000
 
@@ -16,12 +16,12 @@
     return builders.upstream(name, started_ms=started_ms)
 
 
-def _parts() -> tuple[keeper_parts.Parts, keymap.KeyMap]:
+def _parts() -> tuple[assigner_parts.Parts, keymap.KeyMap]:
     """Returns a keeper whose two upstreams are in their first life.
 
     Slots 0 and 1 of u-1 are leaving, all others stay with it.
     """
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     for name in ("u-1", "u-2"):
         parts.book.put(_life(_FIRST, name), 0.0)
     started = {model.UpstreamId("u-1"): _FIRST}
@@ -86,7 +86,7 @@
 def test_the_leader_gives_a_new_life_its_slots_under_a_newer_fence():
     parts, before = _parts()
     parts.book.put(_life(_SECOND), 1.0)
-    asyncio.run(parts.keeper.tick())
+    asyncio.run(parts.assigner.tick())
     after = parts.maps.by_service[builders.LOOKUPS]
     assert after.started_ms["u-1"] == _SECOND
     old, new = before.slots[5], after.slots[5]
@@ -102,7 +102,7 @@
     parts, _ = _parts()
     current = parts.maps.by_service[builders.LOOKUPS]
     parts.book.put(_life(_SECOND), 1.0)
-    give = parts.keeper._give(current, {0: "u-1", 1: "u-1"}, {})
+    give = parts.assigner._assign(current, {0: "u-1", 1: "u-1"}, {})
     asyncio.run(give)
     assert parts.maps.by_service[builders.LOOKUPS] is current
 
@@ -124,6 +124,6 @@
     assert owner(10.0) is parts.book.by_id["u-1"]
     parts.book.put(_life(_SECOND), 10.0)
     assert owner(10.0) is None
-    asyncio.run(parts.keeper.tick())
+    asyncio.run(parts.assigner.tick())
     later = parts.maps.changed_at[builders.LOOKUPS][10] + 1.0
     assert owner(later) is parts.book.by_id["u-1"]
--- a/tests/unit/test_gateway_slotplan.py
+++ b/tests/unit/test_gateway_slotplan.py
@@ -5,8 +5,8 @@
 from swiftstile.gateway import keymap
 from swiftstile.gateway import keyplan
 from swiftstile.gateway import slotplan
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 _NAMES = tuple(f"u-{i}" for i in range(1, 21))
 _NOW = 100.0
@@ -17,7 +17,7 @@
     """Twenty upstreams of 30 requests/s each, and a map that suits them."""
 
     def __init__(self):
-        self.parts = keeper_parts.Parts(max_ranges=_RANGES)
+        self.parts = assigner_parts.Parts(max_ranges=_RANGES)
         self.parts.work_s = 0.1
         self.plan = self.parts.plan
         self.weights = dict.fromkeys(_NAMES, 3.0)
@@ -49,7 +49,7 @@
 
 def test_answers_faster_than_foreseen_move_no_keys():
     # Only u-1 was asked yet. That says nothing of what u-2 can do.
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     for _ in range(20):
         parts.speeds.note("u-1", 0.2, _NOW)
     weights = parts.plan.weights(_NOW)
