--- a/src/swiftstile/gateway/authority.py
+++ b/src/swiftstile/gateway/authority.py
@@ -1,19 +1,20 @@
-"""Whether this VM may renew grants: who has a right to act on a key map.
-
-Renewing must stop soon after the slots of a map were marked as leaving, also
-where a VM is cut off. So a right to renew needs fresh word from others:
-
-* the leader may renew while more than half of the registered VMs, itself
-  included, told it within `MAX_REPORT_AGE_S` that they follow its leadership,
-  and the store answered it within `MAX_STORE_OUTAGE_S`;
-* any other VM may while it heard the leader within `MAX_REPORT_AGE_S`, which
-  has that right itself and hears this VM, and both know the same version of the
-  map. So a VM that is silent, to the leader, for long has no right, whatever it
-  hears.
-
-Another leader counts on the former one having stopped when more than half of
-the VMs told that they follow the new one: any two majorities share a VM. No
-vote is stored and nothing is agreed on here; the store decides who leads.
+"""Decides whether this VM has the authority to renew grants.
+
+Renewals must stop soon after slots of a map were marked as leaving, even on a
+VM that is partitioned. So the authority to renew requires recent reports:
+
+* The leader may renew while more than half of the registered VMs, itself
+  included, have reported within `MAX_REPORT_AGE_S` that they follow its
+  leadership, and the store has answered it within `MAX_STORE_OUTAGE_S`.
+* Any other VM may renew while it has received a report of the leader within
+  `MAX_REPORT_AGE_S` by which the leader has the authority itself and receives
+  this VM's reports, and both know the same version of the map. So a VM whose
+  reports don't reach the leader has no authority, whatever it receives.
+
+A new leader relies on the former one having stopped once more than half of the
+VMs have reported that they follow the new one, as any two majorities share a
+VM. No votes are stored and there is no consensus protocol here; the store
+decides which VM leads.
 """
 
 from swiftstile import clocks
@@ -31,26 +32,29 @@
     "PeerAuthority",
 ]
 
-# Word of a VM counts so long. Four heartbeats; three may be lost.
+# A report of a VM is valid for this long: four heartbeats, of which three may
+# be lost.
 MAX_REPORT_AGE_S = 1.0
-# Without the store a leader goes on for so long: more than the longest outage
-# that the users know, 9 s. Counted from the last call that succeeded, which
-# may have been under way for 4 s.
+# A leader keeps its authority for this long without the store: more than the
+# longest outage known to the users, 9 s. Counted from the last call that
+# succeeded, which may have taken 4 s.
 MAX_STORE_OUTAGE_S = 16.0
-# A VM follows a former leader until so long after that lost its right: both
-# may count on word that is nearly stale. The rest is for messages under way.
+# A VM follows a former leader for up to this long after that leader lost its
+# authority: both may rely on reports that have nearly expired. The rest allows
+# for messages in flight.
 STOPPED_AFTER_S = 2 * MAX_REPORT_AGE_S + 0.5
-# A former leader itself gives no orders from so long after a majority followed
-# another one: the newest word that it may still count on is older than that.
+# A former leader itself sends no commands later than this after a majority has
+# followed another one: by then the newest report that it may still rely on has
+# expired.
 LEADER_STOPPED_AFTER_S = MAX_REPORT_AGE_S + 0.5
 
 
 class PeerAuthority(renewals.Authority):
-    """The right to renew, by what peers tell.
+    """The authority to renew, derived from the reports of peers.
 
     Attributes:
         quorum_since: Since when a majority has followed this VM's leadership
-            without a break; None while it doesn't.
+            without a break; None if there is no such majority.
     """
 
     def __init__(
@@ -69,15 +73,15 @@
         self.quorum_since: float | None = None
 
     def tick(self, now: float) -> None:
-        """Looks whether this VM's leadership is followed."""
+        """Updates since when a majority has followed this VM's leadership."""
         if not self._leader_state.is_leader or not self._has_quorum(now):
             self.quorum_since = None
         elif self.quorum_since is None:
             self.quorum_since = now
 
     def _has_quorum(self, now: float) -> bool:
-        # How old handed-on word is rests on the one that hands it on, which may
-        # have stood still meanwhile.
+        # The age of a forwarded report depends on the VM that forwards it,
+        # which may have been paused meanwhile, so only direct reports count.
         followers = sum(
             peer.is_heard_directly(now, MAX_REPORT_AGE_S)
             and peer.report.leader_version == self._leader_state.version
@@ -108,7 +112,7 @@
         return key_map is not None and leader_version == key_map.version
 
     def _authorising_leader(self, now: float) -> reports.Peer | None:
-        """Returns the leader, if it gives this VM the right to renew."""
+        """Returns the leader, if it gives this VM the authority to renew."""
         leader = self._leader(now)
         if leader is None or not leader.report.is_able or not leader.hears_us:
             return None
--- a/src/swiftstile/gateway/holds.py
+++ b/src/swiftstile/gateway/holds.py
@@ -1,17 +1,19 @@
-"""Until when upstreams may hold keys that this VM granted them.
+"""Bounds on how long upstreams may hold the keys that this VM granted them.
 
-An upstream holds keys until `hold` after a grant arrived, by a clock that may
-run slow. When an answer came, the grant arrived before it; when none came, the
-connection was reset, so the grant arrived before the reset or never will.
+An upstream holds keys for the duration of the hold after a grant arrived, by a
+clock that may run slow. An answered grant arrived before its answer. For an
+unanswered one the connection was reset, so it arrived before the reset or never
+will.
 """
 
 __all__ = ["CLOCK_RATE", "HoldTable", "max_held_s"]
 
-# An upstream's clock may run this much slow (the platform's pages).
+# An upstream's clock may be slow by this factor (from the platform's
+# documentation).
 CLOCK_RATE = 1.02
-# For timers that fire late here, and work that is ended late there.
+# Margin for timers that fire late here and work that ends late at the upstream.
 MARGIN_S = 0.15
-# While a grant is under way, nothing bounds its arrival yet.
+# The arrival of a grant in flight has no bound yet.
 _UNBOUNDED = float("inf")
 
 
@@ -21,7 +23,7 @@
 
 
 class HoldTable:
-    """Bounds for the slots of one service.
+    """Bounds on the holds of the slots of one service.
 
     Args:
         count: Number of slots.
@@ -32,28 +34,28 @@
         self.max_held_s = max_held_s(hold_s)
         self._in_flight = [0] * count
         self._end = [0.0] * count
-        # Ends of grants without an answer, which may still be carried out.
+        # Ends of the holds of unanswered grants, which may yet be carried out.
         self._unanswered_end = [0.0] * count
 
     def note_sent(self, slots: range) -> None:
-        """A grant for these slots is about to be sent."""
+        """Records that a grant for these slots is about to be sent."""
         for index in slots:
             self._in_flight[index] += 1
 
     def note_answered(self, slots: range, now: float, hold_s: float) -> None:
-        """It was answered, so it had arrived."""
+        """Records that a grant was answered, so it arrived before `now`."""
         end = now + max_held_s(hold_s)
         for index in slots:
             self._in_flight[index] -= 1
             self._end[index] = max(self._end[index], end)
 
     def note_unsent(self, slots: range) -> None:
-        """It couldn't be sent: nothing changes for the upstream."""
+        """Records that a grant couldn't be sent, so the upstream has none."""
         for index in slots:
             self._in_flight[index] -= 1
 
     def note_unanswered(self, slots: range, now: float, hold_s: float) -> None:
-        """It wasn't answered, and its connection was reset now."""
+        """Records that a grant got no answer and its connection was reset."""
         end = now + max_held_s(hold_s)
         for index in slots:
             self._in_flight[index] -= 1
@@ -61,7 +63,7 @@
             self._unanswered_end[index] = max(self._unanswered_end[index], end)
 
     def max_remaining_s(self, now: float) -> float:
-        """Returns until when any slot may be held by these grants."""
+        """Returns how long any slot may still be held by these grants."""
         if any(self._in_flight):
             return _UNBOUNDED
         return max(0.0, max(self._end, default=0.0) - now)
@@ -71,7 +73,7 @@
         return self._max_remaining_s(self._end, slots, now)
 
     def unanswered_for_s(self, slots, now: float) -> float:
-        """Returns how long an unanswered grant of any may still count."""
+        """Returns how long an unanswered grant of any may be in effect."""
         return self._max_remaining_s(self._unanswered_end, slots, now)
 
     def _max_remaining_s(self, ends: list[float], slots, now: float) -> float:
--- a/src/swiftstile/gateway/hotplan.py
+++ b/src/swiftstile/gateway/hotplan.py
@@ -1,8 +1,8 @@
-"""Where the busiest slots should be: decisions without a network.
+"""Plans the placement of the busiest slots, without any I/O.
 
-The load they answer: one key draws a third of a service's requests for a few
-seconds. It can't be divided, so it belongs on the fastest upstream, with
-little else beside it.
+It is meant for hotspots such as a single key that gets a third of a service's
+requests for a few seconds. Such a key can't be divided, so it is moved to the
+fastest upstream, with few other keys beside it.
 """
 
 from swiftstile.gateway import keymap
@@ -10,13 +10,14 @@
 
 __all__ = ["BUSY_SHARE", "HOT_SHARE", "busy_shares", "relocations"]
 
-# A slot is hot when it takes this part of its owner's capacity.
+# A slot is hot if it takes up this part of its owner's capacity.
 HOT_SHARE = 0.4
-# An upstream with a slot that takes this part of it gets no hot slot besides:
-# together they would be hot again.
+# An upstream with a slot that takes up this part of its capacity gets no hot
+# slot, as together they would overload it.
 BUSY_SHARE = 0.2
-# A hot slot moves only to an upstream that is so much faster: less isn't worth
-# the requests that wait meanwhile, and speeds are known to a tenth or so.
+# A hot slot moves only to an upstream that is faster by this factor: a smaller
+# gain isn't worth the requests that wait for the move, and measured speeds are
+# accurate to about 10%.
 MIN_SPEEDUP = 1.25
 
 
@@ -25,12 +26,12 @@
     rate_by_slot: dict[int, float],
     capacity_by_id: dict[model.UpstreamId, float],
 ) -> dict[int, float]:
-    """Returns busy slots, with the part of their owner's capacity they take.
+    """Returns busy slots, with the part of their owner's capacity they use.
 
     Args:
-        current: Who owns which slots.
+        current: The current map.
         rate_by_slot: Requests/s of busy slots.
-        capacity_by_id: Requests/s that each upstream can do.
+        capacity_by_id: Requests/s that each upstream can handle.
     """
     found = {}
     for slot, rate in rate_by_slot.items():
@@ -46,16 +47,16 @@
     capacity_by_id: dict[model.UpstreamId, float],
     taken: set[model.UpstreamId] = frozenset(),
 ) -> dict[int, model.UpstreamId]:
-    """Returns better owners for hot slots, where there are any.
+    """Returns faster owners for hot slots, where there are any.
 
-    The hottest slot gets the fastest upstream, the next one the next; an
-    upstream gets one hot slot at most.
+    The hottest slot gets the fastest upstream, the second hottest the second
+    fastest, and so on; an upstream gets at most one hot slot.
 
     Args:
-        current: Who owns which slots.
-        hot: Slots to place, with the part of their owner's capacity they take.
-        capacity_by_id: Requests/s that each upstream can do.
-        taken: Upstreams that have a busy slot which isn't to be placed now.
+        current: The current map.
+        hot: Slots to place, with the part of their owner's capacity they use.
+        capacity_by_id: Requests/s that each upstream can handle.
+        taken: Upstreams with a busy slot that isn't to be placed now.
     """
     free = sorted(capacity_by_id, key=capacity_by_id.get, reverse=True)
     free = [name for name in free if name not in taken]
--- a/src/swiftstile/gateway/key_assigner.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -1,4 +1,8 @@
-"""Plans the key maps while this VM leads: first deal, moves, lost owners."""
+"""Assigns the keys of a service to upstreams while this VM is the leader.
+
+Covers the initial assignment, rebalancing, and the keys of owners that crashed,
+restarted or are leaving.
+"""
 
 import asyncio
 import enum
@@ -29,46 +33,46 @@
 __all__ = ["MAP_PREFIX", "KeyAssigner"]
 
 MAP_PREFIX = "keys/"
-# An owner that never registered while this VM runs is gone after this long.
+# An owner that hasn't registered since this VM started counts as having left
+# after this time.
 UNKNOWN_OWNER_S = 3.0
-# How long VMs are waited for to say that they stopped renewing, before the
-# owner is made to refuse them: a few reports between failure domains.
+# Time to wait for the reports of all VMs that they stopped renewing; after it
+# the owner is fenced. Long enough for a few reports between failure domains.
 STOP_WAIT_S = 0.3
-# Before slots are released, and before their next owner is written, the store
-# must have answered within the last moments: an outage in between would leave
-# them without an owner.
+# The store must have answered within this time before slots are released and
+# before their next owner is written: an outage in between would leave them
+# without an owner.
 STORE_FRESH_S = 0.05
-# How long it may take to answer then; a slow one takes 0.25 s.
+# Timeout of that probe; a slow store answers in 0.25 s.
 STORE_PROBE_S = 0.5
-# After it didn't, until it is asked again: calls have their price.
+# Delay before the next probe after a failed one, as each call has a cost.
 STORE_RETRY_S = 0.3
-
-
-# Each write of a map goes to all VMs. Where these are many, moves wait a little
-# and share one: at 77 VMs marks come each 0.46 s and gifts each 0.17 s, instead
-# of up to 30 writes/s between them.
+# Each write of a map is sent to all VMs. In fleets larger than this, moves are
+# delayed so that several share a write: with 77 VMs slots are marked every
+# 0.46 s and assigned every 0.17 s, instead of up to 30 writes/s in total.
 UNTHROTTLED_VMS = 20
 MARK_INTERVAL_PER_VM_S = 0.008
 ASSIGN_INTERVAL_PER_VM_S = 0.003
 
 
 class _MoveState(enum.Enum):
-    """How far the slots are that leave one owner."""
+    """Progress of the slots that are leaving one owner."""
 
     WAITING = "waiting"
     RELEASE = "release"
-    # Older grants may still arrive there.
+    # Older grants may still arrive at the owner.
     FENCE_AND_RELEASE = "fence-and-release"
     CLEAR = "clear"
 
 
 class _NextSteps(typing.NamedTuple):
-    """What may be done next with slots that are leaving.
+    """The next steps for slots that are leaving.
 
     Attributes:
-        cleared: Slots that may be given away, by the owner that they leave.
-        releases: Owners that should release theirs, and whether older grants
-            may still arrive there.
+        cleared: Slots that may be assigned to others, by the owner that they
+            leave.
+        releases: Owners that should release their slots, and whether older
+            grants may still arrive there.
     """
 
     cleared: dict[model.UpstreamId, list[int]]
@@ -76,12 +80,12 @@
 
     @property
     def is_any(self) -> bool:
-        """Whether there is anything to do."""
+        """Whether there is any step to take."""
         return bool(self.cleared or self.releases)
 
 
 class KeyAssigner:
-    """Keeps the key map of one service while this VM leads."""
+    """Maintains the key map of one service while this VM is the leader."""
 
     def __init__(
         self,
@@ -135,16 +139,16 @@
         self._leader_version = interfaces.NEW_ROW
 
     def forget(self) -> None:
-        """Drops what only a leader needs."""
+        """Cancels all releases and drops the state that only a leader needs."""
         for source in self._sources.values():
             source.cancel()
         self._sources.clear()
 
     async def tick(self) -> None:
-        """Looks at what is to be done and does the next step of it."""
+        """Determines what has to be done and takes the next step."""
         if self._leader_version != self._leader_state.version:
-            # Another VM may have led since the last tick, which waits as long
-            # as a write does, and may have let owners go on with their slots.
+            # A tick lasts as long as its writes. Another VM may have led since
+            # the last one, and may have let owners keep using their slots.
             self.forget()
             self._leader_version = self._leader_state.version
         now = clocks.monotonic()
@@ -173,12 +177,12 @@
         await self._write(first, "first deal")
 
     async def _reassign_to_restarted(self, current) -> bool:
-        """Gives the slots of owners that started again to them once more.
+        """Assigns the slots of restarted owners to them again.
 
-        The new life holds nothing, and grants of before may still arrive there
-        or already have: only under a newer fence is it known what it holds. The
-        slots stay with it, as another upstream would have to wait until all
-        that may be granted to it by the old fence is over.
+        A restarted owner holds nothing, but grants from before the restart may
+        have arrived or may still arrive, so what it holds is known only under a
+        newer fence. It keeps its slots, as any other upstream would have to
+        wait until all grants under the old fence have expired.
         """
         again = self._restarted_owners(current)
         if not again:
@@ -195,7 +199,7 @@
         return True
 
     def _restarted_owners(self, current) -> list[model.UpstreamId]:
-        """Returns owners that started again since they got their slots."""
+        """Returns owners that restarted since their slots were assigned."""
         return [
             owner
             for owner in current.slots_by_owner
@@ -206,7 +210,7 @@
         ]
 
     def _started_ms(self, owners) -> dict[model.UpstreamId, int]:
-        """Returns when upstreams started, as far as they say."""
+        """Returns the start times of upstreams, where they are known."""
         return {
             owner: self._book.by_id[owner].upstream.started_ms
             for owner in owners
@@ -237,8 +241,8 @@
         owners = {current.slots[index].owner for index in moving}
         marked = current.mark_leaving(moving)
         if owners & set(self._sources):
-            # Orders of the release that this replaces may still arrive: they
-            # must be older than those of the next one.
+            # Commands of the release that this one replaces may still arrive;
+            # their fence must be older than that of the next release.
             marked = marked.with_newer_fence()
         if await self._write(marked, reason):
             done = self._marked_at = clocks.monotonic()
@@ -249,13 +253,16 @@
     def _replace_source(
         self, owner: model.UpstreamId, source: reclaim.Source
     ) -> None:
-        """Begins anew with an owner; one release at a time gives orders."""
+        """Restarts the move of an owner; only one release may send commands."""
         if owner in self._sources:
             self._sources[owner].cancel()
         self._sources[owner] = source
 
     def _write_interval_s(self, per_vm_s: float) -> float:
-        """Returns the time between two writes of a map, by how many read it."""
+        """Returns the minimum time between two writes of a map.
+
+        It grows with the number of VMs that read the map.
+        """
         return per_vm_s * max(0, len(self._peers.by_node) - UNTHROTTLED_VMS)
 
     def _has_left(self, owner: model.UpstreamId, now: float) -> bool:
@@ -280,8 +287,8 @@
         if not await self._store_answers():
             await self._keep_at_owners()
             return
-        # Releases went on while the store was asked, and may have granted slots
-        # whose holds were over: only what holds now counts.
+        # Releases continued during the probe and may have granted slots whose
+        # holds had expired, so the holds are checked once more.
         now = clocks.monotonic()
         steps = self._next_steps(current, weights, now)
         for owner, fences in steps.releases:
@@ -301,7 +308,7 @@
             await self._assign(current, placed, tokens)
 
     def _next_steps(self, current, weights, now: float) -> "_NextSteps":
-        """Returns what may be done next with the slots that are leaving."""
+        """Returns the next steps for the slots that are leaving."""
         steps = _NextSteps({}, [])
         is_throttled = now - self._assigned_at < self._write_interval_s(
             ASSIGN_INTERVAL_PER_VM_S
@@ -309,7 +316,7 @@
         for owner, slots in current.leaving_by_owner().items():
             source = self._sources.get(owner)
             if source is None:
-                # This VM began to leave.
+                # Sources were dropped meanwhile: this VM is shutting down.
                 continue
             state = self._state_of(current, owner, source, slots, now)
             if state is _MoveState.CLEAR:
@@ -321,15 +328,16 @@
         return steps
 
     async def _assign(self, current, placed, tokens) -> None:
-        """Gives cleared slots to others.
+        """Assigns cleared slots to other owners.
 
-        From the look at their holds until this is settled nothing may be
-        granted to the owners that they leave: no wait stands between that look
-        and the flag that forbids it.
+        Nothing may be granted to the owners that the slots leave between the
+        check of their holds and the outcome of the write. So there is no
+        `await` between that check and setting the flag that forbids grants.
         """
         started_ms = self._started_ms(set(placed.values()))
         if self._restarted_owners(current):
-            # One fence is for one life: its other slots come first.
+            # A fence belongs to one incarnation of an owner: the other slots
+            # of the restarted one have to be assigned again first.
             return
         leaves = {current.slots[index].owner for index in placed}
         sources = [self._sources[name] for name in leaves & set(self._sources)]
@@ -349,7 +357,8 @@
     ) -> None:
         """Takes over moves that a former leader began.
 
-        It may still send fencing grants; they must be older than ours.
+        The former leader may still send fencing grants; their fence must be
+        older than that of this VM's grants.
         """
         if not await self._write(
             current.with_newer_fence(), "moves taken over"
@@ -367,7 +376,7 @@
     def _adopted_source(
         self, slots, version: int, now: float
     ) -> reclaim.Source:
-        """Returns what is known of slots that a former leader marked."""
+        """Returns the state of a move whose slots a former leader marked."""
         marked = self._succession.marked_version(self._service, slots)
         stopped_at = None
         if marked is not None:
@@ -378,7 +387,7 @@
         return reclaim.Source(marked, now, stopped_at, former)
 
     async def _store_answers(self) -> bool:
-        """Asks the store whether it answers, unless it just did."""
+        """Probes the store, unless it has just answered or failed."""
         now = clocks.monotonic()
         if now - self._store_answered_at < STORE_FRESH_S:
             return True
@@ -399,7 +408,7 @@
         return True
 
     async def _keep_at_owners(self) -> None:
-        """Lets owners go on with slots that can't be moved for now."""
+        """Lets owners keep using slots that can't be moved for now."""
         current = self._maps.by_service.get(self._service)
         if current is None or not current.leaving:
             return
@@ -453,7 +462,7 @@
         return _MoveState.WAITING
 
     def _own_hold(self, hold_table, slots, now: float) -> reports.Hold:
-        """Returns what grants of this VM mean, its earlier runs included."""
+        """Returns the holds from grants of this VM and its earlier runs."""
         earlier_s = self._started + hold_table.max_held_s - now
         return reports.Hold(
             max(earlier_s, hold_table.held_for_s(slots, now)),
@@ -461,7 +470,7 @@
         )
 
     def _stopped_at(self, source: reclaim.Source) -> float:
-        """Returns when VMs that tell nothing have stopped renewing."""
+        """Returns when VMs that send no reports have stopped renewing."""
         if source.stopped_at is not None:
             return source.stopped_at
         since = self._authority.quorum_since
@@ -470,7 +479,7 @@
         return max(since, source.marked_at) + authority.STOPPED_AFTER_S
 
     def _former_leader(self, source) -> moves.FormerLeader | None:
-        """Returns until when the VM that marked slots gave orders for them."""
+        """Returns the former leader that marked the slots, if there is one."""
         if source.former_leader is None:
             return None
         since = self._authority.quorum_since
@@ -484,19 +493,20 @@
         )
 
     def _is_replaced(self, owner: model.UpstreamId) -> bool:
-        """Whether another upstream runs at its address, so that it ended."""
+        """Whether the owner has ended, as another runs at its address."""
         target = self._book.by_id.get(owner)
         return target is not None and target.is_replaced
 
     async def _write(self, changed: keymap.KeyMap, reason: str) -> bool:
         if not self._leader_state.is_leader:
-            # Replaced while this tick waited: the condition would name the row
-            # of whoever leads now, and hold.
+            # This VM was replaced while the tick waited. The condition would
+            # name the row of the new leader, and the write would succeed.
             return False
         key = MAP_PREFIX + self._service
         value = changed.encode(ids.new_attempt_id())
         if len(value) > self._row_bytes:
-            # Tokens only keep moves warm, and take most of the room.
+            # Tokens only save the next owners a cold start, and take up most
+            # of the row.
             logs.logger.warning("key map without tokens", bytes=len(value))
             changed = changed.without_tokens()
             value = changed.encode(ids.new_attempt_id())
@@ -513,9 +523,9 @@
                 "key map not written", service=self._service, error=str(error)
             )
             if isinstance(error, errors.ConflictError):
-                # Another VM leads or led. It may have written over this write
-                # after that was done, so no order may rest on the map of
-                # before: moves begin anew once a write shows what is in force.
+                # Another VM leads or led. It may have overwritten this write
+                # after it took effect, so no command may rely on the previous
+                # map: moves restart once a write confirms the map in force.
                 self.forget()
             return False
         changed.version = version
--- a/src/swiftstile/gateway/key_load.py
+++ b/src/swiftstile/gateway/key_load.py
@@ -1,8 +1,7 @@
-"""How often the slots of keyed services are asked for, over all VMs.
+"""Request rates of the slots of keyed services, over all VMs.
 
-A request counts at the VM that decides when it is sent, which is one for all
-requests of an owner. Only slots that are asked for several times a second are
-reported.
+A request is counted by the VM that schedules it, which is the same one for all
+requests to an owner. Only slots with several requests per second are reported.
 """
 
 from swiftstile import ids
@@ -10,16 +9,16 @@
 
 __all__ = ["KeyLoad", "KeyLoadTable"]
 
-# A request counts half after this long: busy keys change every few seconds.
+# Half-life of the decayed counts: hot keys change every few seconds.
 HALF_LIFE_S = 0.7
-# Slots asked for less often than this at one VM aren't reported, in requests/s.
+# Slots with a lower rate at one VM aren't reported, in requests/s.
 MIN_REPORTED_RATE = 1.5
-# Most slots of a service that are reported.
+# Maximum number of slots of a service that are reported.
 MAX_REPORTED = 6
-# What a peer reported longer ago than this is forgotten.
+# Reports of peers are ignored after this time.
 PEER_TTL_S = 1.2
-# Decay constant that belongs to the half life, in 1/s: a steady rate r makes
-# the decayed count r / DECAY.
+# Decay constant for the half-life, in 1/s: a constant rate r yields the decayed
+# count r / _DECAY.
 _DECAY = 0.693 / HALF_LIFE_S
 
 # Requests/s by service and slot.
@@ -27,7 +26,7 @@
 
 
 class KeyLoadTable:
-    """Rates by slot, of this VM and as peers reported them."""
+    """Request rates by slot, as measured by this VM and reported by peers."""
 
     def __init__(self):
         self._own: dict[ids.ServiceName, dict[int, tuple[float, float]]] = {}
@@ -36,7 +35,7 @@
     def record_request(
         self, service: ids.ServiceName, slot: int, now: float
     ) -> None:
-        """A request for a slot came."""
+        """Counts a request for a slot."""
         slots = self._own.setdefault(service, {})
         count, at = slots.get(slot, (0.0, now))
         slots[slot] = (count * 0.5 ** ((now - at) / HALF_LIFE_S) + 1.0, now)
@@ -44,11 +43,11 @@
     def receive(
         self, node: model.NodeId, reported: KeyLoad, now: float
     ) -> None:
-        """Takes in what a peer reported."""
+        """Stores the latest report of a peer."""
         self._peers[node] = (reported, now)
 
     def report(self, now: float) -> KeyLoad:
-        """Returns this VM's busiest slots, for its peers."""
+        """Returns the rates of this VM's busiest slots, for its peers."""
         reported: KeyLoad = {}
         for service, slots in self._own.items():
             rates = {
@@ -56,7 +55,7 @@
                 for slot, (count, at) in slots.items()
             }
             busy = {s: r for s, r in rates.items() if r >= MIN_REPORTED_RATE}
-            # What is far below that is as good as never asked for.
+            # Slots far below the reported rates are dropped.
             self._own[service] = {
                 s: slots[s]
                 for s, r in rates.items()
--- a/src/swiftstile/gateway/keymap.py
+++ b/src/swiftstile/gateway/keymap.py
@@ -1,8 +1,8 @@
-"""Which upstream owns which keys of a service.
+"""The key map of a service: which upstream owns which keys.
 
-Keys are divided into slots of equal width. Neighbouring slots that came to one
-owner together are a range: one grant renews them all. The map is one document
-in the platform's table.
+Keys are divided into slots of equal width. Adjacent slots that were assigned to
+one owner together form a range, which is renewed by a single grant. The map is
+stored as one document in the platform's table.
 """
 
 import array
@@ -19,22 +19,23 @@
 
 _NO_OWNER = 0xFFFF
 _COMPRESSION = 1
-# Owners are numbers of 2 bytes, fences of 4.
+# Owners are encoded as 2-byte indices, fences as 4-byte numbers.
 _OWNER_CODE, _FENCE_CODE = "H", "I"
-# Slots that are compared at a time, to find the few that differ.
+# Slots that are compared at a time, to find the few that differ quickly.
 _CHUNK = 64
-# Maps that differ in a larger part are read whole.
+# Maps that differ in a larger share of their slots are built from scratch.
 _MAX_CHANGED_SHARE = 0.2
 
 
 class KeySlot(msgspec.Struct, frozen=True):
-    """The keys of one slot; maps that follow each other share most of them.
+    """The state of one slot; successive maps share most of these objects.
 
     Attributes:
-        owner: Upstream that owns them, or None.
-        fence: Grows with each owner.
+        owner: Upstream that owns the keys, or None.
+        fence: Fence of the assignment; it grows with each one.
         token: Hand-over token of the last owner; empty when there is none.
-        is_leaving: Nobody renews it; it is about to get another owner.
+        is_leaving: Whether the slot is about to get another owner. Nobody
+            renews it then.
     """
 
     owner: model.UpstreamId | None = None
@@ -60,12 +61,12 @@
 
     Attributes:
         version: Version of its row in the table; 0 when it isn't stored.
-        next_fence: Above every fence that was ever given. It is never given
-            to another owner, but kept for shutting out late grants of the
-            present one.
+        next_fence: Higher than every fence that was ever assigned. It is never
+            assigned to another owner, but reserved for fencing off late grants
+            to the current one.
         slots: Slots by index.
-        started_ms: The start of each owner that its slots were given to, as
-            `model.Upstream` tells it, where that is known.
+        started_ms: Start time of each owner, from `model.Upstream`, when its
+            slots were assigned; only where it is known.
     """
 
     def __init__(self, version: int, next_fence: int, slots: list[KeySlot]):
@@ -79,7 +80,7 @@
                 self.slots_by_owner.setdefault(slot.owner, []).append(index)
         self.started_ms: dict[model.UpstreamId, int] = {}
         self._ranges_by_owner: dict[model.UpstreamId, list[range]] = {}
-        # What it was read from, if it was.
+        # The decoded document, if the map was read from one.
         self._columns: _Columns | None = None
 
     @classmethod
@@ -90,10 +91,10 @@
     def with_slots(
         self, changed: dict[int, KeySlot], next_fence: int, version: int
     ) -> "KeyMap":
-        """Returns a map in which some slots are others.
+        """Returns a map in which some slots are replaced.
 
-        It shares all else with this one: a site's maps change several times a
-        second, in a few of thousands of slots.
+        It shares everything else with this map: the maps of a site change
+        several times a second, in a few of thousands of slots.
         """
         slots = list(self.slots)
         for index, slot in changed.items():
@@ -132,7 +133,7 @@
         return owned
 
     def leaving_by_owner(self) -> dict[model.UpstreamId, list[int]]:
-        """Returns the slots that are leaving, in order, by who owns them."""
+        """Returns the slots that are leaving, in order, by their owner."""
         found: dict[model.UpstreamId, list[int]] = {}
         for index in sorted(self.leaving):
             found.setdefault(self.slots[index].owner, []).append(index)
@@ -148,7 +149,7 @@
         return interfaces.KeyRange(index * width, (index + 1) * width - 1)
 
     def ranges_of(self, owner: model.UpstreamId) -> list[range]:
-        """Returns an owner's slots that stay, neighbours in one range."""
+        """Returns an owner's slots that aren't leaving, as ranges."""
         known = self._ranges_by_owner.get(owner)
         if known is not None:
             return known
@@ -169,7 +170,7 @@
         return ranges
 
     def were_assigned_together(self, left: int, right: int) -> bool:
-        """Whether two slots came to one owner by the same move."""
+        """Whether two slots were assigned to one owner by the same write."""
         one, other = self.slots[left], self.slots[right]
         return (one.owner, one.fence, one.token) == (
             other.owner,
@@ -178,7 +179,7 @@
         )
 
     def keys_of_range(self, slot_range: range) -> interfaces.KeyRange:
-        """Returns the keys of neighbouring slots."""
+        """Returns the keys of a range of slots."""
         return interfaces.KeyRange(
             self.keys_of(slot_range.start).first,
             self.keys_of(slot_range[-1]).last,
@@ -195,8 +196,8 @@
         Args:
             tokens: Hand-over tokens by slot, where there are any.
             owners: New owners by slot.
-            started_ms: The start of each new owner, where it is known. It must
-                be that to which its other slots were given.
+            started_ms: The start time of each new owner, where it is known. The
+                owner's other slots must have been assigned for the same start.
         """
         changed = {
             index: KeySlot(owner, self.next_fence + 1, tokens.get(index, ""))
@@ -207,11 +208,11 @@
         return result
 
     def with_newer_fence(self) -> "KeyMap":
-        """Returns the same map with a fence that nobody used yet."""
+        """Returns the same map with a fence that hasn't been used yet."""
         return self.with_slots({}, self.next_fence + 2, self.version)
 
     def without_tokens(self) -> "KeyMap":
-        """Returns a map that has no hand-over tokens."""
+        """Returns the same map without hand-over tokens."""
         changed = {
             index: msgspec.structs.replace(slot, token="")
             for index, slot in enumerate(self.slots)
@@ -220,7 +221,7 @@
         return self.with_slots(changed, self.next_fence, self.version)
 
     def mark_leaving(self, slots) -> "KeyMap":
-        """Returns a map in which slots are about to change their owner."""
+        """Returns a map in which slots are marked as leaving their owner."""
         changed = {
             index: msgspec.structs.replace(self.slots[index], is_leaving=True)
             for index in slots
@@ -228,12 +229,12 @@
         return self.with_slots(changed, self.next_fence, self.version)
 
     def changed_since(self, earlier: "KeyMap") -> list[int]:
-        """Returns slots that another map of as many has otherwise."""
-        # Slots that both maps share are told apart by identity at once.
+        """Returns the slots that differ from a map with as many slots."""
+        # Comparing slots that both maps share is fast: they are identical.
         return _differences(self.slots, earlier.slots)
 
     def encode(self, attempt: str) -> bytes:
-        """Returns the document; `attempt` makes each writing of it unique."""
+        """Returns the document; `attempt` makes each write of it unique."""
         names = sorted({slot.owner for slot in self.slots if slot.owner})
         number = {name: index for index, name in enumerate(names)}
         owners = array.array(
@@ -257,14 +258,14 @@
 def decode(
     data: bytes, version: int, peer: str = "", known: KeyMap | None = None
 ) -> KeyMap:
-    """Returns the map in a document.
+    """Decodes a map.
 
     Args:
         data: The document.
         version: Version of its row.
-        peer: Where it came from, for errors.
-        known: An earlier map of the same service. What it shares with the new
-            one isn't made again.
+        peer: Origin of the document, for errors.
+        known: An earlier map of the same service. Slots that both maps have in
+            common are reused.
 
     Raises:
         ControlMessageError: The document is malformed.
@@ -287,11 +288,11 @@
 
 
 class _Columns:
-    """A document's columns, by slot.
+    """The columns of a document, by slot.
 
     Raises:
-        ValueError: They aren't of one length.
-        IndexError: A slot is named that isn't there.
+        ValueError: The columns differ in length.
+        IndexError: A slot index is out of range.
     """
 
     def __init__(self, document: _Document):
@@ -322,7 +323,7 @@
         )
 
     def changed_since(self, earlier: "_Columns") -> set[int]:
-        """Returns slots that another document of as many has otherwise."""
+        """Returns the slots that differ from a document with as many slots."""
         old, new = earlier.document, self.document
         changed = self._leaving ^ earlier._leaving
         changed |= {i for i, _ in new.tokens.items() ^ old.tokens.items()}
@@ -334,7 +335,7 @@
 def _changed_map(
     columns: _Columns, version: int, known: KeyMap | None
 ) -> KeyMap | None:
-    """Returns the map if it is much like a known one, or None."""
+    """Builds the map from a known one, or returns None if they don't match."""
     earlier = None if known is None else known._columns
     document = columns.document
     if earlier is None or earlier.document.upstreams != document.upstreams:
@@ -347,7 +348,7 @@
 
 
 def _differences(one, other) -> list[int]:
-    """Returns where two lists or arrays of one length aren't the same."""
+    """Returns the indices at which two sequences of one length differ."""
     found = []
     for start in range(0, len(one), _CHUNK):
         left, right = one[start : start + _CHUNK], other[start : start + _CHUNK]
--- a/src/swiftstile/gateway/keyplan.py
+++ b/src/swiftstile/gateway/keyplan.py
@@ -1,7 +1,7 @@
-"""Where ranges of keys should be: decisions without a network.
+"""Plans the assignment of key ranges to owners, without any I/O.
 
-Keys are assigned in blocks of neighbouring slots, so that one grant renews a
-whole block. A hot slot leaves its block alone; whole blocks even shares out.
+Keys are assigned in blocks of adjacent slots, so that one grant renews a whole
+block. A hot slot is moved on its own; rebalancing moves whole blocks.
 """
 
 import collections
@@ -18,18 +18,18 @@
     "surplus",
 ]
 
-# Blocks that an owner of mean capacity gets at least: with fewer its share
-# can't be met, and one hotspot takes too much of it.
+# Minimum number of blocks for an owner of mean capacity: with fewer its share
+# can't be matched, and one hotspot takes up too much of it.
 MIN_BLOCKS_PER_OWNER = 16
 
-# A target may own this part more than its share before slots are moved away:
-# moving costs its callers more than so small an imbalance.
+# Owners may fall short of their share by this part before slots are moved to
+# them: moving costs the callers more than a smaller imbalance does.
 IMBALANCE_TOLERANCE = 0.15
-# An owner that has this much more than its share is relieved, though no other
-# falls short by much: one of twenty that turned slow, or that has a hot slot.
-# Speeds are known to a tenth or two.
+# An owner that exceeds its share by more than this part is relieved even if no
+# other falls short by much: one of twenty that became slow or has a hot slot.
+# Measured speeds are accurate to 10% or 20%.
 OVERLOAD_TOLERANCE = 0.4
-# In slots: how far behind its share an owner must be to get two in a row.
+# In blocks: how far behind its share an owner must be to get two in a row.
 ADJACENCY_PENALTY = 0.25
 
 
@@ -38,7 +38,7 @@
 
     Args:
         count: Slots of the service.
-        owners: Upstreams that share them.
+        owners: Number of upstreams that own them.
         max_ranges: Ranges that the fleet can afford to renew.
     """
     ranges = max(MIN_BLOCKS_PER_OWNER * max(1, owners), max_ranges)
@@ -48,7 +48,7 @@
 def assign_blocks(
     count: int, weight_by_id: dict[model.UpstreamId, float], width: int = 1
 ) -> list[model.UpstreamId]:
-    """Assigns blocks of slots, each owner's as far apart as possible.
+    """Assigns blocks of slots, those of each owner as far apart as possible.
 
     Args:
         count: Number of slots.
@@ -81,15 +81,15 @@
     width: int = 1,
     separate: collections.abc.Container[int] = (),
 ) -> list[range]:
-    """Returns slots as ranges that are moved as one, in order.
+    """Groups slots into ranges that are moved as a whole, in order.
 
-    Neighbours that one owner got at the same time are one range.
+    Adjacent slots that were assigned together are in one range.
 
     Args:
-        current: The map as it is.
+        current: The current map.
         slots: The slots.
-        width: Widest range, in slots.
-        separate: Slots that are ranges of their own.
+        width: Maximum width of a range, in slots.
+        separate: Slots that form ranges of their own.
     """
     found: list[range] = []
     for index in sorted(slots):
@@ -123,15 +123,15 @@
     pinned: frozenset[int] = frozenset(),
     width: int = 1,
 ) -> list[int]:
-    """Returns slots that should leave owners that have too many.
+    """Returns slots that should leave owners with more than their share.
 
-    Owners of which slots are leaving already keep the rest.
+    Owners with slots that are already leaving keep the rest.
 
     Args:
-        current: The map as it is.
+        current: The current map.
         weight_by_id: Share of each owner that stays.
-        limit: Most slots to return.
-        pinned: Slots that stay where they are.
+        limit: Maximum number of slots.
+        pinned: Slots that stay with their owners.
         width: Slots of a block.
     """
     shares = _shares(len(current.slots), weight_by_id)
@@ -166,7 +166,7 @@
         if extra <= 0 or left < len(slot_range) / 2:
             break
         if not slot_range:
-            # All else it has is pinned.
+            # The remaining slots of this owner are pinned.
             del ranges_by_id[owner]
             continue
         chosen += slot_range
@@ -176,9 +176,9 @@
 
 
 def _spread_out(in_order: list[range]) -> list[range]:
-    """Returns ranges in an order in which any last few lie far apart.
+    """Orders ranges so that the last few are far apart, whatever their number.
 
-    Multiples of the golden ratio, modulo 1, are evenly spread at any count.
+    Multiples of the golden ratio, modulo 1, are evenly spread for any count.
     """
     golden = 0.618034
     by_place = {(i * golden) % 1.0: one for i, one in enumerate(in_order)}
@@ -193,11 +193,11 @@
 ) -> dict[int, model.UpstreamId]:
     """Returns a new owner for each slot that moves; ranges stay together.
 
-    The owner that is furthest below its share comes first. One that owns a
-    neighbouring slot counts as if it had one such range more.
+    The owner that is furthest below its share is preferred. One that owns an
+    adjacent slot counts as if it already owned the range.
 
     Args:
-        current: The map as it is.
+        current: The current map.
         moving: Slots that move.
         weight_by_id: Share of each owner that stays.
         width: Slots of a block.
--- a/src/swiftstile/gateway/leadership.py
+++ b/src/swiftstile/gateway/leadership.py
@@ -1,9 +1,9 @@
-"""The one VM that plans who owns which keys, and how it is found.
+"""Elects the one VM that assigns keys to upstreams.
 
-Every write of a key map names the version of the leader's row in its
-conditions, so the writes of a former leader fail from the moment another took
-over. Leading needs no lease: what a leader may do without the store is
-nothing but asking upstreams to release keys that the store has marked.
+Every write of a key map has a condition on the version of the leader's row, so
+the writes of a former leader fail as soon as another VM has taken over. A
+leader needs no lease: the only thing that it may do without the store is to ask
+upstreams to release keys that are marked in the store.
 """
 
 import asyncio
@@ -25,38 +25,41 @@
 __all__ = ["LEADER_KEY", "LeaderRow", "Leadership"]
 
 LEADER_KEY = "leader"
-# A leader without the store for this long is replaced if others reach it.
+# A leader that hasn't reached the store for this long is replaced, if other VMs
+# reach it.
 STORE_OUTAGE_S = 1.5
-# After an outage of the store for this VM, too, the leader gets so long to
-# reach it again: twice the longest pause between its tries. Each change of the
-# leader makes moves wait for what the former one may have done.
+# Time for the leader to reach the store again after an outage that affected
+# this VM as well: twice the longest delay between its attempts. Each change of
+# the leader delays moves by the wait for the former one's actions.
 LEADER_RECONNECT_S = 1.0
-# A leader whose failure domain is cut off isn't replaced by the smaller part,
-# unless it is silent for so long.
+# A leader whose failure domain is partitioned isn't replaced by a minority of
+# the VMs, unless it has been unresponsive for this long.
 LEADER_TIMEOUT_S = 4.0
-# Between two tries to take over, so that VMs don't race again and again.
+# Interval between attempts to take over, so that VMs don't race repeatedly.
 RETRY_INTERVAL_S = 0.5
-# Each VM waits up to this long at random before it tries, for the same reason.
+# Maximum random delay of each attempt, for the same reason.
 JITTER_S = 0.25
-# The same for each VM, where they are many. Word of a new leader takes some
-# 0.1 s to reach all; the first of them tries about this soon, however many.
+# Maximum random delay per VM in large fleets. The report of a new leader takes
+# about 0.1 s to reach all VMs; the first attempt is made after about this time,
+# whatever the number of VMs.
 JITTER_PER_VM_S = 0.01
-# VMs with narrow links wait so much longer than any other, until word of one of
-# these came. A leader tells all VMs, and its link must not fill.
+# Extra delay of VMs with slow links over the longest delay of all others, so
+# that they can receive the report of one of those first. A leader sends reports
+# to all VMs, which must not saturate its link.
 NARROW_LINK_DELAY_S = 0.2
-# After the start, until reports of others came in.
+# Delay after the start, until reports of other VMs have arrived.
 STARTUP_DELAY_S = 0.4
 
 
 class LeaderRow(msgspec.Struct, array_like=True):
-    """Who leads.
+    """The row that names the leader.
 
     Attributes:
         node: The VM; empty after a leader stepped down.
-        incarnation: The run of it that leads.
-        attempt: Makes each writing of the row unique.
-        vacated: Version of the row that a leader replaced by this one when it
-            stepped down.
+        incarnation: The incarnation of the VM that leads.
+        attempt: Makes each write of the row unique.
+        vacated: Version of the previous row, if a leader replaced it by this
+            one when it stepped down.
     """
 
     node: str
@@ -66,15 +69,15 @@
 
 
 class Leadership:
-    """Knows who leads and takes over when nobody does.
+    """Tracks the leader and takes over when there is none.
 
     Attributes:
-        row: The row as the store last told it.
+        row: The latest row received from the store.
         version: Its version.
-        predecessor: Version of the row of the one that led directly before
-            this VM, while this VM leads.
-        former_leader: That VM, as far as it is known.
-        led_since: When this VM began to lead, on the steady clock.
+        predecessor: While this VM leads, the version of the row of the VM that
+            led directly before.
+        former_leader: The VM that led directly before, where it is known.
+        led_since: When this VM became leader, on the monotonic clock.
     """
 
     def __init__(
@@ -97,10 +100,10 @@
         self.led_since = 0.0
 
     def apply(self, change: interfaces.Change) -> None:
-        """Takes in the leader's row, unless it is known.
+        """Applies a change of the leader's row, unless it is known.
 
-        A row that this VM wrote comes again with the table's changes. It is no
-        change of the leader: this VM isn't its own predecessor.
+        A row that this VM wrote is received again with the table's changes.
+        That isn't a change of the leader: this VM isn't its own predecessor.
         """
         was = self.is_leader
         if change.version <= self.version:
@@ -122,23 +125,23 @@
         if was and not self.is_leader:
             logs.logger.info("no longer leading")
         if self.is_leader and not was:
-            # This VM's write was done on condition of the version before, so
-            # nobody led in between.
+            # This VM's write had a condition on the previous version, so no
+            # other VM led in between.
             self.predecessor = vacated or before
             self.led_since = self._applied_at
 
     @property
     def is_leader(self) -> bool:
-        """Whether this run of this VM leads, as far as it knows."""
+        """Whether this incarnation of this VM leads, as far as it knows."""
         row = self.row
         return row is not None and row.incarnation == self._peers.me.incarnation
 
     def condition(self) -> interfaces.Condition:
-        """Returns the condition that makes a write fail once replaced."""
+        """Returns a condition that fails once this VM has been replaced."""
         return interfaces.Condition(LEADER_KEY, self.version)
 
     async def tick(self) -> None:
-        """Takes over if nobody leads."""
+        """Takes over if there is no leader."""
         now = clocks.monotonic()
         if self.is_leader or not self._follower.is_loaded:
             return
@@ -152,7 +155,7 @@
         self._retry_at = clocks.monotonic() + RETRY_INTERVAL_S
 
     def _takeover_delay_s(self) -> float:
-        """Returns how long to wait before a try to take over."""
+        """Returns the random delay before an attempt to take over."""
         places, vms = self._peers.places, len(self._peers.by_node) + 1
         wide = places.wide
         wide_jitter_s = max(JITTER_S, JITTER_PER_VM_S * wide)
@@ -172,8 +175,8 @@
             self._unresponsive_since = None
             return self._cannot_lead(leader.report, now)
         if self._unresponsive_since is None:
-            # Where VMs are many, one of another domain says nothing here before
-            # it leads.
+            # In large fleets, a VM of another domain sends no reports to this
+            # one before it leads.
             self._unresponsive_since = max(
                 leader.heard_at, leader.changed_at, self._applied_at
             )
@@ -185,7 +188,7 @@
         return 2 * heard > len(known) or unresponsive_s > LEADER_TIMEOUT_S
 
     def _cannot_lead(self, report: reports.Report, now: float) -> bool:
-        """Whether a leader that is heard can't lead for now."""
+        """Whether a responsive leader is currently unable to lead."""
         if report.is_leaving:
             return True
         has_just_reconnected = (
@@ -200,7 +203,7 @@
         await self._write(LeaderRow(me.node, me.incarnation, _attempt()))
 
     async def step_down(self) -> None:
-        """Lets another VM lead at once."""
+        """Gives up leadership, so that another VM can take over at once."""
         if self.is_leader:
             await self._write(LeaderRow("", "", _attempt(), self.version))
 
--- a/src/swiftstile/gateway/moves.py
+++ b/src/swiftstile/gateway/moves.py
@@ -1,9 +1,9 @@
-"""When slots that are leaving an owner may be given to another.
+"""Determines when slots that are leaving an owner may get another one.
 
-All bounds are on this VM's steady clock. A slot may be given away when its
+All bounds are on this VM's monotonic clock. A slot may be reassigned when its
 owner can't hold it any more: it released the slot and no grant is unanswered,
-or every grant that any VM may have sent is over, or another upstream runs at
-its address.
+or every grant that any VM may have sent has expired, or another upstream runs
+at its address.
 """
 
 import msgspec
@@ -17,14 +17,14 @@
 
 
 class OutstandingGrants(msgspec.Struct):
-    """What is known of the grants of slots that are leaving.
+    """The outstanding grants on slots that are leaving an owner.
 
     Attributes:
-        all_stopped: Every VM that might renew them said that it stopped, or
-            must have stopped.
-        held_s: Until all grants are over, in seconds; may be infinite.
-        open_s: Until all unanswered grants are over.
-        waits_for: The VM whose grants hold longest; empty for the own.
+        all_stopped: Whether every VM that might renew them has reported that
+            it stopped, or must have stopped.
+        held_s: Time until all grants have expired; may be infinite.
+        open_s: Time until all unanswered grants have expired.
+        waits_for: The VM whose grants last longest; empty for this VM.
     """
 
     all_stopped: bool
@@ -34,16 +34,16 @@
 
 
 class FormerLeader(msgspec.Struct, frozen=True):
-    """The VM that led before, where it marked the slots.
+    """The previous leader, if it marked the slots.
 
-    It may have let their owners go on with them for a while, after it had
-    marked them.
+    It may have let owners keep using slots for a while after marking them.
 
     Attributes:
-        node: That VM.
+        node: The VM.
         version: Version of the map that it knows once it knows its successor.
-        stopped_at: When it gave no more orders, whatever it knew.
-        max_held_s: Longest that such an order can be held.
+        stopped_at: Time after which it sends no more commands, whatever it
+            knows.
+        max_held_s: Longest hold that such a command can cause.
     """
 
     node: model.NodeId
@@ -64,21 +64,21 @@
     former: FormerLeader | None = None,
     quorum_since: float | None = None,
 ) -> OutstandingGrants:
-    """Combines what all VMs say of one owner's leaving slots.
+    """Combines the reports of all VMs on one owner's leaving slots.
 
     Args:
         service: The service.
         owner: The owner that the slots leave.
         marked_version: Version of the map in which they were marked.
-        own: What this VM's own grants mean.
+        own: The holds from this VM's own grants.
         peers: All other registered VMs.
-        stopped_at: When VMs that tell nothing have stopped at the latest;
-            infinite if that isn't known.
-        max_held_s: Longest that one grant can be held.
+        stopped_at: Time by which VMs that send no reports have stopped;
+            infinite if it isn't known.
+        max_held_s: Longest hold that one grant can cause.
         now: The time.
-        former: Who marked them, if that was another VM.
-        quorum_since: Since when a majority follows this VM, which leads. One
-            that was silent ever since has no right to renew.
+        former: The VM that marked the slots, if it wasn't this one.
+        quorum_since: Since when a majority has followed this VM, the leader. A
+            VM that hasn't been heard since then has no authority to renew.
     """
     result = OutstandingGrants(True, own.held_s, own.open_s)
     for peer in peers:
@@ -92,11 +92,11 @@
             hold = _hold_until(stop + longest, now)
             result.all_stopped &= now > stop
         else:
-            # An earlier run of it may have granted up to when it ended.
+            # An earlier run of the process may have granted until it ended.
             end = peer.earlier_grants_end_at(max_held_s)
             hold = _longer_hold(hold, _hold_until(end, now))
         if former is not None and not peer.is_heard(now):
-            # It may have led itself, before the one that led last.
+            # The peer may itself have been leader before the former one.
             hold = _longer_hold(
                 hold, _hold_until(stop + former.max_held_s, now)
             )
@@ -108,13 +108,16 @@
 
 
 def _latest_stop_at(peer: reports.Peer, quorum_since: float | None) -> float:
-    """Returns when a VM must have stopped as no leader counts it as heard."""
+    """Returns when a VM must have stopped, as no leader receives its reports.
+
+    Infinite if that can't be concluded.
+    """
     unresponsive_since = float("inf")
     if quorum_since is not None:
         unresponsive_since = max(peer.heard_at, quorum_since)
     if peer.row.is_retired:
-        # Whoever led when it was retired hadn't heard it for long, and none
-        # that led since counts it.
+        # The leader at the time when it was retired had received nothing from
+        # it for long, and no leader since then counts it.
         unresponsive_since = min(unresponsive_since, peer.retired_at)
     return unresponsive_since + authority.STOPPED_AFTER_S
 
@@ -131,18 +134,20 @@
 
 
 def _reported_hold(peer, service, owner, version, now) -> reports.Hold | None:
-    """Returns what a VM said of its grants; None if it may still grant."""
+    """Returns the hold that a VM reported; None if it may still grant."""
     report = peer.report
     if report is None or report.versions.get(service, 0) < version:
         return None
     if report.holds is None:
-        # It led when it said this, and will say it to who leads now.
+        # The VM sent this as leader, without its holds; it will report them to
+        # the new leader.
         return None
     reported = report.holds.get(service, {}).get(owner)
     if reported is None:
-        # It knows the map, and lists what its grants may still hold: without
-        # an entry there is nothing. Nor will there be, also if it is silent
-        # since: who knows that a slot is leaving renews it no more.
+        # The VM knows the map and lists all slots that its grants may still
+        # hold, so no entry means no hold. That remains true if it has been
+        # unresponsive since: a VM that knows that a slot is leaving doesn't
+        # renew it.
         return reports.Hold(0.0, 0.0)
     age_s = now - peer.heard_at
     return reports.Hold(
--- a/src/swiftstile/gateway/owners.py
+++ b/src/swiftstile/gateway/owners.py
@@ -1,4 +1,4 @@
-"""Finds the upstream that owns a key, as the request path sees it."""
+"""Looks up the upstream that owns a key, for the request path."""
 
 from swiftstile import clocks
 from swiftstile import ids
@@ -10,32 +10,32 @@
 
 __all__ = ["KeyOwnerLookup", "KeyOwners"]
 
-# A new owner is asked this long after it is known: its first grant goes out
-# when the map arrives, and takes a round trip or two.
+# Delay before requests are sent to a new owner: its first grant is sent when
+# the map arrives, and takes one or two round trips.
 FIRST_GRANT_DELAY_S = 0.03
-# A hand-over takes about this long from the release to the next owner.
+# Typical time of a hand-over, from the release to the grant to the next owner.
 HANDOVER_S = 0.3
-# After an owner said that it doesn't hold a key that isn't leaving, its next
-# grant is waited for.
+# Time to wait for the next grant after an owner reported that it doesn't hold a
+# key that isn't leaving.
 REGRANT_S = 0.15
-# An owner that is lost keeps its keys for about one hold.
+# A crashed or unreachable owner keeps its keys for about one hold.
 FAILED_OWNER_S = renewals.HOLD_S
-# With all upstreams of a service evacuated, its keys get no owner until the
-# operator takes a failure domain back.
+# If all upstreams of a service are evacuated, its keys get no owner until the
+# operator ends the evacuation of a failure domain.
 NO_UPSTREAM_S = float("inf")
-# How long the word of an owner that it doesn't hold a key counts.
+# How long the report of an owner that it doesn't hold a key is valid.
 MISDIRECTED_TTL_S = 0.5
 
 
 class KeyOwners:
-    """Owners of keys by the maps in force.
+    """The owners of keys according to the maps in force.
 
     Args:
         maps: The maps.
         book: The upstreams.
-        key_load_table: Counts how often slots are asked for.
+        key_load_table: Counts the requests for each slot.
         peers: The other VMs.
-        drain_s: How long a leaving owner takes requests, in seconds.
+        drain_s: How long a leaving owner accepts requests, in seconds.
     """
 
     def __init__(
@@ -62,8 +62,9 @@
     def count_request(self, waiter: admission.Waiter) -> None:
         """Counts a request for a slot of keys.
 
-        Whoever decides on it counts it: one VM sees all requests for an owner,
-        while each of many callers' VMs sees too few of them to tell a hotspot.
+        It is counted by the VM that schedules it, as that VM sees all requests
+        for an owner. The VMs that the callers are connected to each see too few
+        of them to detect a hotspot.
         """
         key_map = self._maps.by_service.get(waiter.service)
         if key_map is not None and waiter.key is not None:
@@ -80,7 +81,7 @@
     def note_misdirected(
         self, service: ids.ServiceName, key: int, now: float
     ) -> None:
-        """The owner said that it doesn't hold a key."""
+        """Records that the owner reported that it doesn't hold a key."""
         key_map = self._maps.by_service[service]
         index = key_map.index_of(key)
         fence = key_map.slots[index].fence
@@ -89,7 +90,7 @@
     def find(
         self, service: ids.ServiceName, key: int, now: float
     ) -> tuple[targets.Target | None, float]:
-        """Returns the owner, or None and when there is likely to be one."""
+        """Returns the owner, or None and the expected wait for one in s."""
         key_map = self._maps.by_service.get(service)
         if key_map is None:
             return None, self._next_owner_s(service)
@@ -97,11 +98,12 @@
         slot = key_map.slots[index]
         target = self._book.by_id.get(slot.owner)
         if target is None or not target.takes_requests(now, self._drain_s):
-            # Not left to who permits its slots: another VM may have heard later
-            # that it leaves.
+            # Checked here rather than by the arbiter, which may learn later
+            # that the owner is leaving.
             return None, self._next_owner_s(service)
         if target.upstream.is_life_after(key_map.started_ms.get(slot.owner, 0)):
-            # It holds nothing until the leader gave it its slots once more.
+            # A restarted owner holds nothing until the leader has assigned its
+            # slots to it again.
             return None, HANDOVER_S
         changed = self._maps.changed_at[service].get(index, 0.0)
         if now - changed < FIRST_GRANT_DELAY_S:
@@ -123,22 +125,22 @@
         return target, 0.0
 
     def _next_owner_s(self, service: ids.ServiceName) -> float:
-        """Returns when a key is likely to have an owner that can be asked."""
+        """Returns the expected wait for an owner that accepts requests."""
         if self._book.evacuated_at and not self._book.has_staying(service):
             return NO_UPSTREAM_S
         return HANDOVER_S
 
     def _is_cut_off(self, target: targets.Target, now: float) -> bool:
-        """Whether nothing is heard of a target's failure domain.
+        """Whether no reports arrive from a target's failure domain.
 
-        Then it isn't tried again and again: each try holds its caller for as
-        long as a connection may take to open.
+        If so, it isn't retried: each attempt would block the caller until the
+        connection times out.
         """
         return self._peers.is_silent(target.upstream.failure_domain, now)
 
 
 class KeyOwnerLookup(admission.OwnerLookup):
-    """The owner of one key."""
+    """Looks up the owner of one key."""
 
     def __init__(self, owners: KeyOwners, service: ids.ServiceName, key: int):
         self._owners = owners
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -1,8 +1,8 @@
-"""Takes slots back from the owners that they leave, while this VM leads.
+"""Reclaims slots from the owners that they leave, while this VM is the leader.
 
-Between the release of a slot and the write of its next owner nobody owns it.
-So nothing is released while the store doesn't answer, and a slot that was
-released before an outage goes back to the owner that the map still names.
+Nobody owns a slot between its release and the write of its next owner. So
+nothing is released while the store doesn't answer, and a slot that was released
+before an outage is granted again to the owner that the map still names.
 """
 
 import asyncio
@@ -25,48 +25,46 @@
 
 __all__ = ["Reclaimer", "Source"]
 
-# Calls to one upstream at the same time, when it releases slots: its busy
-# slots answer only when their work has ended.
+# Concurrent release calls to one upstream: calls for busy slots are answered
+# only when their work has ended.
 _PARALLEL = 4
-# Hold of a grant that only shuts out older ones; it is released at once.
+# Hold of a grant that only fences off older ones; it is released at once.
 FENCING_HOLD_S = 0.5
-# Hold of slots that wait for the store at the owner they leave: short, as it
-# delays the move once the store is back.
+# Hold of slots that stay with the owner they leave during a store outage:
+# short, as it delays the move once the store is available again.
 KEEP_HOLD_S = 2.0
-# Between two renewals of it: two may fail before the hold is over.
+# Interval between renewals of that hold: two may fail before it expires.
 KEEP_INTERVAL_S = 0.6
-# Failures after which the rest of a release waits for the next try. Single
-# orders get no answer even where the upstream is well.
+# Failures after which the rest of a release waits for the next attempt. Single
+# commands may get no answer even from a healthy upstream.
 _MAX_FAILURES = 24
-# After a release failed, doubled each time: each try may hold the slots for
-# FENCING_HOLD_S, and a dead owner's slots have to come free.
+# Delay after a failed release, doubled each time: each attempt may hold the
+# slots for FENCING_HOLD_S, and the slots of a crashed owner have to be freed.
 _RETRY_DELAY_S = 0.2
-
-
-# Between two lines on slots that wait.
+# Interval between log lines on slots that wait.
 WAIT_LOG_INTERVAL_S = 1.0
-# An unbounded wait is told as this.
+# Logged in place of an unbounded wait.
 MAX_LOGGED_HELD_S = 999.0
 
 
 class Source:
-    """An owner whose slots are leaving.
+    """The move of slots away from one owner.
 
     Attributes:
-        version: Version of the map in which they were marked.
-        marked_at: When that was, or when this VM took them over, on the
-            steady clock.
-        stopped_at: When all VMs had stopped renewing them, if a former leader
-            marked them and that is known.
-        former_leader: Node of the VM that marked them, with the version of the
-            map that it has to know, if `stopped_at` is known.
-        tokens: Hand-over tokens by slot, of those that it released.
-        is_fenced: Whether it refuses older grants, whoever may send them.
-        unanswered_until: Until when grants that got no answer after it was
-            fenced may hold slots there: carried out late, they have the same
-            fence.
-        is_reassigning: Whether the next owner of its slots is being written.
-            Nothing is granted to it from then on.
+        version: Version of the map in which the slots were marked.
+        marked_at: When they were marked, or when this VM took the move over,
+            on the monotonic clock.
+        stopped_at: When all VMs had stopped renewing the slots, if a former
+            leader marked them and that time is known.
+        former_leader: Node of the VM that marked the slots, with the version
+            of the map that it has to know, if `stopped_at` is known.
+        tokens: Hand-over tokens of the slots that the owner released, by slot.
+        is_fenced: Whether the owner refuses older grants from any sender.
+        unanswered_until: End of the holds of grants that got no answer after
+            the owner was fenced. They have the same fence as the release and
+            may be carried out after it.
+        is_reassigning: Whether the next owner of the slots is being written.
+            While it is set nothing is granted to the old one.
     """
 
     def __init__(
@@ -92,34 +90,34 @@
 
     @property
     def is_releasing(self) -> bool:
-        """Whether a release is under way."""
+        """Whether a release is in progress."""
         return self._release is not None and not self._release.done()
 
     def may_release(self, now: float) -> bool:
-        """Whether another release may begin."""
+        """Whether another release may start."""
         return not self.is_releasing and now >= self._retry_at
 
     def may_keep(self, now: float) -> bool:
-        """Whether it is time to grant the slots to their owner once more."""
+        """Whether the slots may be granted to their owner again."""
         return not self.is_releasing and now - self._kept_at >= KEEP_INTERVAL_S
 
     def note_release(self, task: asyncio.Task) -> None:
-        """A release began."""
+        """Records that a release started."""
         self._release = task
 
     def note_failures(self, now: float) -> None:
-        """Some orders of a release got no answer."""
+        """Records that some commands of a release got no answer."""
         self._failures += 1
         self._retry_at = now + _RETRY_DELAY_S * 2**self._failures
 
     def note_unanswered(self, now: float, hold_s: float) -> None:
-        """A grant got no answer; its connection was reset now."""
+        """Records that a grant got no answer and its connection was reset."""
         if self.is_fenced:
             end = now + holds.max_held_s(hold_s)
             self.unanswered_until = max(self.unanswered_until, end)
 
     def note_kept(self, now: float) -> None:
-        """The slots were granted to their owner once more."""
+        """Records that the slots were granted to their owner again."""
         self._kept_at = now
 
     def log_wait(
@@ -129,7 +127,7 @@
         count: int,
         now: float,
     ) -> None:
-        """Says now and then what slots that can't be given away wait for."""
+        """Logs what the slots wait for, at most once per interval."""
         if now - self._logged_at < WAIT_LOG_INTERVAL_S:
             return
         self._logged_at = now
@@ -144,13 +142,13 @@
         )
 
     def cancel(self) -> None:
-        """Ends the release that is under way, if any."""
+        """Cancels the release that is in progress, if any."""
         if self._release is not None:
             self._release.cancel()
 
 
 class Reclaimer:
-    """Orders owners to release slots of one service."""
+    """Makes owners release slots of one service."""
 
     def __init__(
         self,
@@ -180,14 +178,14 @@
         ranges: list[range],
         must_fence: bool,
     ) -> None:
-        """Begins to take slots back, unless that is under way.
+        """Starts to reclaim slots, unless a release is already in progress.
 
         Args:
-            current: The map in which they are marked as leaving.
-            owner: Whose slots they are.
-            source: What is known of that owner.
-            ranges: Its slots that are leaving, as ranges that it got as one.
-            must_fence: Whether older grants may still arrive there.
+            current: The map in which the slots are marked as leaving.
+            owner: The owner that they leave.
+            source: The move of these slots.
+            ranges: The slots, in ranges that were assigned as a whole.
+            must_fence: Whether older grants may still arrive at the owner.
         """
         target = self._book.by_id.get(owner)
         if target is None or not source.may_release(clocks.monotonic()):
@@ -211,12 +209,12 @@
         source: Source,
         pending: list[range],
     ) -> None:
-        """Takes the ranges of slots in `pending` back, the last one first."""
+        """Reclaims the ranges of slots in `pending`, the last one first."""
         failed: list[errors.PeerUnavailableError] = []
 
         def should_continue() -> bool:
-            # All slots are at one address: where it can't be reached for one,
-            # the others would only wait for the same.
+            # All slots are at one address: if it is unreachable for one range,
+            # calls for the others would time out as well.
             is_reached = not failed or not isinstance(
                 failed[-1], errors.PeerUnreachableError
             )
@@ -248,10 +246,10 @@
             )
 
     def _may_send(self, current, source: Source, slot_range: range) -> bool:
-        """Whether the owner that slots leave may get orders for them.
+        """Whether commands for slots may be sent to the owner that they leave.
 
-        It may while they are still leaving it, we lead, and no write is under
-        way by which another one owns them.
+        They may while the slots are still leaving it, this VM is the leader,
+        and no write that names another owner is in progress.
         """
         latest = self._maps.by_service[self._service]
         return (
@@ -266,9 +264,9 @@
     ) -> str:
         """Makes an owner release slots; returns the hand-over token.
 
-        Where grants under the old fence may still arrive, from a VM that tells
-        nothing or on their way, a grant under a newer fence comes first: the
-        owner refuses older ones from then on.
+        Grants under the old fence may still arrive, from a VM that sends no
+        reports or because they are in flight. In this case a grant under a
+        newer fence is sent first, after which the owner refuses older grants.
         """
         address = target.upstream.address
         keys = current.keys_of_range(slot_range)
@@ -281,7 +279,7 @@
     async def _fence_off(
         self, current, target, source: Source, slot_range: range, fence: int
     ) -> None:
-        """Grants slots for a moment, so that older grants are refused."""
+        """Grants slots for a short time, so that older grants are refused."""
         result = await self._grant(
             current, target, source, slot_range, fence, FENCING_HOLD_S, ""
         )
@@ -302,7 +300,7 @@
         hold_s: float,
         token: str,
     ) -> interfaces.GrantResult:
-        """Grants slots to the owner that they leave, as long as that may be."""
+        """Grants slots to the owner that they leave, while that is allowed."""
         try:
             return await self._renewer.grant_and_record(
                 self._service,
@@ -325,12 +323,12 @@
         source: Source,
         ranges: list[range],
     ) -> None:
-        """Lets an owner go on with slots while the store is away.
+        """Lets an owner keep using slots during an outage of the store.
 
-        Safe because the map in the store still names that owner, and because
-        no write that names another one is under way: only the leader sends
-        such writes, after this. The grants count like all others, so the move
-        goes on only once they are taken back.
+        This is safe because the map in the store still names that owner, and no
+        write that names another one is in progress: only the leader sends such
+        writes, and only after this. The grants are recorded like all others, so
+        the move continues only once they are reclaimed.
         """
         target = self._book.by_id.get(owner)
         now = clocks.monotonic()
@@ -368,7 +366,7 @@
                 slot_range,
                 current.next_fence if source.is_fenced else first.fence,
                 KEEP_HOLD_S,
-                # Slots that were released apart have several tokens.
+                # Slots that were released separately have several tokens.
                 tokens.pop() if len(tokens) == 1 else "",
             )
         except errors.PeerUnavailableError as error:
@@ -379,7 +377,7 @@
 def _is_still_leaving(
     latest: keymap.KeyMap, before: keymap.KeyMap, index: int
 ) -> bool:
-    """Whether a slot is leaving the owner and the fence it had before."""
+    """Whether a slot is leaving, with the same owner and fence as before."""
     slot, earlier = latest.slots[index], before.slots[index]
     return slot.is_leaving and (slot.owner, slot.fence) == (
         earlier.owner,
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -1,10 +1,10 @@
-"""Renews the grants of upstreams that this VM looks after.
+"""Renews the grants of upstreams that this VM is responsible for.
 
-Renewing a grant to the same owner under the same fence is harmless whoever
-does it, so VMs share the upstreams out by what they see of each other, and two
-that see differently only renew twice. What must not happen is a renewal long
-after a slot was marked as leaving: a VM renews only while an `Authority` says
-that what it knows is current.
+Renewing a grant to the same owner under the same fence is idempotent, so VMs
+divide the upstreams among themselves by their own view of the cluster, and two
+VMs with different views only renew the same grant twice. A slot must not be
+renewed long after it was marked as leaving: a VM renews only while an
+`Authority` confirms that its key map is current.
 """
 
 import abc
@@ -31,31 +31,31 @@
 
 __all__ = ["HOLD_S", "Authority", "GrantRenewer", "KeyMaps"]
 
-# Hold of each grant. A lost owner's keys wait so long for another; longer
-# holds would need fewer renewals.
+# Hold of each grant. The keys of a crashed owner are unavailable for this long;
+# longer holds would need fewer renewals.
 HOLD_S = 5.0
-# Between two renewals of a slot: two may fail before the hold is over.
+# Interval between renewals of a slot: two may fail before its hold expires.
 RENEW_INTERVAL_S = 1.8
-# Between two looks for what is due.
+# Interval between checks for grants that are due.
 _POLL_INTERVAL_S = 0.15
-# After a failed grant.
+# Delay after a failed grant.
 _RETRY_DELAY_S = 0.25
-# Grants to one upstream at the same time: enough to renew all its slots in
-# a fraction of the interval, at a few milliseconds each.
+# Concurrent grants to one upstream: enough to renew all its slots in a fraction
+# of the interval, at a few milliseconds each.
 _PARALLEL = 4
-# The same to an upstream that leaves orders without an answer.
+# Concurrent grants to an upstream that doesn't answer commands.
 _PARALLEL_UNRESPONSIVE = 24
-# Without an answer to so many, the upstream counts as out of reach.
+# After this many unanswered grants, the upstream counts as unreachable.
 _GIVE_UP_AFTER = 4
 
 
 class Mark(msgspec.Struct, frozen=True):
-    """A slot that is leaving its owner, as this VM knows it.
+    """A slot that is leaving its owner, as far as this VM knows.
 
     Attributes:
-        version: Version of the map in which it was seen to be marked first.
-        fence: Under which its owner has it.
-        known_at: When that was, on the steady clock.
+        version: Version of the first known map in which the slot is marked.
+        fence: Fence under which the owner has the slot.
+        known_at: When this VM received that map, on the monotonic clock.
     """
 
     version: int
@@ -70,7 +70,7 @@
         by_service: Maps as this VM knows them.
         marks_by_service: Slots that are leaving, by service and slot.
         changed_at: When a slot's owner last changed, by service and slot.
-        changed: Wakes those that wait for a newer map.
+        changed: Wakes tasks that wait for a newer map.
     """
 
     def __init__(self):
@@ -82,7 +82,7 @@
     def put(
         self, service: ids.ServiceName, newer: keymap.KeyMap, now: float
     ) -> None:
-        """Takes in a map, unless a newer one is known."""
+        """Stores a map, unless the known one is at least as new."""
         known = self.by_service.get(service)
         if known is not None and known.version >= newer.version:
             return
@@ -108,7 +108,7 @@
 
 
 class _GrantAttempt:
-    """Counts one grant: that it was sent, and what became of it."""
+    """Records one grant in a hold table: its sending and its outcome."""
 
     def __init__(
         self, hold_table: holds.HoldTable, slot_range: range, hold_s: float
@@ -119,24 +119,24 @@
         self._is_open = False
 
     def note_sending(self) -> None:
-        """It is about to be sent."""
+        """Records that the grant is about to be sent."""
         self._is_open = True
         self._holds.note_sent(self._slot_range)
 
     def note_answered(self) -> None:
-        """It was answered."""
+        """Records that the grant was answered."""
         self._is_open = False
         now = clocks.monotonic()
         self._holds.note_answered(self._slot_range, now, self._hold_s)
 
     def note_unsent(self) -> None:
-        """It wasn't sent after all."""
+        """Records that the grant wasn't sent after all."""
         if self._is_open:
             self._is_open = False
             self._holds.note_unsent(self._slot_range)
 
     def note_unanswered(self) -> None:
-        """Nothing more comes of it; it may have arrived if it is open."""
+        """Ends the attempt; if it is still open, the grant may arrive."""
         if self._is_open:
             self._is_open = False
             now = clocks.monotonic()
@@ -144,11 +144,11 @@
 
 
 class Authority(abc.ABC):
-    """Knows whether grants may be renewed by what this VM knows."""
+    """Decides whether this VM may renew grants by its current knowledge."""
 
     @abc.abstractmethod
     def is_authorised(self, now: float) -> bool:
-        """Whether this VM has the right to renew for any service."""
+        """Whether this VM has the authority to renew grants at all."""
 
     @abc.abstractmethod
     def may_renew(self, service: ids.ServiceName) -> bool:
@@ -156,10 +156,10 @@
 
 
 class GrantRenewer:
-    """Grants and renews keys.
+    """Grants keys to their owners and renews the grants.
 
     Attributes:
-        holds_by_service: What may be held by grants of this VM.
+        holds_by_service: Bounds on the holds from grants of this VM.
         unreachable: Upstreams that don't answer this VM.
     """
 
@@ -182,12 +182,13 @@
         # When a range of slots was last granted, and under which fence, by its
         # first slot.
         self._granted: dict[ids.ServiceName, dict[int, tuple[int, float]]] = {}
-        # Until when none of an owner's slots is due, by the map that says so.
+        # The time before which none of an owner's slots is due, with the map
+        # that it was computed from.
         self._next_due: dict[model.UpstreamId, tuple[keymap.KeyMap, float]] = {}
         self._unresponsive: set[model.UpstreamId] = set()
         self._tasks: dict[model.UpstreamId, asyncio.Task] = {}
         self._is_stopped = False
-        # Since when this VM has had the right to renew without a break.
+        # Since when this VM has had the authority to renew without a break.
         self._authorised_since: float | None = None
         self.holds_by_service: dict[ids.ServiceName, holds.HoldTable] = {}
         self.unreachable: set[model.UpstreamId] = set()
@@ -203,10 +204,10 @@
                 task.cancel()
 
     def stop(self, now: float) -> bool:
-        """Grants no more, if others will; whether it stopped.
+        """Stops granting, if other VMs can take over; returns whether it did.
 
-        Told to the others, it saves a successor the wait for what this run may
-        have granted until its end.
+        Once the other VMs know this, a restarted process needn't be waited for
+        on account of what this one might have granted until its end.
         """
         if sharing.authorised_by_domain(self._peers, now):
             self._is_stopped = True
@@ -216,7 +217,7 @@
         return self._is_stopped
 
     def grants_end_s(self, now: float) -> float | None:
-        """Returns until when its grants may hold; None while it gives any."""
+        """Returns the time until all grants expire; None while it grants."""
         if not self._is_stopped:
             return None
         tables = self.holds_by_service.values()
@@ -228,8 +229,8 @@
         if self._is_stopped:
             return
         if not self._authority.is_authorised(now):
-            # Others say the same of themselves while there is no leader. Taken
-            # for those that are gone, each VM would look after all upstreams.
+            # Without a leader, the other VMs aren't authorised either. Treated
+            # as crashed, they would make each VM responsible for all upstreams.
             self._authorised_since = None
             return
         if self._authorised_since is None:
@@ -244,7 +245,7 @@
                 self._tasks[owner] = asyncio.create_task(self._renew(owner))
 
     def _cluster_view(self, now: float) -> sharing.ClusterView:
-        """Returns all that decides which upstreams this VM looks after."""
+        """Returns the input for dividing the upstreams among the VMs."""
         by_id = self._book.by_id
         return sharing.ClusterView(
             sharing.authorised_by_domain(
@@ -277,12 +278,12 @@
         if not self._authority.may_renew(service):
             return True
         if self._has_restarted(key_map, owner):
-            # Its new life needs a newer fence, which the leader gives it.
+            # The restarted owner needs a newer fence from the leader.
             return True
         queue = self._due_ranges(service, key_map, owner, now)
         if not queue:
             return True
-        # Orders that get no answer cost nothing but waiting: more at a time.
+        # Unanswered commands cost only waiting time, so more run concurrently.
         is_unresponsive = owner in self._unresponsive
         count = _PARALLEL_UNRESPONSIVE if is_unresponsive else _PARALLEL
         answers: list[bool] = []
@@ -303,7 +304,7 @@
         return any(answers)
 
     def _due_ranges(self, service, key_map, owner, now: float) -> list[range]:
-        """Returns runs of slots to renew, the one granted longest ago last."""
+        """Returns ranges of slots to renew, the least recently granted last."""
         known = self._next_due.get(owner)
         if known is not None and known[0] is key_map and now < known[1]:
             return []
@@ -372,7 +373,7 @@
         return True
 
     def _is_due(self, service, owner, slot_range: range, first) -> bool:
-        """Whether a range of slots is still its owner's, and ours to renew."""
+        """Whether the range has the same owner and this VM may renew it."""
         key_map = self._maps.by_service[service]
         if any(
             self._is_stale(key_map.slots[i], owner, first) for i in slot_range
@@ -393,21 +394,21 @@
         token: str,
         is_due: collections.abc.Callable[[], bool],
     ) -> interfaces.GrantResult:
-        """Sends one grant, and counts what its upstream may hold by it.
+        """Sends one grant and records what its upstream may hold by it.
 
         Args:
             service: The service.
             target: The upstream.
             slot_range: Slots that are granted.
             keys: Their keys.
-            fence: Under which fence.
-            hold_s: For how long, from its arrival.
+            fence: Fence of the grant.
+            hold_s: Duration of the hold, from the arrival of the grant.
             token: Hand-over token; empty if there is none.
-            is_due: Whether it may be sent. Asked right before that, as opening
-                a connection takes time, in which a slot may be marked.
+            is_due: Returns whether the grant may be sent. Called right before
+                it is sent, as a slot may be marked while the connection opens.
 
         Raises:
-            PeerTimeoutError: No answer; it may have arrived.
+            PeerTimeoutError: No answer; the grant may have arrived.
             PeerUnreachableError: No connection; nothing was sent.
             PeerUnavailableError: Nothing was sent.
         """
@@ -442,7 +443,7 @@
         return result
 
     def _has_restarted(self, key_map: keymap.KeyMap, owner) -> bool:
-        """Whether an owner started again since its slots were given to it."""
+        """Whether an owner restarted since its slots were assigned to it."""
         target = self._book.by_id.get(owner)
         return target is not None and target.upstream.is_life_after(
             key_map.started_ms.get(owner, 0)
@@ -455,7 +456,7 @@
         )
 
     def holds(self, service: ids.ServiceName, count: int) -> holds.HoldTable:
-        """Returns the bounds of a service's slots."""
+        """Returns the bounds on the holds of a service's slots."""
         hold_table = self.holds_by_service.get(service)
         if hold_table is None:
             hold_table = holds.HoldTable(count, HOLD_S)
@@ -465,10 +466,10 @@
     def leaving_holds(
         self, now: float
     ) -> dict[ids.ServiceName, dict[model.UpstreamId, reports.Hold]]:
-        """Returns what this VM's grants mean for slots that are leaving.
+        """Returns the holds from this VM's grants on slots that are leaving.
 
-        Owners for which they mean nothing are left out. That is most of them,
-        as one VM renews an upstream's grants.
+        Owners without such holds are left out. That is most of them, as only
+        one VM renews an upstream's grants.
         """
         found: dict[ids.ServiceName, dict] = {}
         for service, key_map in self._maps.by_service.items():
--- a/src/swiftstile/gateway/settle.py
+++ b/src/swiftstile/gateway/settle.py
@@ -1,4 +1,4 @@
-"""Writes whose answers may be lost, settled by conditions on versions."""
+"""Conditional writes that are repeated until their outcome is known."""
 
 import asyncio
 
@@ -15,22 +15,22 @@
     conditions: list[interfaces.Condition],
     write: interfaces.Write,
 ) -> int:
-    """Writes one row and returns its version, or knows that it never will be.
+    """Writes one row, and returns its version or raises if it has no effect.
 
-    A write whose answer is lost may be done seconds later, as long as its
-    condition holds. So the same write is sent until an answer is definite:
-    one that took effect makes the condition of all others fail, and versions
-    only grow, so a condition that failed once fails for ever.
+    A write whose answer is lost may take effect seconds later, as long as its
+    condition holds. So the same write is repeated until an answer is definite:
+    a write that took effect makes the conditions of all others fail, and as
+    versions only grow, a condition that failed once never holds again.
 
     Args:
         table: The table.
-        conditions: Must name the row that is written.
-        write: The row; its value must be unlike that of any other write.
+        conditions: Conditions; one of them must be on the row that is written.
+        write: The row; its value must differ from that of any other write.
 
     Raises:
-        ConflictError: Another write was done; if this one was, too, it is
-            overwritten. It will not be done any more.
-        PlatformUnavailableError: It wasn't done and will not be.
+        ConflictError: Another write took effect; if this one did as well, it
+            is overwritten. It can no longer take effect.
+        PlatformUnavailableError: The write had no effect and never will.
     """
     may_be_done = False
     while True:
@@ -52,7 +52,7 @@
             snapshot = await table.read_all()
             break
         except errors.PlatformUnavailableError:
-            # What became of the write must be known before anything else.
+            # The caller can't proceed without the outcome of the write.
             await asyncio.sleep(RETRY_PAUSE_S)
     for row in snapshot.rows:
         if row.key == write.key and row.value == write.value:
--- a/src/swiftstile/gateway/sharing.py
+++ b/src/swiftstile/gateway/sharing.py
@@ -1,10 +1,10 @@
-"""Which VM looks after which upstream: decisions only.
+"""Divides the upstreams among the VMs that renew their grants, without any I/O.
 
-VMs share the upstreams out by what they see of each other. All that decides is
-in a `ClusterView`; the answer is worked out anew only when that differs from
-the last one. It is looked at several times a second and at each change of a
-map, and its cost grows with VMs times upstreams: worked out each time it would
-be most of what a VM of a large deployment does for itself.
+Each VM decides by its own view of the cluster, using rendezvous hashing. All
+inputs are in a `ClusterView`, and the result is recomputed only when the view
+has changed. It is needed several times a second and at each change of a map,
+and its cost is proportional to VMs times upstreams: recomputing it each time
+would be most of the work of a VM in a large deployment.
 """
 
 import functools
@@ -25,18 +25,19 @@
     "authorised_by_domain",
 ]
 
-# With so many VMs in a domain an upstream that none of them reaches is tried by
-# one of them; with less, VMs of other domains try, too.
+# In a domain with at least this many VMs, an upstream that none of them reaches
+# is retried by one of them; with fewer, VMs of other domains try as well.
 SINGLE_RETRY_VMS = 6
-# A leader's word reaches all VMs, and theirs all others, within this.
+# Time within which a report of the leader reaches all VMs, and their reports
+# reach each other.
 PROPAGATION_S = 0.6
-# Pairs of VM and upstream that are remembered: enough for 60 VMs of one domain
-# with all of 270 upstreams.
+# Cached pairs of VM and upstream: enough for 60 VMs of one domain with all of
+# 270 upstreams.
 _MAX_CACHED_AFFINITIES = 16384
 
 
 class AuthorisedVm(typing.NamedTuple):
-    """A VM that may renew grants, as it told.
+    """A VM that may renew grants according to its report.
 
     Attributes:
         row: Its registration.
@@ -48,11 +49,12 @@
 
 
 class ClusterView(typing.NamedTuple):
-    """All that decides which upstreams this VM looks after.
+    """The inputs that decide which upstreams this VM is responsible for.
 
     Attributes:
         authorised_by_domain: Other VMs that may renew grants, by domain.
-        reported_domains: Domains whose VMs live, though they aren't heard.
+        reported_domains: Domains whose VMs are alive by the reports of others,
+            though this VM receives none from them.
         unreachable: Upstreams that this VM can't reach.
         domain_by_owner: Failure domains of the upstreams that own keys.
     """
@@ -64,10 +66,10 @@
 
 
 class Responsibilities:
-    """The upstreams that one VM looks after.
+    """Determines the upstreams that one VM is responsible for.
 
     Args:
-        me: That VM.
+        me: The VM.
     """
 
     def __init__(self, me: reports.NodeRow):
@@ -76,7 +78,7 @@
         self._upstreams: frozenset[model.UpstreamId] = frozenset()
 
     def upstreams(self, view: ClusterView) -> frozenset[model.UpstreamId]:
-        """Returns them, by what is seen now."""
+        """Returns the upstreams that the VM is responsible for."""
         if view != self._view:
             self._view = view
             self._upstreams = frozenset(
@@ -92,7 +94,7 @@
         me, domain = self._me, view.domain_by_owner[owner]
         near = _reaching(view.authorised_by_domain.get(domain, ()), owner)
         if domain != me.domain and near:
-            # One of those looks after it.
+            # One of those is responsible for it.
             return False
         reaches_it = owner not in view.unreachable
         if domain == me.domain and reaches_it:
@@ -108,14 +110,14 @@
         view: ClusterView,
         reaches_it: bool,
     ) -> bool:
-        """The same where no VM that is known to reach it is in its domain."""
+        """Decides for an upstream that no VM of its own domain reaches."""
         me = self._me
         if domain in view.reported_domains:
-            # Its own domain looks after it, and says nothing of it here.
+            # Its own domain is responsible for it and sends no reports here.
             return False
         near = view.authorised_by_domain.get(domain, [])
         if domain == me.domain and len(near) >= SINGLE_RETRY_VMS:
-            # Nobody near reaches it. One goes on trying, not all of them.
+            # No VM of its domain reaches it. Only one of them keeps trying.
             return _is_first(me, [vm.row for vm in near], owner)
         reaching = [
             row
@@ -130,13 +132,15 @@
 ) -> dict[ids.FailureDomain, list[AuthorisedVm]]:
     """Returns the peers that may renew grants, by failure domain.
 
-    All VMs get that right from the same leader at nearly the same time, but
-    hear of each other later. What a peer told before counts as if it had it.
+    All VMs get this authority from the same leader at nearly the same time, but
+    receive each other's reports later. An earlier report of a peer counts as if
+    it had the authority.
 
     Args:
         peers: The other VMs.
         now: The time.
-        authorised_since: Since when this VM may; None if that doesn't matter.
+        authorised_since: Since when this VM may renew; None to count only peers
+            that report the authority.
     """
     propagated_at = (
         float("-inf")
@@ -156,7 +160,7 @@
 def _is_first(
     me: reports.NodeRow, others: list[reports.NodeRow], owner: model.UpstreamId
 ) -> bool:
-    """Whether of some VMs this one is chosen for an upstream."""
+    """Whether this VM has the highest affinity to an upstream."""
     own = affinity(me.node, owner)
     return all(affinity(row.node, owner) <= own for row in others)
 
@@ -169,5 +173,5 @@
 
 @functools.lru_cache(maxsize=_MAX_CACHED_AFFINITIES)
 def affinity(node: model.NodeId, owner: model.UpstreamId) -> int:
-    """Returns how much a VM is preferred for an upstream, alike on all VMs."""
+    """Returns the preference of a VM for an upstream; equal on all VMs."""
     return zlib.crc32(f"{node}/{owner}".encode())
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -1,7 +1,8 @@
-"""Where the slots of one service should be: what a leader decides, in time.
+"""Plans which upstreams own the slots of one service, over time.
 
-Joins what is known of upstreams, their speeds and the busy slots with the plans
-of `keyplan` and `hotplan`. No network and no store: the keeper carries it out.
+Combines the state of the upstreams, their measured speeds and the load of busy
+slots with the algorithms in `keyplan` and `hotplan`. Does no I/O: the leader's
+`KeyAssigner` carries the plan out.
 """
 
 import collections.abc
@@ -19,26 +20,28 @@
 __all__ = ["SLOT_COUNT", "SlotPlan"]
 
 # Slots of a service: the finest division of its keys. They are assigned in
-# blocks, which are cut where a neighbourhood of keys is hot.
+# blocks, which are split where adjacent keys are hot.
 SLOT_COUNT = 4096
-# Before the first deal, no upstream joined for this long.
+# The initial assignment waits until no upstream has joined for this long.
 STABLE_MEMBERSHIP_S = 1.0
-# Most slots that are moved at a time only to even things out: about a tenth,
-# so that no owner's keys are on the move all at once.
+# Maximum number of slots that are moved at a time by rebalancing: about a
+# tenth, so that the keys of an owner aren't moved all at once.
 MAX_REBALANCED_SLOTS = 400
-# Between two rounds of evening out: about what the effect of one takes to show.
+# Interval between rounds of rebalancing: about the time until the effect of one
+# can be measured.
 REBALANCE_INTERVAL_S = 1.5
-# A hot slot stays this long where it was put, so that it doesn't go back and
-# forth with noise.
+# Minimum time between two moves of a hot slot, so that noise doesn't move it
+# back and forth.
 MIN_RELOCATION_INTERVAL_S = 3.0
-# Bounds of a target's speed over the mean, for its share of the keys. A slow
-# one keeps a few, which tell when it is fast again.
+# Bounds on the speed of a target relative to the mean, for its share of the
+# keys. A slow target keeps a few keys, whose requests show when it is fast
+# again.
 MIN_SPEED, MAX_SPEED = 0.1, 2.0
-# What an owner keeps of its share of the keys beside a slot that takes all that
-# it can do: a few, so that it isn't empty when the hot time is over.
+# Part of its share of the keys that an owner keeps beside a hot slot that takes
+# up all its capacity, so that it isn't idle when the hotspot ends.
 MIN_SHARE_BESIDE_HOT = 0.1
 
-# What owners can do, in slots of a target of mean speed.
+# Capacity of owners, in request slots of a target of mean speed.
 Weights = dict[model.UpstreamId, float]
 
 
@@ -49,10 +52,11 @@
         service: The service.
         book: The upstreams.
         speed_book: How fast they are.
-        key_load_table: How often busy slots are asked for.
+        key_load_table: Request rates of busy slots.
         work_s: Returns the mean work of a service's requests, once measured.
-        now: On the steady clock.
-        limits: Which upstreams are cold, so that little may be sent there.
+        now: The time, on the monotonic clock.
+        limits: Which upstreams are cold, so that few requests may be sent to
+            them.
         max_ranges: Returns how many ranges the fleet can afford to renew.
     """
 
@@ -74,11 +78,11 @@
         self._speeds = speed_book
         self._key_load = key_load_table
         self._work_s = work_s
-        # Where hot slots are on their way to.
+        # Planned new owners of hot slots that are being moved.
         self._hot_destinations: dict[int, model.UpstreamId] = {}
         self._relocated_at: dict[int, float] = {}
         self._rebalanced_at = 0.0
-        # Hot slots beside which things were evened out last.
+        # Hot slots at the time of the last rebalancing.
         self._rebalanced_for: frozenset[int] = frozenset()
         self._members: set[model.UpstreamId] = set()
         self._members_at = now
@@ -88,10 +92,10 @@
         now: float,
         owners: collections.abc.Container[model.UpstreamId] = (),
     ) -> Weights:
-        """Returns what the upstreams that stay can do.
+        """Returns the capacity of the upstreams that aren't leaving.
 
-        A cold one gets no keys until it is warm, unless it has some: few of
-        their requests could be sent to it.
+        A cold upstream gets no keys until it is warm, unless it already has
+        some, as only few requests could be sent to it.
 
         Args:
             now: The time.
@@ -119,7 +123,7 @@
     def initial_assignment(
         self, weights: Weights, now: float
     ) -> list[model.UpstreamId]:
-        """Returns the first owner of each slot; none until all have joined."""
+        """Returns the owner of each slot; empty until all have joined."""
         if not weights or now - self._members_at < STABLE_MEMBERSHIP_S:
             return []
         width = self._block_width(SLOT_COUNT, weights)
@@ -128,7 +132,7 @@
     def hot_slots_to_move(
         self, current: keymap.KeyMap, weights: Weights, now: float
     ) -> list[int]:
-        """Returns hot slots that should leave, and notes where they go."""
+        """Returns hot slots to move, and records their destinations."""
         capacity = self._capacities(weights)
         busy = self._busy_slots(current, capacity, now)
         hot = {
@@ -151,10 +155,10 @@
     def surplus_slots_to_move(
         self, current: keymap.KeyMap, weights: Weights, now: float
     ) -> list[int]:
-        """Returns slots that should leave owners that have too many.
+        """Returns slots that should leave owners with more than their share.
 
-        Nothing until it is time for that again. A slot that just became hot
-        doesn't wait: it lasts for seconds only.
+        Empty until the next round of rebalancing is due. A slot that has just
+        become hot triggers one at once, as hotspots last only seconds.
         """
         left, hot = self._weights_beside_hot(current, weights, now)
         is_due = now - self._rebalanced_at >= REBALANCE_INTERVAL_S
@@ -184,9 +188,9 @@
     def move_ranges(
         self, current: keymap.KeyMap, slots: collections.abc.Iterable[int]
     ) -> list[range]:
-        """Returns slots of one owner as ranges that it releases as one.
+        """Groups slots of one owner into ranges that it releases as a whole.
 
-        Hot slots are released one by one, as each gets an owner of its own.
+        Hot slots are released one by one, as each gets its own new owner.
         """
         width = self._block_width(len(current.slots), self._members)
         return keyplan.move_ranges(
@@ -199,17 +203,17 @@
     def _weights_beside_hot(
         self, current: keymap.KeyMap, weights: Weights, now: float
     ) -> tuple[Weights, frozenset[int]]:
-        """Returns what owners can do beside their hot slots, and these slots.
+        """Returns the capacity left beside hot slots, and the hot slots.
 
-        A key that draws more than its owner can do leaves nothing for the rest
-        of that owner's keys: they are better off elsewhere meanwhile.
+        A key with more load than its owner can handle leaves no capacity for
+        the other keys of that owner, which are better served elsewhere.
         """
         left, hot = dict(weights), set()
         busy = self._busy_slots(current, self._capacities(weights), now)
         for slot, share in busy.items():
             least = hotplan.HOT_SHARE
             if slot in self._rebalanced_for:
-                # Not back and forth with noise.
+                # Hysteresis, so that noise doesn't move keys back and forth.
                 least = hotplan.BUSY_SHARE
             owner = current.slots[slot].owner
             if share >= least and slot not in current.leaving:
@@ -225,7 +229,7 @@
         return hotplan.busy_shares(current, rates, capacity)
 
     def _capacities(self, weights: Weights) -> dict[model.UpstreamId, float]:
-        """Returns the requests/s that upstreams can do, once known."""
+        """Returns the requests/s that upstreams can handle, once known."""
         work_s = self._work_s(self._service)
         if not work_s:
             return {}
@@ -233,6 +237,6 @@
 
 
 def _weight(target: targets.Target, ratio: float) -> float:
-    """Returns how much a target can do: its slots over its slowness."""
+    """Returns the capacity of a target: its slots times its speed."""
     speed = 1.0 / min(max(ratio, 1 / MAX_SPEED), 1 / MIN_SPEED)
     return max(1, target.upstream.slots) * speed
--- a/src/swiftstile/gateway/succession.py
+++ b/src/swiftstile/gateway/succession.py
@@ -1,14 +1,16 @@
-"""What a new leader may conclude from the reports of the one before it.
-
-Slots that are leaving can be given away once nobody renews them any more. A
-leader knows when that is from its own marks. One that takes over would have to
-count from its own beginning: slots of lost owners would wait for 8 s more at
-each loss of a leader. So each VM notes when the leader first told of a version
-of a map. From then on the leader renews no slot that is marked there, and its
-followers stop when its older word goes stale, whoever leads later.
-
-It holds only if nothing was missed: the VM heard the very leader that it
-replaces, while that had its right, and it knew the marks before it took over.
+"""What a new leader may conclude from the reports of its predecessor.
+
+Slots that are leaving can be reassigned once no VM renews them any more. A
+leader knows from its own marks when that is. A new leader would have to count
+from the time when it took over, which would delay slots of crashed owners by
+another 8 s with each crash of a leader. So each VM records when the leader
+first reported a version of a map. From then on that leader renews no slot that
+is marked in this version, and its followers stop when its earlier reports
+expire, whoever leads later.
+
+This is valid only if nothing was missed: the VM received the reports of the
+very leader that it replaces, while that leader had its authority, and it knew
+the marks before it took over.
 """
 
 import bisect
@@ -21,16 +23,17 @@
 
 __all__ = ["Succession"]
 
-# Versions of a map that are remembered: those of a minute of the busiest moves.
+# Versions of a map that are remembered: those of one minute at the highest rate
+# of moves.
 _MAX_VERSIONS = 600
 
 
 class Succession:
-    """Remembers when the leader told which versions of the key maps.
+    """Records when the leader first reported each version of the key maps.
 
     Args:
-        leader_state: Who leads.
-        maps: The maps, with the marks of this VM's own knowledge.
+        leader_state: The current leadership.
+        maps: The maps, with the marks that this VM knows.
     """
 
     def __init__(
@@ -38,13 +41,14 @@
     ):
         self._leader_state = leader_state
         self._maps = maps
-        # The version of the leader's row whose reports are noted below.
+        # Version of the leader's row to which the reports below belong.
         self._row_version = 0
-        # Versions told, and when each came first, both growing.
+        # Reported versions and the time of the first report of each, both in
+        # ascending order.
         self._history: dict[ids.ServiceName, tuple[list[int], list[float]]] = {}
 
     def note_report(self, peer: reports.Peer, now: float) -> None:
-        """Takes in a report, if it is the leader's."""
+        """Records the versions in a report, if the leader sent it."""
         leader_state, report = self._leader_state, peer.report
         row = leader_state.row
         if leader_state.is_leader or row is None or peer.row.node != row.node:
@@ -70,9 +74,9 @@
     def marked_version(
         self, service: ids.ServiceName, slots: list[int]
     ) -> int | None:
-        """Returns a version of the map in which all of these were marked.
+        """Returns a version of the map in which all these slots were marked.
 
-        None if this VM didn't know all marks when it took over.
+        None if this VM didn't know all the marks when it took over.
         """
         marks = self._maps.marks_by_service.get(service, {})
         found = [marks.get(index) for index in slots]
@@ -86,13 +90,13 @@
     def stopped_at(
         self, service: ids.ServiceName, marked_version: int
     ) -> float | None:
-        """Returns when all VMs had stopped renewing what was marked.
+        """Returns when all VMs had stopped renewing the marked slots.
 
-        None if this VM doesn't know.
+        None if it isn't known.
 
         Args:
             service: The service.
-            marked_version: What `marked_version` returned.
+            marked_version: Result of the method `marked_version`.
         """
         leader_state = self._leader_state
         if (
