--- a/src/swiftstile/gateway/key_assigner.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -507,7 +507,10 @@
         if len(value) > self._row_bytes:
             # Tokens only save the next owners a cold start, and take up most
             # of the row.
-            logs.logger.warning("key map without tokens", bytes=len(value))
+            logs.logger.warning(
+                "key map too large; writing it without hand-over tokens",
+                bytes=len(value),
+            )
             changed = changed.without_tokens()
             value = changed.encode(ids.new_attempt_id())
         conditions = [
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -286,7 +286,7 @@
         if result is not interfaces.GrantResult.HELD:
             raise errors.PeerUnavailableError(
                 f"fencing grant {result.value}",
-                step="take back keys",
+                step="reclaim keys",
                 peer=target.id,
             )
 
@@ -371,7 +371,7 @@
             )
         except errors.PeerUnavailableError as error:
             self._meters.ownership.add("keep-unanswered")
-            logs.logger.debug("slot not kept", error=str(error))
+            logs.logger.debug("hold not extended", error=str(error))
 
 
 def _is_still_leaving(
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -418,7 +418,7 @@
         def on_send() -> None:
             if self._is_stopped or not is_due():
                 raise errors.PeerUnavailableError(
-                    "not due any more", step="grant keys", peer=target.id
+                    "grant no longer due", step="grant keys", peer=target.id
                 )
             attempt.note_sending()
 
--- a/src/swiftstile/gateway/settle.py
+++ b/src/swiftstile/gateway/settle.py
@@ -58,5 +58,5 @@
         if row.key == write.key and row.value == write.value:
             return row.version
     raise errors.ConflictError(
-        "another write was first", step="write row", peer=write.key
+        "another write took effect first", step="write row", peer=write.key
     )
