--- a/tests/assigner_parts.py
+++ b/tests/assigner_parts.py
@@ -33,7 +33,7 @@
         # Runs while a connection is being opened, before anything is sent.
         self.before_send = None
         self.is_unreachable = False
-        self.is_silent = False
+        self.is_unresponsive = False
 
     async def grant(
         self, address, upstream, keys, fence, hold_s, token, on_send
@@ -48,7 +48,7 @@
             self.kept.append((upstream, keys.first, fence, token))
         if self.during is not None:
             self.during()
-        if self.is_silent:
+        if self.is_unresponsive:
             raise errors.PeerTimeoutError("silent", step="grant")
         return interfaces.GrantResult.HELD
 
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -83,7 +83,7 @@
         )
         self.book.put(away, at)
 
-    def hear_leaving(self, since_s: float) -> None:
+    def learn_leaving(self, since_s: float) -> None:
         """Notes that the upstream has been leaving for some time."""
         at = clocks.monotonic() - since_s
         self._put(model.UpstreamState.DRAINING, at)
@@ -120,20 +120,20 @@
 def test_a_leaving_owner_still_takes_requests_for_a_while():
     async def scenario():
         vm = _Vm()
-        vm.hear_leaving(since_s=1.0)
+        vm.learn_leaving(since_s=1.0)
         assert (await _acquire(vm)).id == "u-1"
         assert len(vm.asked) == 1
 
     asyncio.run(scenario())
 
 
-def test_an_arbiter_does_not_lengthen_the_time_of_a_leaving_owner():
+def test_an_arbiter_does_not_extend_the_time_of_a_leaving_owner():
     # Cause: whether an owner still takes requests was left to its arbiter,
     # which may have heard later that it leaves, or not at all. Evidence: a VM
     # that had known of it for 2.4 s sent what the arbiter permitted.
     async def scenario():
         vm = _Vm()
-        vm.hear_leaving(since_s=_DRAIN_S - 0.1)
+        vm.learn_leaving(since_s=_DRAIN_S - 0.1)
         with pytest.raises(outcomes.RefusedError):
             await _acquire(vm)
         assert not vm.asked
@@ -233,13 +233,13 @@
         """Whether a request may be sent to the upstream at a time."""
         return self.book.by_id["u-1"].takes_requests(at, _DRAIN_S)
 
-    def assert_sends_end_in_time(self, said_at: float) -> None:
+    def assert_sends_end_in_time(self, announced_at: float) -> None:
         """Checks the last send to an upstream that said that it leaves."""
-        assert not self.is_sent_to(said_at + _DRAIN_S - _ON_ITS_WAY_S)
+        assert not self.is_sent_to(announced_at + _DRAIN_S - _ON_ITS_WAY_S)
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.3, 0.74, 1.2])
-def test_sends_end_in_time_though_a_peer_handed_the_news_over_late(
+def test_sends_end_in_time_if_a_peer_forwards_the_rows_late(
     monkeypatch, late_s
 ):
     # Cause: the time was counted from when the rows came. Evidence: lines of 64
@@ -247,50 +247,54 @@
     # them, and a reader pauses for 0.3 s and tells each 0.25 s at most, where
     # sends end only 0.5 s early.
     vm = _Following(monkeypatch)
-    said_at = 100.0
-    told_at = said_at + 0.5
-    vm.follower.note_told(2, told_at)
-    vm.clock.now = told_at + late_s
+    announced_at = 100.0
+    reported_at = announced_at + 0.5
+    vm.follower.note_told(2, reported_at)
+    vm.clock.now = reported_at + late_s
     vm.follower.accept(_rows(2, _LEAVING), False)
-    vm.assert_sends_end_in_time(said_at)
+    vm.assert_sends_end_in_time(announced_at)
 
 
-def test_sends_end_in_time_though_the_store_was_asked_after_a_pause(
+def test_sends_end_in_time_if_the_store_is_read_after_a_delay(
     monkeypatch,
 ):
     vm = _Following(monkeypatch)
-    said_at = vm.clock.now
+    announced_at = vm.clock.now
     vm.clock.now += 0.3
     vm.step(0.45, _rows(2, _LEAVING))
-    vm.assert_sends_end_in_time(said_at)
+    vm.assert_sends_end_in_time(announced_at)
 
 
-def test_sends_end_in_time_though_calls_failed_meanwhile(monkeypatch):
+def test_sends_end_in_time_if_calls_fail_meanwhile(monkeypatch):
     vm = _Following(monkeypatch)
-    said_at = vm.clock.now
+    announced_at = vm.clock.now
     for _ in range(3):
         vm.step(0.7, None)
     vm.step(0.01, _rows(2, _LEAVING))
-    vm.assert_sends_end_in_time(said_at)
+    vm.assert_sends_end_in_time(announced_at)
 
 
-def test_nothing_is_sent_to_one_that_left_before_the_first_read(monkeypatch):
+def test_nothing_is_sent_to_an_upstream_that_left_before_the_first_read(
+    monkeypatch,
+):
     vm = _Following(monkeypatch, is_loaded=False)
     vm.step(0.01, _rows(1, _LEAVING))
     assert not vm.is_sent_to(vm.clock.now)
 
 
-def test_news_that_were_waited_for_are_new(monkeypatch):
+def test_rows_returned_by_a_long_poll_are_new(monkeypatch):
     vm = _Following(monkeypatch)
     vm.step(3.0, _rows(2, _LEAVING))
-    said_at = vm.clock.now
-    assert vm.is_sent_to(said_at + _DRAIN_S - targets.LEAVING_MARGIN_S - 0.1)
-    vm.assert_sends_end_in_time(said_at)
+    announced_at = vm.clock.now
+    assert vm.is_sent_to(
+        announced_at + _DRAIN_S - targets.LEAVING_MARGIN_S - 0.1
+    )
+    vm.assert_sends_end_in_time(announced_at)
     vm.step(0.5, _rows(3, _READY))
     assert vm.is_sent_to(vm.clock.now + 60)
 
 
-def test_sends_end_in_time_though_a_registration_may_come_back(monkeypatch):
+def test_sends_end_in_time_if_an_upstream_may_register_again(monkeypatch):
     # Cause: after a call that failed, entries that are gone are kept for 2.2 s,
     # since upstreams may register anew, and the time was counted from then.
     # Evidence: lines of a VM that the store turned away, 2.3 to 2.7 s after the
@@ -299,12 +303,12 @@
     vm.step(0.7, None)
     vm.step(0.01, interfaces.Snapshot([], 1))
     vm.step(0.6, _rows(2, None))
-    said_at = vm.clock.now
-    vm.registry.tick(said_at + registry.RETURN_S + 0.1)
-    vm.assert_sends_end_in_time(said_at)
+    announced_at = vm.clock.now
+    vm.registry.tick(announced_at + registry.RETURN_S + 0.1)
+    vm.assert_sends_end_in_time(announced_at)
 
 
-def test_one_that_may_register_anew_after_an_outage_is_sent_to_meanwhile(
+def test_an_upstream_that_may_register_again_gets_requests_meanwhile(
     monkeypatch,
 ):
     vm = _Following(monkeypatch)
@@ -314,7 +318,7 @@
     assert vm.is_sent_to(vm.clock.now + registry.RETURN_S)
 
 
-def test_one_that_registers_anew_after_an_outage_is_sent_to(monkeypatch):
+def test_an_upstream_that_registers_again_gets_requests(monkeypatch):
     vm = _Following(monkeypatch)
     vm.step(0.7, None)
     vm.step(0.01, _rows(2, None))
--- a/tests/unit/test_gateway_evacuation.py
+++ b/tests/unit/test_gateway_evacuation.py
@@ -52,7 +52,7 @@
     assert _staying(book) == {"u-1", "u-2", "u-3"}
 
 
-def test_one_that_registers_there_later_gets_nothing_either():
+def test_an_upstream_that_registers_there_later_gets_nothing():
     book = _book(builders.HOME)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     late = builders.upstream("u-9", failure_domain=builders.AWAY)
@@ -62,21 +62,21 @@
     assert book.put(late, _CLOSED_AT + 1).leaving_since == _EVACUATED_AT
 
 
-def test_an_evacuation_that_is_told_again_does_not_begin_again():
+def test_a_repeated_evacuation_does_not_start_again():
     book = _book(builders.AWAY)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     book.evacuate(builders.AWAY, _EVACUATED_AT + 1)
     assert book.by_id["u-1"].is_evacuated(_CLOSED_AT)
 
 
-def test_owners_are_asked_for_a_while_and_then_not_any_more():
+def test_evacuated_owners_get_requests_for_a_limited_time():
     target = _book(builders.AWAY).by_id["u-1"]
     target.set_evacuated(_EVACUATED_AT)
     assert target.takes_requests(_CLOSED_AT - 0.01, _DRAIN_S)
     assert not target.takes_requests(_CLOSED_AT, _DRAIN_S)
 
 
-def test_one_that_drains_stays_away_when_its_domain_is_taken_back():
+def test_a_draining_upstream_stays_away_when_its_domain_returns():
     book = _book(builders.AWAY)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     drains = builders.upstream(
@@ -89,7 +89,7 @@
     assert book.by_id["u-1"].leaving_since == _EVACUATED_AT + 1
 
 
-def test_one_that_is_gone_is_remembered_as_long_as_any_other():
+def test_an_upstream_that_left_is_remembered_as_long_as_any_other():
     book = _book(builders.AWAY)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     book.mark_gone("u-1", _EVACUATED_AT + 100)
@@ -97,19 +97,19 @@
     assert book.sweep(_EVACUATED_AT + 121, registry.REMEMBER_S) != []
 
 
-def test_waiting_requests_are_looked_at_when_it_changes():
-    looks = []
+def test_waiting_requests_are_checked_when_an_evacuation_changes():
+    checks = []
     book = _book(builders.AWAY)
     made = registry.Registry(
-        book, None, lambda: looks.append(1), metrics.Meters()
+        book, None, lambda: checks.append(1), metrics.Meters()
     )
     made.set_evacuated(builders.AWAY, False)
-    assert not looks
+    assert not checks
     made.set_evacuated(builders.AWAY, True)
     made.set_evacuated(builders.AWAY, True)
-    assert (len(looks), _staying(book)) == (1, set())
+    assert (len(checks), _staying(book)) == (1, set())
     made.set_evacuated(builders.AWAY, False)
-    assert (len(looks), _staying(book)) == (2, {"u-1"})
+    assert (len(checks), _staying(book)) == (2, {"u-1"})
 
 
 def test_requests_without_a_key_go_elsewhere_at_once():
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize("domain", [builders.HOME, builders.AWAY])
-def test_new_keys_are_dealt_to_others(domain):
+def test_new_keys_are_assigned_to_others(domain):
     book = _book(builders.HOME, builders.AWAY)
     book.evacuate(domain, 0.0)
     parts = assigner_parts.Parts()
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -5,7 +5,7 @@
 started again; its grants may stay without an answer and be carried out late;
 the server's clock may run slow. Each safeguard is taken away once, and the
 overlap it prevents is found. What happens while the leader waits for a call is
-played in test_gateway_exclusivity_orders.py.
+played in test_gateway_exclusivity_concurrency.py.
 """
 
 import random
@@ -41,7 +41,7 @@
         self.until = 0.0
         self.seen = 0
 
-    def take(self, fence: int, hold_s: float, arrived: float) -> bool:
+    def grant(self, fence: int, hold_s: float, arrived: float) -> bool:
         if fence < self.seen:
             return False
         self.seen = fence
@@ -57,7 +57,7 @@
 
     def __init__(self, clock: _Clock, run: str):
         self.row = builders.node_row("vm-2", run=run)
-        self.book = holds.HoldTable(1, renewals.HOLD_S)
+        self.hold_table = holds.HoldTable(1, renewals.HOLD_S)
         self.version = 1
         self.due = clock.now
         leader_row = builders.node_row("vm-1", run="leaderrr")
@@ -83,20 +83,20 @@
         self._maps.by_service[builders.LOOKUPS] = key_map
 
     def report(self, sequence: int, now: float) -> reports.Report:
-        told = {}
+        reported = {}
         if self.version >= 2:
             hold = reports.Hold(
-                self.book.held_for_s(_SLOT, now),
-                self.book.unanswered_for_s(_SLOT, now),
+                self.hold_table.held_for_s(_SLOT, now),
+                self.hold_table.unanswered_for_s(_SLOT, now),
             )
             # Empty holds are left out, as in `GrantRenewer.leaving_holds`.
             if hold.held_s > 0 or hold.open_s > 0:
-                told = {builders.LOOKUPS: {"u-1": hold}}
+                reported = {builders.LOOKUPS: {"u-1": hold}}
         return builders.report(
             self.row,
             sequence,
             versions={builders.LOOKUPS: self.version},
-            holds=told,
+            holds=reported,
         )
 
 
@@ -114,7 +114,7 @@
         self._answers: list[tuple[float, _Renewer, bool]] = []
         self._marked_at = 0.0
         self._released = ""
-        self._given_at: float | None = None
+        self._reassigned_at: float | None = None
         self._sequence = 0
         self.overlap_s = 0.0
         self._plan()
@@ -126,12 +126,12 @@
         draw = self._random.uniform
         start = self._clock.now
         self._mark_at = start + draw(1.0, 6.0)
-        self._cut = self._window(0.5)
-        self._still = self._window(0.4)
-        self._down = self._window(0.3)
+        self._partitioned = self._window(0.5)
+        self._paused = self._window(0.4)
+        self._crashed = self._window(0.3)
         self._unreachable = self._window(0.4)
         # The other VM hears the leader, and isn't heard.
-        self._mute = self._window(0.3)
+        self._unheard = self._window(0.3)
         self._late_share = self._random.choice((0.0, 0.3, 0.9))
 
     def _window(self, share: float) -> tuple[float, float]:
@@ -151,10 +151,10 @@
             self._clock.now += _STEP_S
             self._carry_out_late()
             self._renew()
-            self._tell()
+            self._exchange_reports()
             self._lead()
             is_held = self._server.until > self._clock.now
-            if self._given_at is not None and is_held:
+            if self._reassigned_at is not None and is_held:
                 self.overlap_s += _STEP_S
         return self.overlap_s
 
@@ -162,18 +162,18 @@
         now = self._clock.now
         for entry in [e for e in self._late if e[1] <= now]:
             self._late.remove(entry)
-            self._server.take(_OLD_FENCE, renewals.HOLD_S, entry[0])
+            self._server.grant(_OLD_FENCE, renewals.HOLD_S, entry[0])
         for entry in [e for e in self._answers if e[0] <= now]:
             self._answers.remove(entry)
             _, renewer, is_answered = entry
             if is_answered:
-                renewer.book.note_answered(_SLOT, now, renewals.HOLD_S)
+                renewer.hold_table.note_answered(_SLOT, now, renewals.HOLD_S)
             else:
-                renewer.book.note_unanswered(_SLOT, now, renewals.HOLD_S)
+                renewer.hold_table.note_unanswered(_SLOT, now, renewals.HOLD_S)
 
     def _renew(self) -> None:
         now, renewer = self._clock.now, self._renewer
-        if self._is_in(self._down) or self._is_in(self._still):
+        if self._is_in(self._crashed) or self._is_in(self._paused):
             return
         if self._was_restarted():
             self._renewer = renewer = _Renewer(self._clock, "run00002")
@@ -187,27 +187,27 @@
         if renewer.version >= 2:
             return
         renewer.due = now + renewals.RENEW_INTERVAL_S
-        renewer.book.note_sent(_SLOT)
+        renewer.hold_table.note_sent(_SLOT)
         if self._random.random() < self._late_share:
             self._late.append((now, now + self._random.uniform(0.5, 12)))
             self._answers.append((now + 0.5, renewer, False))
         else:
-            self._server.take(_OLD_FENCE, renewals.HOLD_S, now)
+            self._server.grant(_OLD_FENCE, renewals.HOLD_S, now)
             self._answers.append((now + _STEP_S, renewer, True))
 
     def _was_restarted(self) -> bool:
-        end = self._down[1]
+        end = self._crashed[1]
         is_first = self._renewer.row.incarnation.endswith("run00001")
         return is_first and end > 0 and self._clock.now >= end
 
-    def _tell(self) -> None:
+    def _exchange_reports(self) -> None:
         now = self._clock.now
-        if self._is_in(self._down) or self._is_in(self._still):
+        if self._is_in(self._crashed) or self._is_in(self._paused):
             return
-        if self._is_in(self._cut):
+        if self._is_in(self._partitioned):
             return
         self._sequence += 1
-        if not self._is_in(self._mute):
+        if not self._is_in(self._unheard):
             report = self._renewer.report(self._sequence, now)
             self._peer.note_report(report, now)
         version = 2 if self._marked_at else 1
@@ -227,7 +227,7 @@
 
     def _lead(self) -> None:
         now = self._clock.now
-        if self._given_at is not None:
+        if self._reassigned_at is not None:
             return
         if not self._marked_at:
             if now >= self._mark_at:
@@ -240,17 +240,17 @@
             reports.Hold(0.0, 0.0),
             [self._peer],
             self._marked_at + authority.STOPPED_AFTER_S,
-            self._renewer.book.max_held_s,
+            self._renewer.hold_table.max_held_s,
             now,
             None,
             self._quorum_since,
         )
         is_certain = known.all_stopped and known.open_s <= 0
         if known.all_stopped and known.held_s <= 0:
-            self._give()
+            self._reassign()
         elif self._released:
             if self._released == "fenced" or is_certain:
-                self._give()
+                self._reassign()
         elif not self._is_in(self._unreachable):
             if is_certain:
                 self._server.release(_OLD_FENCE)
@@ -259,16 +259,16 @@
                 self._fence_and_release()
 
     def _fence_and_release(self) -> None:
-        self._server.take(_FENCING, 0.0, self._clock.now)
+        self._server.grant(_FENCING, 0.0, self._clock.now)
         self._server.release(_FENCING)
         self._released = "fenced"
 
-    def _give(self) -> None:
-        self._given_at = self._clock.now
+    def _reassign(self) -> None:
+        self._reassigned_at = self._clock.now
 
     @property
-    def is_given(self) -> bool:
-        return self._given_at is not None
+    def is_reassigned(self) -> bool:
+        return self._reassigned_at is not None
 
 
 class _Restarting(_Model):
@@ -277,9 +277,12 @@
     def _plan(self) -> None:
         super()._plan()
         draw = self._random.uniform
-        self._down = (self._mark_at - draw(0, 1), self._mark_at + draw(0.1, 2))
+        self._crashed = (
+            self._mark_at - draw(0, 1),
+            self._mark_at + draw(0.1, 2),
+        )
         self._unreachable = (self._mark_at, self._mark_at + 10)
-        self._cut = self._still = (0.0, 0.0)
+        self._partitioned = self._paused = (0.0, 0.0)
 
 
 _SEEDS = range(150)
@@ -297,10 +300,10 @@
     models = [_Model(seed) for seed in _SEEDS]
     for model in models:
         model.play(monkeypatch)
-    assert all(model.is_given for model in models)
+    assert all(model.is_reassigned for model in models)
 
 
-class _Silent(_Model):
+class _Partitioned(_Model):
     """Only the end of all holds tells that the slot is free.
 
     The other VM renews until it hears of the mark, and is cut off with what it
@@ -310,37 +313,37 @@
     def _plan(self) -> None:
         super()._plan()
         start = self._mark_at + self._random.uniform(0.05, 0.3)
-        self._cut = (start, start + 30)
+        self._partitioned = (start, start + 30)
         self._unreachable = (self._mark_at, self._mark_at + 30)
-        self._still = self._down = self._mute = (0.0, 0.0)
+        self._paused = self._crashed = self._unheard = (0.0, 0.0)
         self._late_share = 0.0
 
 
-class _Mute(_Model):
+class _Unheard(_Model):
     """The other VM is silent for long before the slot is marked as leaving."""
 
     def _plan(self) -> None:
         super()._plan()
         self._mark_at = self._clock.now + self._random.uniform(3, 14)
-        self._mute = (self._mark_at - self._random.uniform(0, 12), 1000.0)
+        self._unheard = (self._mark_at - self._random.uniform(0, 12), 1000.0)
         self._unreachable = (self._mark_at, self._mark_at + 10)
-        self._cut = self._still = self._down = (0.0, 0.0)
+        self._partitioned = self._paused = self._crashed = (0.0, 0.0)
 
     @property
     def waited_s(self) -> float:
-        return self._given_at - self._marked_at
+        return self._reassigned_at - self._marked_at
 
 
-def test_one_that_the_leader_does_not_hear_holds_nothing_up(monkeypatch):
-    assert _overlaps(monkeypatch, _Mute) == 0
-    models = [_Mute(seed) for seed in _SEEDS]
+def test_a_vm_whose_reports_do_not_arrive_delays_nothing(monkeypatch):
+    assert _overlaps(monkeypatch, _Unheard) == 0
+    models = [_Unheard(seed) for seed in _SEEDS]
     for model in models:
         model.play(monkeypatch)
     # Silent for long enough, there is nothing to wait for.
     assert min(model.waited_s for model in models) < 0.2
 
 
-def test_without_the_leaders_word_that_it_hears_a_vm_they_overlap(monkeypatch):
+def test_without_the_leaders_acknowledgement_holds_overlap(monkeypatch):
     def authorising_leader(self, now):
         leader = self._leader(now)
         is_able = leader is not None and leader.report.is_able
@@ -349,7 +352,7 @@
     monkeypatch.setattr(
         authority.PeerAuthority, "_authorising_leader", authorising_leader
     )
-    assert _overlaps(monkeypatch, _Mute) > 0
+    assert _overlaps(monkeypatch, _Unheard) > 0
 
 
 class _WithoutFencing(_Model):
@@ -363,19 +366,19 @@
     assert _overlaps(monkeypatch, _WithoutFencing) > 0
 
 
-def test_without_the_wait_for_silent_vms_they_overlap(monkeypatch):
+def test_without_the_wait_for_unresponsive_vms_holds_overlap(monkeypatch):
     monkeypatch.setattr(authority, "STOPPED_AFTER_S", -10.0)
     assert _overlaps(monkeypatch) > 0
 
 
-def test_without_the_wait_for_slow_clocks_they_overlap(monkeypatch):
-    assert _overlaps(monkeypatch, _Silent) == 0
+def test_without_the_wait_for_slow_clocks_holds_overlap(monkeypatch):
+    assert _overlaps(monkeypatch, _Partitioned) == 0
     monkeypatch.setattr(holds, "CLOCK_RATE", 1.0)
     monkeypatch.setattr(holds, "MARGIN_S", 0.0)
-    assert _overlaps(monkeypatch, _Silent) > 0
+    assert _overlaps(monkeypatch, _Partitioned) > 0
 
 
-def test_without_the_wait_for_unanswered_grants_they_overlap(monkeypatch):
+def test_without_the_wait_for_unanswered_grants_holds_overlap(monkeypatch):
     monkeypatch.setattr(holds.HoldTable, "note_unanswered", _forget)
     assert _overlaps(monkeypatch) > 0
 
@@ -384,7 +387,7 @@
     self.note_unsent(slots)
 
 
-def test_without_the_wait_for_earlier_runs_they_overlap(monkeypatch):
+def test_without_the_wait_for_earlier_runs_holds_overlap(monkeypatch):
     original = moves.outstanding_grants
 
     def without(service, owner, version, own, peers, *rest):
@@ -397,7 +400,7 @@
     assert _overlaps(monkeypatch, _Restarting) > 0
 
 
-def test_without_fresh_word_of_the_leader_they_overlap(monkeypatch):
+def test_without_recent_reports_of_the_leader_holds_overlap(monkeypatch):
     monkeypatch.setattr(authority, "MAX_REPORT_AGE_S", 1000.0)
     assert _overlaps(monkeypatch) > 0
 
@@ -414,19 +417,19 @@
     )
     for name in ("vm-2", "vm-3", "vm-4"):
         row = builders.node_row(name)
-        told = builders.report(row, leader_version=5)
-        peers.by_node[name] = builders.peer(row, told, clock.now)
+        report = builders.report(row, leader_version=5)
+        peers.by_node[name] = builders.peer(row, report, clock.now)
     assert peer_authority.is_authorised(clock.now)
     # One that follows another leader, and one that is silent: two of four.
     peers.by_node["vm-2"].report.leader_version = 6
-    silent = peers.by_node["vm-3"]
-    silent.heard_at = silent.direct_at = clock.now - 2.0
+    unresponsive = peers.by_node["vm-3"]
+    unresponsive.heard_at = unresponsive.direct_at = clock.now - 2.0
     assert not peer_authority.is_authorised(clock.now)
     # Word that another VM handed on doesn't count, however fresh it seems.
-    silent.note_word(silent.report, clock.now)
-    assert silent.is_heard(clock.now)
+    unresponsive.note_word(unresponsive.report, clock.now)
+    assert unresponsive.is_heard(clock.now)
     assert not peer_authority.is_authorised(clock.now)
-    silent.note_direct(clock.now, hears_us=True)
+    unresponsive.note_direct(clock.now, hears_us=True)
     assert peer_authority.is_authorised(clock.now)
     peer_authority.tick(clock.now)
     assert peer_authority.quorum_since == clock.now
--- a/tests/unit/test_gateway_exclusivity_orders.py
+++ b/tests/unit/test_gateway_exclusivity_concurrency.py
@@ -34,7 +34,7 @@
 # As the orders' own limits (platform/users_platform/control.py).
 _GRANT_TIMEOUT_S, _RELEASE_TIMEOUT_S = 0.25, 1.5
 # A leader that is replaced has a right to give orders for so long.
-_LAST_WORD_S = 1.0
+_AUTHORITY_S = 1.0
 _SEEDS = range(150)
 
 
@@ -81,7 +81,7 @@
         self.until: dict[tuple[str, int], float] = {}
         self._seen: dict[tuple[str, int], int] = {}
 
-    def take(self, owner, slots: range, fence, hold_s, arrived) -> bool:
+    def grant(self, owner, slots: range, fence, hold_s, arrived) -> bool:
         if any(fence < self._seen.get((owner, slot), 0) for slot in slots):
             return False
         end = arrived + hold_s * 1.02
@@ -107,7 +107,7 @@
     """Carry orders out in time, late, or never.
 
     Attributes:
-        lost_share: Part of the orders that get no answer.
+        unanswered_share: Part of the orders that get no answer.
         open_s: Longest time until a connection is open.
         work_s: Longest time until work that was running has ended.
     """
@@ -115,12 +115,12 @@
     def __init__(self, world: _World):
         self._world = world
         self._draw = world.draw.uniform
-        self.lost_share = world.draw.choice((0.0, 0.2, 0.6))
+        self.unanswered_share = world.draw.choice((0.0, 0.2, 0.6))
         self.open_s = world.draw.choice((0.0, 0.05, 0.4))
         self.work_s = world.draw.choice((0.02, 0.5, 1.4))
 
-    def _is_lost(self) -> bool:
-        return self._world.draw.random() < self.lost_share
+    def _is_unanswered(self) -> bool:
+        return self._world.draw.random() < self.unanswered_share
 
     async def grant(
         self, address, upstream, keys, fence, hold_s, token, on_send
@@ -129,12 +129,12 @@
         on_send()
         world, slots = self._world, _slots_of(keys)
         arrived = world.clock.now
-        if self._is_lost():
+        if self._is_unanswered():
             arrived += self._draw(0, _GRANT_TIMEOUT_S)
             if world.draw.random() < 0.7:
                 asyncio.get_running_loop().call_later(
                     self._draw(_GRANT_TIMEOUT_S, 2.0),
-                    world.take,
+                    world.grant,
                     upstream,
                     slots,
                     fence,
@@ -143,7 +143,7 @@
                 )
             await asyncio.sleep(_GRANT_TIMEOUT_S)
             raise errors.PeerTimeoutError("silent", step="grant")
-        is_held = world.take(upstream, slots, fence, hold_s, arrived)
+        is_held = world.grant(upstream, slots, fence, hold_s, arrived)
         await asyncio.sleep(self._draw(0.001, 0.02))
         if is_held:
             return interfaces.GrantResult.HELD
@@ -151,7 +151,7 @@
 
     async def release(self, address, upstream, keys, fence):
         await asyncio.sleep(self._draw(0, self.open_s))
-        if self._is_lost():
+        if self._is_unanswered():
             await asyncio.sleep(_RELEASE_TIMEOUT_S)
             raise errors.PeerTimeoutError("silent", step="release")
         for slot in _slots_of(keys):
@@ -172,16 +172,16 @@
     def __init__(self, world: _World):
         super().__init__()
         self._world = world
-        self._lost_share = world.draw.choice((0.0, 0.2))
-        self.away = (0.0, 0.0)
+        self._lost_answer_share = world.draw.choice((0.0, 0.2))
+        self.outage = (0.0, 0.0)
 
-    def is_away(self) -> bool:
-        return self.away[0] <= self._world.clock.now < self.away[1]
+    def is_unavailable(self) -> bool:
+        return self.outage[0] <= self._world.clock.now < self.outage[1]
 
     async def _wait(self) -> None:
         await asyncio.sleep(self._world.draw.uniform(0.001, 0.25))
-        if self.is_away():
-            raise errors.PlatformUnavailableError("away", step="call")
+        if self.is_unavailable():
+            raise errors.PlatformUnavailableError("outage", step="call")
 
     async def wait_for_changes(self, after, wait_s):
         await self._wait()
@@ -191,7 +191,7 @@
         await self._wait()
         version = await super().write(conditions, writes)
         await asyncio.sleep(self._world.draw.uniform(0.001, 0.05))
-        if self._world.draw.random() < self._lost_share:
+        if self._world.draw.random() < self._lost_answer_share:
             raise errors.OutcomeUnknownError("lost", step="write")
         return version
 
@@ -212,7 +212,7 @@
     # Slots that are leaving from the beginning.
     _most_leaving = 9
     # How often an owner has to be fenced off.
-    _open_share = 0.7
+    _unanswered_share = 0.7
 
     def __init__(self, seed: int):
         self._draw = random.Random(seed)
@@ -239,25 +239,25 @@
         parts.assigner._started -= 60.0
         parts.plan.hot_slots_to_move = self._hot_to_move
         parts.plan.surplus_slots_to_move = lambda *_: []
-        self._hold_all()
+        self._grant_all()
         self._plan(store, upstreams)
         while self._clock.now < _START_S + _LENGTH_S:
             await asyncio.sleep(_TICK_S)
             parts.assigner._follower.failing_since = (
-                store.away[0] if store.is_away() else None
+                store.outage[0] if store.is_unavailable() else None
             )
             if parts.leads.is_leader:
                 await parts.assigner.tick()
             else:
                 parts.assigner.forget()
 
-    def _hold_all(self) -> None:
+    def _grant_all(self) -> None:
         """Grants of before; some got no answer, so owners are fenced off."""
         book = self._parts.renewer.holds(builders.LOOKUPS, _SLOTS)
         every = range(_SLOTS)
-        is_open = self._draw.random() < self._open_share
+        is_unanswered = self._draw.random() < self._unanswered_share
         book.note_sent(every)
-        end = book.note_unanswered if is_open else book.note_answered
+        end = book.note_unanswered if is_unanswered else book.note_answered
         granted_at = self._clock.now - self._draw.uniform(0, renewals.HOLD_S)
         end(every, granted_at, renewals.HOLD_S)
         for slot in every:
@@ -267,11 +267,11 @@
         draw, loop = self._draw, asyncio.get_running_loop()
         if draw.random() < 0.5:
             start = _START_S + draw.uniform(0.3, 8)
-            store.away = (start, start + draw.uniform(0.2, 3))
+            store.outage = (start, start + draw.uniform(0.2, 3))
         for slot in draw.sample(range(10, _SLOTS), draw.randrange(6)):
             self._marks.append((_START_S + draw.uniform(0.3, 8), [slot]))
         if draw.random() < 0.3:
-            loop.call_later(draw.uniform(0.3, 8), self._lose_owner)
+            loop.call_later(draw.uniform(0.3, 8), self._crash_owner)
         if draw.random() < 0.3:
             loop.call_later(draw.uniform(1, 8), self._replace_leader)
 
@@ -282,7 +282,7 @@
             i for _, slots in due for i in slots if i not in current.leaving
         ]
 
-    def _lose_owner(self) -> None:
+    def _crash_owner(self) -> None:
         self._parts.book.mark_gone("u-1", self._clock.now)
 
     def _replace_leader(self) -> None:
@@ -290,7 +290,9 @@
         loop, table = asyncio.get_running_loop(), self._parts.table
         table.apply([], [interfaces.Write("leader", b"another")])
         loop.call_later(self._draw.uniform(0, 0.2), self._take_over)
-        loop.call_later(self._draw.uniform(0, _LAST_WORD_S), self._step_back)
+        loop.call_later(
+            self._draw.uniform(0, _AUTHORITY_S), self._learn_of_new_leader
+        )
 
     def _take_over(self) -> None:
         table = self._parts.table
@@ -298,7 +300,7 @@
         adopted = keymap.decode(row.value, row.version).with_newer_fence()
         table.apply([], [interfaces.Write(_KEY, adopted.encode("another"))])
 
-    def _step_back(self) -> None:
+    def _learn_of_new_leader(self) -> None:
         self._parts.leads.is_leader = False
 
 
@@ -307,32 +309,32 @@
 
     def _plan(self, store, upstreams) -> None:
         draw = self._draw.uniform
-        upstreams.lost_share, upstreams.work_s = 0.2, 1.4
+        upstreams.unanswered_share, upstreams.work_s = 0.2, 1.4
         for slot in range(10, _SLOTS):
             self._marks.append((_START_S + draw(0.3, 7), [slot]))
 
 
-class _Kept(_Model):
+class _StoreOutage(_Model):
     """The store is away for a moment, after slots were released."""
 
     _most_leaving = 2
-    _open_share = 1.0
+    _unanswered_share = 1.0
 
     def _plan(self, store, upstreams) -> None:
         draw = self._draw.uniform
-        upstreams.lost_share, upstreams.work_s = 0.3, 0.02
+        upstreams.unanswered_share, upstreams.work_s = 0.3, 0.02
         start = _START_S + draw(0.8, 2.0)
-        store.away = (start, start + draw(0.3, 1.0))
+        store.outage = (start, start + draw(0.3, 1.0))
 
 
-class _KeptAndRemarked(_Kept):
+class _StoreOutageAndRemarked(_StoreOutage):
     """As soon as the store is back another slot of the owner is marked."""
 
     def _plan(self, store, upstreams) -> None:
         super()._plan(store, upstreams)
-        start = store.away[0]
-        store.away = (start, start + self._draw.uniform(0.3, 0.6))
-        self._marks.append((store.away[1], [_SLOTS - 1]))
+        start = store.outage[0]
+        store.outage = (start, start + self._draw.uniform(0.3, 0.6))
+        self._marks.append((store.outage[1], [_SLOTS - 1]))
 
 
 def _play_all(monkeypatch, kind=_Model, seeds=_SEEDS) -> list[_Model]:
@@ -347,7 +349,9 @@
 
 # Orders for single slots, and for up to five neighbours at a time.
 @pytest.mark.parametrize("max_ranges", [_SLOTS, 1])
-@pytest.mark.parametrize("kind", [_Model, _Remarked, _Kept, _KeptAndRemarked])
+@pytest.mark.parametrize(
+    "kind", [_Model, _Remarked, _StoreOutage, _StoreOutageAndRemarked]
+)
 def test_no_two_owners_have_a_slot(monkeypatch, kind, max_ranges):
     monkeypatch.setattr(keyplan, "MIN_BLOCKS_PER_OWNER", 1)
     monkeypatch.setattr(kind, "max_ranges", max_ranges)
@@ -358,50 +362,50 @@
     assert moved > 0.8 * len(models)
 
 
-def test_without_the_flag_on_slots_that_are_given_they_overlap(monkeypatch):
+def test_without_the_flag_on_slots_being_reassigned_holds_overlap(monkeypatch):
     never = property(lambda self: False, lambda self, value: None)
     monkeypatch.setattr(reclaim.Source, "is_reassigning", never, raising=False)
     assert _overlaps(monkeypatch) > 0
 
 
-def test_without_the_second_look_at_the_holds_they_overlap(monkeypatch):
+def test_without_checking_holds_twice_they_overlap(monkeypatch):
     original = key_assigner.KeyAssigner._next_steps
     # The map that was looked at, and what was seen.
-    looked = [None, None]
+    checked = [None, None]
 
     def only_the_first(self, current, weights, now):
-        if current is looked[0]:
-            looked[0] = None
-            return looked[1]
+        if current is checked[0]:
+            checked[0] = None
+            return checked[1]
         steps = original(self, current, weights, now)
-        looked[:] = (current, steps) if steps.is_any else (None, None)
+        checked[:] = (current, steps) if steps.is_any else (None, None)
         return steps
 
     monkeypatch.setattr(key_assigner.KeyAssigner, "_next_steps", only_the_first)
     assert _overlaps(monkeypatch) > 0
 
 
-def test_without_the_end_of_former_releases_they_overlap(monkeypatch):
+def test_without_cancelling_former_releases_holds_overlap(monkeypatch):
     monkeypatch.setattr(reclaim.Source, "cancel", lambda self: None)
     assert _overlaps(monkeypatch, _Remarked) > 0
 
 
 @pytest.mark.parametrize("max_ranges", [_SLOTS, 1])
-def test_without_the_wait_for_open_grants_of_one_fence_they_overlap(
+def test_without_the_wait_for_unanswered_grants_of_one_fence_holds_overlap(
     monkeypatch, max_ranges
 ):
     monkeypatch.setattr(keyplan, "MIN_BLOCKS_PER_OWNER", 1)
-    monkeypatch.setattr(_Kept, "max_ranges", max_ranges)
+    monkeypatch.setattr(_StoreOutage, "max_ranges", max_ranges)
     monkeypatch.setattr(
         reclaim.Source, "note_unanswered", lambda self, now, hold_s: None
     )
-    assert _overlaps(monkeypatch, _Kept) > 0
+    assert _overlaps(monkeypatch, _StoreOutage) > 0
 
 
-def test_without_a_newer_fence_for_each_mark_they_overlap(monkeypatch):
+def test_without_a_newer_fence_for_each_mark_holds_overlap(monkeypatch):
     def same(self):
         return self.with_slots({}, self.next_fence, self.version)
 
     monkeypatch.setattr(keymap.KeyMap, "with_newer_fence", same)
     # One in 200 days: the store is back, an order is late, another mark comes.
-    assert _overlaps(monkeypatch, _KeptAndRemarked, range(240, 430)) > 0
+    assert _overlaps(monkeypatch, _StoreOutageAndRemarked, range(240, 430)) > 0
--- a/tests/unit/test_gateway_key_assigner.py
+++ b/tests/unit/test_gateway_key_assigner.py
@@ -10,20 +10,20 @@
 from tests import gateway_builders as builders
 
 
-def test_a_release_that_outlives_its_move_sends_nothing():
-    # Found on trouble-3 of hbrt-gw: slots were given away as their holds had
+def test_a_release_sends_nothing_after_its_move_ended():
+    # Found on trouble-3 of hbrt-gw: slots were reassigned as their holds had
     # ended, while a release of the same slots was still working its way down.
     parts = assigner_parts.Parts()
     current = parts.start()
-    given = current.assign({}, {0: "u-2", 1: "u-2"})
-    given.version = current.version + 1
-    parts.maps.put(builders.LOOKUPS, given, 1.0)
+    reassigned = current.assign({}, {0: "u-2", 1: "u-2"})
+    reassigned.version = current.version + 1
+    parts.maps.put(builders.LOOKUPS, reassigned, 1.0)
     parts.release(current)
     assert parts.control.grants == []
     assert parts.control.releases == []
 
 
-def test_a_fencing_grant_under_way_keeps_the_slot_from_being_given():
+def test_a_fencing_grant_in_flight_prevents_reassignment():
     parts = assigner_parts.Parts()
     current = parts.start()
     book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
@@ -34,10 +34,10 @@
     assert len(parts.control.releases) == 2
 
 
-def test_a_fencing_grant_without_answer_counts_as_a_grant():
+def test_an_unanswered_fencing_grant_counts_as_a_grant():
     parts = assigner_parts.Parts()
     current = parts.start()
-    parts.control.is_silent = True
+    parts.control.is_unresponsive = True
     source = parts.release(current)
     book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     now = key_assigner.clocks.monotonic()
@@ -45,12 +45,12 @@
     assert 0 < book.held_for_s([0], now) < renewals.HOLD_S
 
 
-def test_tries_to_fence_off_a_silent_owner_let_its_slots_free(monkeypatch):
+def test_fencing_an_unresponsive_owner_lets_its_holds_expire(monkeypatch):
     # Found by seed 3 of the soak: each try counted as a grant of full length,
-    # so the keys of a dead owner were never given away.
+    # so the keys of a dead owner were never reassigned.
     parts = assigner_parts.Parts()
     current = parts.start()
-    parts.control.is_silent = True
+    parts.control.is_unresponsive = True
     clock = [1000.0]
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: clock[0])
     source = reclaim.Source(current.version, clock[0])
@@ -71,7 +71,7 @@
     assert free_at is not None
 
 
-def test_without_the_right_to_act_nothing_is_sent():
+def test_without_authority_nothing_is_sent():
     parts = assigner_parts.Parts()
     current = parts.start()
     parts.authority.is_authorised = lambda now: False
@@ -89,7 +89,7 @@
     assert after.leaving == before.leaving
 
 
-def test_slots_of_an_owner_that_released_them_are_given_with_its_tokens():
+def test_released_slots_are_reassigned_with_their_tokens():
     async def scenario():
         parts = assigner_parts.Parts()
         parts.start()
@@ -97,9 +97,9 @@
             while parts.maps.by_service[builders.LOOKUPS].leaving:
                 await parts.assigner.tick()
                 await asyncio.sleep(0.01)
-        given = parts.maps.by_service[builders.LOOKUPS]
-        assert [given.slots[i].token for i in (0, 1)] == ["warm", "warm"]
-        assert {given.slots[i].owner for i in (0, 1)} <= {"u-1", "u-2"}
+        reassigned = parts.maps.by_service[builders.LOOKUPS]
+        assert [reassigned.slots[i].token for i in (0, 1)] == ["warm", "warm"]
+        assert {reassigned.slots[i].owner for i in (0, 1)} <= {"u-1", "u-2"}
 
     asyncio.run(scenario())
 
@@ -111,7 +111,7 @@
             await asyncio.sleep(0.01)
 
 
-def test_an_outage_after_the_release_gives_slots_back_to_their_owner():
+def test_an_outage_after_the_release_returns_slots_to_their_owner():
     # Found by CI: an outage of the store in the middle of a move left the
     # released slots without an owner until the store was back.
     async def scenario():
@@ -132,7 +132,7 @@
         assert set(parts.control.kept) == {("u-1", 0, fence, "warm")}
         book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
         assert book.held_for_s([0, 1], key_assigner.clocks.monotonic()) > 0
-        # Once the store is back the slots are taken back again, then given.
+        # Once the store is back the slots are reclaimed, then reassigned.
         parts.control.release = original
         parts.table.refuse = 0
         current = parts.maps.by_service
@@ -172,7 +172,7 @@
     assert book.held_for_s([0], 0.0) == 0.0
 
 
-def test_a_slot_that_is_marked_while_a_connection_opens_is_not_granted():
+def test_a_slot_marked_while_a_connection_opens_is_not_granted():
     parts = assigner_parts.Parts()
     current = parts.start(leaving=())
 
@@ -186,7 +186,7 @@
     assert parts.control.grants == []
 
 
-def test_one_that_lost_its_right_while_a_connection_opens_does_not_grant():
+def test_a_vm_that_loses_authority_while_connecting_does_not_grant():
     parts = assigner_parts.Parts()
     parts.start(leaving=())
 
@@ -198,23 +198,23 @@
     assert parts.control.grants == []
 
 
-def test_a_slot_that_was_given_while_a_connection_opens_is_not_fenced_off():
+def test_a_slot_reassigned_while_a_connection_opens_is_not_fenced():
     parts = assigner_parts.Parts()
     current = parts.start()
     parts.control.before_send = lambda: parts.maps.put(
-        builders.LOOKUPS, _given(current), 1.0
+        builders.LOOKUPS, _reassigned(current), 1.0
     )
     parts.release(current)
     assert parts.control.grants == []
 
 
-def _given(current):
-    given = current.assign({}, {0: "u-2", 1: "u-2"})
-    given.version = current.version + 1
-    return given
+def _reassigned(current):
+    reassigned = current.assign({}, {0: "u-2", 1: "u-2"})
+    reassigned.version = current.version + 1
+    return reassigned
 
 
-def test_one_slot_of_an_owner_out_of_reach_is_tried_not_all():
+def test_an_unreachable_owner_is_tried_for_a_few_slots_only():
     parts = assigner_parts.Parts()
     current = parts.start(leaving=range(100))
     parts.control.is_unreachable = True
@@ -229,7 +229,7 @@
     assert 1 <= len(tries) <= 4
 
 
-def test_a_new_leader_does_not_wait_for_its_own_run_from_when_it_leads(
+def test_earlier_runs_of_a_new_leader_end_when_its_process_starts(
     monkeypatch,
 ):
     # Found on trouble-3 of armor-encheres: each VM that led for the first time
@@ -247,7 +247,7 @@
     assert made.assigner._own_hold(book, [0], 120.0).held_s > 5.0
 
 
-def test_slots_that_turn_hot_one_after_the_other_are_placed_apart(monkeypatch):
+def test_slots_that_become_hot_in_turn_get_different_owners(monkeypatch):
     parts = assigner_parts.Parts()
     for name in ("u-3", "u-4"):
         parts.book.put(builders.upstream(name), 0.0)
@@ -266,7 +266,7 @@
     assert [current.slots[i].owner for i in (7, 9, 11)] == ["u-2", "u-3", "u-4"]
 
 
-def _writes_while_slots_turn_hot(monkeypatch, vms: int, for_s: float) -> int:
+def _writes_while_slots_become_hot(monkeypatch, vms: int, for_s: float) -> int:
     """Returns writes of the map while another slot is hot at each look."""
 
     async def scenario() -> int:
@@ -284,16 +284,16 @@
     return asyncio.run(scenario())
 
 
-def test_where_many_vms_read_a_map_it_is_written_less_often(monkeypatch):
+def test_maps_are_written_less_often_in_large_fleets(monkeypatch):
     # Found on trouble-3 of hbrt-gw-grown: up to 30 writes/s, each of them read
     # and decoded by 77 VMs.
-    many = _writes_while_slots_turn_hot(monkeypatch, vms=77, for_s=2.0)
+    many = _writes_while_slots_become_hot(monkeypatch, vms=77, for_s=2.0)
     assert 3 <= many <= 2.0 / 0.456 + 2.0 / 0.168 + 2
-    few = _writes_while_slots_turn_hot(monkeypatch, vms=12, for_s=1.0)
+    few = _writes_while_slots_become_hot(monkeypatch, vms=12, for_s=1.0)
     assert few > 30
 
 
-def test_slots_of_an_owner_that_is_gone_are_not_granted_to_it():
+def test_slots_are_not_granted_to_an_owner_that_has_left():
     async def scenario():
         parts = assigner_parts.Parts()
         parts.start()
--- a/tests/unit/test_gateway_key_load.py
+++ b/tests/unit/test_gateway_key_load.py
@@ -14,7 +14,7 @@
     return made.assign({}, dict(enumerate(owners)))
 
 
-def test_a_steady_rate_is_found():
+def test_a_constant_rate_is_measured():
     table = key_load.KeyLoadTable()
     for step in range(80):
         table.record_request(builders.LOOKUPS, 7, step * 0.1)
@@ -23,7 +23,7 @@
     assert table.rates(builders.LOOKUPS, 16.0) == {}
 
 
-def test_rates_of_all_vms_add_up_and_are_forgotten():
+def test_rates_of_all_vms_are_added_and_expire():
     table = key_load.KeyLoadTable()
     for name in ("vm-2", "vm-3"):
         reported = {builders.LOOKUPS: {7: 4.0}}
@@ -32,13 +32,13 @@
     assert table.rates(builders.LOOKUPS, 5.0) == {}
 
 
-def test_seldom_slots_are_not_told():
+def test_slots_with_low_rates_are_not_reported():
     table = key_load.KeyLoadTable()
     table.record_request(builders.LOOKUPS, 1, 0.0)
     assert table.report(1.0) == {}
 
 
-def test_a_slot_is_hot_by_what_its_owner_can_do():
+def test_a_slot_is_hot_relative_to_the_capacity_of_its_owner():
     current = _map("u-1", "u-2")
     rates = {0: 6.0, 1: 6.0}
     shares = hotplan.busy_shares(current, rates, _CAPACITY)
@@ -53,14 +53,14 @@
     assert moved == {1: "u-2", 0: "u-3"}
 
 
-def test_a_hot_slot_stays_where_little_would_be_gained():
+def test_a_hot_slot_stays_if_the_gain_is_small():
     current = _map("u-2", "u-3")
     assert hotplan.relocations(current, {0: 2.0}, _CAPACITY) == {}
     near = {"u-2": 22.0, "u-3": 20.0}
     assert hotplan.relocations(current, {1: 2.0}, near) == {}
 
 
-def test_a_hot_slot_does_not_join_one_that_was_placed_just_before():
+def test_a_hot_slot_does_not_join_a_recently_placed_one():
     # Found on trouble-3 of hbrt-gw: after a restart the three busiest slots
     # came to the same upstream one after the other.
     current = _map("u-1", "u-1", "u-2")
--- a/tests/unit/test_gateway_keys.py
+++ b/tests/unit/test_gateway_keys.py
@@ -24,7 +24,7 @@
     return keymap.KeyMap.empty(count).assign({}, dict(enumerate(owners)))
 
 
-def test_a_map_survives_its_document():
+def test_a_map_is_decoded_as_it_was_encoded():
     assigned = _assigned()
     owner = assigned.slots[7].owner
     before = assigned.assign({7: "t"}, {7: owner}).mark_leaving([3, 5])
@@ -45,7 +45,7 @@
 
 
 @hypothesis.given(_STEPS)
-def test_a_map_read_by_its_changes_is_the_same_as_one_read_whole(steps):
+def test_a_map_decoded_by_its_changes_equals_one_decoded_from_scratch(steps):
     written = _assigned(count=300)
     followed = None
     for version, (kind, slots, owner) in enumerate(steps, start=1):
@@ -71,7 +71,7 @@
         assert followed.version == version
 
 
-def test_what_did_not_change_is_not_made_again():
+def test_unchanged_slots_are_reused():
     before = keymap.decode(_assigned().encode("a"), 1)
     document = before.mark_leaving([3]).encode("b")
     after = keymap.decode(document, 2, known=before)
@@ -95,7 +95,7 @@
     assert key_map.index_of(65535) == 63
 
 
-def test_neighbouring_slots_have_different_owners():
+def test_adjacent_slots_have_different_owners():
     owners = keyplan.assign_blocks(64, _THREE)
     assert all(a != b for a, b in zip(owners, owners[1:], strict=False))
 
@@ -118,7 +118,7 @@
     assert keyplan.surplus(after, weights, limit=400) == []
 
 
-def test_slots_of_a_lost_owner_are_spread():
+def test_slots_of_a_crashed_owner_are_spread():
     key_map = _assigned(count=240)
     left = {"u-1": 3.0, "u-2": 3.0}
     lost = key_map.slots_by_owner["u-3"]
@@ -160,7 +160,9 @@
         (64, 1.0, 100, 3),
     ],
 )
-def test_blocks_are_as_narrow_as_links_bear(vms, link_mbps, owners, width):
+def test_block_width_follows_the_bandwidth_of_links(
+    vms, link_mbps, owners, width
+):
     rows = [
         builders.node_row(f"vm-{number}", link_mbps=link_mbps)
         for number in range(vms)
@@ -169,7 +171,7 @@
     assert keyplan.block_width(4096, owners, most) == width
 
 
-def test_what_an_owner_has_too_much_leaves_in_ranges():
+def test_surplus_slots_leave_in_ranges():
     key_map = _in_blocks()
     weights = _TWENTY | {"u-07": 1.0}
     moving = keyplan.surplus(key_map, weights, limit=4096, width=_WIDTH)
@@ -212,7 +214,7 @@
     assert key_map.slots[4].fence == before
 
 
-def test_neighbours_of_one_owner_are_one_run():
+def test_adjacent_slots_of_one_owner_are_one_range():
     key_map = keymap.KeyMap.empty(8).assign({}, dict.fromkeys(range(8), "u-1"))
     assert key_map.ranges_of("u-1") == [range(0, 8)]
     assert key_map.mark_leaving([3]).ranges_of("u-1") == [range(3), range(4, 8)]
@@ -220,7 +222,7 @@
     assert len(moved.ranges_of("u-1")) == 3
 
 
-def test_a_grant_under_way_has_no_bound():
+def test_a_grant_in_flight_has_no_bound():
     table = holds.HoldTable(4, 5.0)
     table.note_sent(range(0, 2))
     assert table.held_for_s([0], 0.0) == float("inf")
@@ -228,7 +230,7 @@
     assert table.held_for_s([2], 0.0) == 0.0
 
 
-def test_an_answered_grant_is_held_and_not_open():
+def test_an_answered_grant_is_held_and_not_unanswered():
     table = holds.HoldTable(4, 5.0)
     table.note_sent(range(0, 1))
     table.note_answered(range(0, 1), 1.0, 5.0)
@@ -248,7 +250,7 @@
     assert table.held_for_s([0], 7.0) == 0.0
 
 
-def test_an_unanswered_grant_stays_open_after_a_newer_one_is_answered():
+def test_an_unanswered_grant_counts_after_a_newer_one_is_answered():
     table = holds.HoldTable(4, 5.0)
     table.note_sent(range(0, 1))
     table.note_unanswered(range(0, 1), 1.0, 5.0)
@@ -271,29 +273,31 @@
     )
 
 
-def _told(version: int, hold: reports.Hold | None, heard_at: float):
+def _reporting_peer(version: int, hold: reports.Hold | None, heard_at: float):
     row = builders.node_row("vm-2")
     owners = {} if hold is None else {"u-1": hold}
-    told = builders.report(
+    report = builders.report(
         row,
         versions={builders.LOOKUPS: version},
         holds={builders.LOOKUPS: owners},
     )
-    return builders.peer(row, told, heard_at)
+    return builders.peer(row, report, heard_at)
 
 
-def test_a_peer_that_stopped_and_granted_nothing_clears():
-    known = _outstanding_grants([_told(7, reports.Hold(0.0, 0.0), 10.1)], 10.2)
+def test_slots_are_clear_if_a_peer_stopped_and_granted_nothing():
+    known = _outstanding_grants(
+        [_reporting_peer(7, reports.Hold(0.0, 0.0), 10.1)], 10.2
+    )
     assert known.all_stopped and known.held_s == 0.0
 
 
 def test_a_peer_with_an_older_map_may_still_renew():
-    known = _outstanding_grants([_told(6, None, 10.1)], 10.2)
+    known = _outstanding_grants([_reporting_peer(6, None, 10.1)], 10.2)
     assert not known.all_stopped
     assert known.held_s == pytest.approx(2.3 + 5.25)
 
 
-def test_a_retired_peer_has_no_right_whoever_leads():
+def test_a_retired_peer_has_no_authority_whoever_leads():
     row = builders.node_row("vm-2", is_retired=True)
     peer = builders.peer(row, None, heard_at=0.0)
     peer.retired_at = 3.0
@@ -303,47 +307,53 @@
     assert _outstanding_grants([peer], 11.0, stopped_at=20.0).held_s == 0.0
 
 
-def test_what_a_peer_said_runs_down_while_it_is_silent():
-    known = _outstanding_grants([_told(7, reports.Hold(4.0, 2.0), 10.1)], 13.1)
+def test_a_reported_hold_expires_while_the_peer_is_unresponsive():
+    known = _outstanding_grants(
+        [_reporting_peer(7, reports.Hold(4.0, 2.0), 10.1)], 13.1
+    )
     assert known.all_stopped
     assert known.held_s == pytest.approx(1.0)
     assert known.open_s == 0.0
 
 
-def test_a_silent_peer_is_waited_for_until_it_must_have_stopped():
-    silent = builders.peer(builders.node_row("vm-2"), None, 0.0)
-    assert not _outstanding_grants([silent], 12.4).all_stopped
-    assert _outstanding_grants([silent], 17.0).held_s == pytest.approx(0.75)
-    late = _outstanding_grants([silent], 17.8)
+def test_an_unresponsive_peer_is_waited_for_until_it_must_have_stopped():
+    unresponsive = builders.peer(builders.node_row("vm-2"), None, 0.0)
+    assert not _outstanding_grants([unresponsive], 12.4).all_stopped
+    assert _outstanding_grants([unresponsive], 17.0).held_s == pytest.approx(
+        0.75
+    )
+    late = _outstanding_grants([unresponsive], 17.8)
     assert late.all_stopped and late.held_s == 0.0
 
 
 def test_a_restarted_peer_may_have_granted_until_it_ended():
-    peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
-    told = peer.report
+    peer = _reporting_peer(7, reports.Hold(0.0, 0.0), 10.1)
+    report = peer.report
     peer.note_run(peer.row, 10.0)
-    peer.note_report(told, 10.1)
+    peer.note_report(report, 10.1)
     assert _outstanding_grants([peer], 10.2).held_s == pytest.approx(5.05)
 
 
-def test_one_that_led_when_it_spoke_may_hold_what_it_did_not_tell():
-    peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
+def test_a_report_that_a_peer_sent_as_leader_says_nothing_of_its_holds():
+    peer = _reporting_peer(7, reports.Hold(0.0, 0.0), 10.1)
     peer.report.holds = None
     assert _outstanding_grants([peer], 10.2).held_s > 0
-    peer.note_report(_told(7, reports.Hold(1.0, 0.0), 10.1).report, 10.2)
+    peer.note_report(
+        _reporting_peer(7, reports.Hold(1.0, 0.0), 10.1).report, 10.2
+    )
     assert _outstanding_grants([peer], 10.3).held_s == pytest.approx(0.9)
 
 
 def _restarted(peer: reports.Peer, at: float, up_s: float) -> None:
     """Another run of a peer registers, and tells for how long it has lived."""
-    told = peer.report
+    report = peer.report
     peer.note_run(peer.row, at)
-    fresh = msgspec.structs.replace(told, up_s=up_s, grants_end_s=None)
+    fresh = msgspec.structs.replace(report, up_s=up_s, grants_end_s=None)
     peer.note_report(fresh, at + 0.1)
 
 
 def test_an_earlier_run_ended_before_the_present_one_began():
-    peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
+    peer = _reporting_peer(7, reports.Hold(0.0, 0.0), 10.1)
     # It registered late, as the store was away.
     _restarted(peer, 10.0, up_s=4.1)
     assert _outstanding_grants([peer], 10.2).held_s == pytest.approx(1.05)
@@ -354,16 +364,16 @@
     peer.note_report(leaving, at)
 
 
-def test_a_run_that_told_when_its_grants_end_is_not_waited_for_longer():
-    peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
+def test_a_run_that_reported_when_its_grants_end_is_not_waited_for_longer():
+    peer = _reporting_peer(7, reports.Hold(0.0, 0.0), 10.1)
     _leave(peer, 9.0, grants_end_s=2.0)
     _restarted(peer, 10.0, up_s=0.1)
     assert _outstanding_grants([peer], 10.2).held_s == pytest.approx(0.8)
     assert _outstanding_grants([peer], 11.1).held_s == 0.0
 
 
-def test_what_one_run_told_says_nothing_of_those_before_and_after():
-    peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
+def test_the_report_of_one_run_does_not_apply_to_other_runs():
+    peer = _reporting_peer(7, reports.Hold(0.0, 0.0), 10.1)
     # Killed, started again, stopped in good order, started again.
     _restarted(peer, 10.0, up_s=0.1)
     _leave(peer, 10.5, grants_end_s=0.2)
@@ -374,6 +384,6 @@
     assert _outstanding_grants([peer], 12.2).held_s == pytest.approx(5.05)
 
 
-def test_a_grant_under_way_here_blocks():
+def test_a_grant_in_flight_from_this_vm_prevents_reassignment():
     infinite = reports.Hold(float("inf"), float("inf"))
     assert _outstanding_grants([], 10.2, own=infinite).held_s == float("inf")
--- a/tests/unit/test_gateway_leaving.py
+++ b/tests/unit/test_gateway_leaving.py
@@ -40,13 +40,13 @@
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: 100.0)
 
 
-def test_while_it_grants_it_promises_nothing():
+def test_a_granting_vm_reports_no_end_of_its_grants():
     parts, current = _parts(with_others=True)
     _grant(parts, current)
     assert parts.renewer.grants_end_s(100.0) is None
 
 
-def test_once_it_stopped_it_tells_until_when_its_grants_hold():
+def test_a_stopped_vm_reports_when_its_grants_end():
     parts, current = _parts(with_others=True)
     _grant(parts, current)
     assert parts.renewer.stop(100.0)
@@ -58,16 +58,16 @@
     assert len(parts.control.grants) == 1
 
 
-def test_a_grant_without_answer_counts():
+def test_an_unanswered_grant_counts():
     parts, current = _parts(with_others=True)
-    parts.control.is_silent = True
+    parts.control.is_unresponsive = True
     with pytest.raises(errors.PeerTimeoutError):
         _grant(parts, current)
     parts.renewer.stop(100.0)
     assert parts.renewer.grants_end_s(100.0) == pytest.approx(5.25)
 
 
-def test_where_nobody_else_would_it_goes_on():
+def test_a_vm_without_substitutes_continues_to_grant():
     parts, current = _parts(with_others=False)
     assert not parts.renewer.stop(100.0)
     assert parts.renewer.grants_end_s(100.0) is None
--- a/tests/unit/test_gateway_owners.py
+++ b/tests/unit/test_gateway_owners.py
@@ -37,7 +37,7 @@
         return self.owners.find(builders.LOOKUPS, _KEY, _NOW)
 
 
-def test_an_owner_that_fails_in_a_domain_that_is_cut_off_is_not_tried_again():
+def test_a_failing_owner_in_a_partitioned_domain_is_not_retried():
     case = _Case(heard_at=_NOW - 5)
     assert case.find() == (case.target, 0.0)
     # A connection to it couldn't be opened; the penalty is over by now.
@@ -46,13 +46,13 @@
 
 
 @pytest.mark.parametrize("heard_at", [_NOW - 0.1, _NOW - 0.9])
-def test_one_that_fails_in_a_domain_that_is_heard_is_tried_again(heard_at):
+def test_a_failing_owner_in_a_responsive_domain_is_retried(heard_at):
     case = _Case(heard_at)
     case.target.note_failure(_NOW - 1)
     assert case.find() == (case.target, 0.0)
 
 
-def test_it_is_tried_again_once_its_domain_is_heard():
+def test_an_owner_is_retried_once_its_domain_responds():
     case = _Case(heard_at=_NOW - 5)
     case.target.note_failure(_NOW - 1)
     peer = case.owners._peers.by_node["vm-9"]
--- a/tests/unit/test_gateway_gifts.py
+++ b/tests/unit/test_gateway_reassignment.py
@@ -24,8 +24,8 @@
 
 _SLOTS = [0, 1]
 # They came to their owner together, so they are taken back as one.
-_PIECES = [range(2)]
-_KEYS = keymap.KeyMap.empty(slotplan.SLOT_COUNT).keys_of_range(_PIECES[0])
+_RANGES = [range(2)]
+_KEYS = keymap.KeyMap.empty(slotplan.SLOT_COUNT).keys_of_range(_RANGES[0])
 # Longer than any grant of an earlier run of the leader may last.
 _LONG_AGO_S = 60.0
 
@@ -61,7 +61,7 @@
         return await super().grant(*arguments)
 
 
-async def _settle() -> None:
+async def _run_pending_tasks() -> None:
     """Lets everything run that can run."""
     for _ in range(20):
         await asyncio.sleep(0)
@@ -69,7 +69,7 @@
 
 async def _open(control: _OpeningControl) -> None:
     control.is_open.set()
-    await _settle()
+    await _run_pending_tasks()
 
 
 async def _reclaiming(table, control) -> assigner_parts.Parts:
@@ -83,44 +83,44 @@
     await parts.assigner.tick()
     current = parts.maps.by_service[builders.LOOKUPS]
     source = parts.assigner._sources["u-1"]
-    parts.assigner._reclaimer.start(current, "u-1", source, _PIECES, True)
-    await _settle()
+    parts.assigner._reclaimer.start(current, "u-1", source, _RANGES, True)
+    await _run_pending_tasks()
     return parts
 
 
-def test_no_grant_to_the_former_owner_while_the_next_one_is_written():
+def test_the_former_owner_gets_no_grant_while_the_next_one_is_written():
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
         parts = await _reclaiming(table, control)
         table.during_write = lambda: _open(control)
         version = parts.maps.by_service[builders.LOOKUPS].version
         await parts.assigner.tick()
-        await _settle()
-        given = parts.maps.by_service[builders.LOOKUPS]
-        assert given.version > version and not given.leaving
+        await _run_pending_tasks()
+        reassigned = parts.maps.by_service[builders.LOOKUPS]
+        assert reassigned.version > version and not reassigned.leaving
         assert control.grants == []
 
     asyncio.run(scenario())
 
 
-def test_a_slot_granted_while_the_store_was_asked_is_not_given_away():
+def test_a_slot_granted_during_the_store_probe_is_not_reassigned():
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
         parts = await _reclaiming(table, control)
-        control.is_silent = True
+        control.is_unresponsive = True
         parts.assigner._store_answered_at = 0.0
         table.during_probe = lambda: _open(control)
         await parts.assigner.tick()
-        await _settle()
-        book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+        await _run_pending_tasks()
+        hold_table = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
         assert control.grants
-        assert book.unanswered_for_s(_SLOTS, 0.0) > 0
+        assert hold_table.unanswered_for_s(_SLOTS, 0.0) > 0
         assert parts.maps.by_service[builders.LOOKUPS].leaving == set(_SLOTS)
 
     asyncio.run(scenario())
 
 
-def test_slots_whose_next_owner_was_not_written_are_taken_back_further():
+def test_reclaiming_continues_if_the_next_owner_was_not_written():
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
         parts = await _reclaiming(table, control)
@@ -140,7 +140,7 @@
     asyncio.run(scenario())
 
 
-def test_a_release_whose_owner_is_marked_again_grants_nothing_more():
+def test_a_release_grants_nothing_after_its_owner_is_marked_again():
     # More slots of an owner turn hot, or it is lost, while its first ones are
     # being taken back: the release of these goes on, and what forbids orders
     # while the next owner is written must hold for it, too.
@@ -150,20 +150,20 @@
         marks = [[5]]
         parts.plan.hot_slots_to_move = lambda *_: marks.pop() if marks else []
 
-        async def open_at_gift() -> None:
+        async def open_at_reassignment() -> None:
             if parts.maps.by_service[builders.LOOKUPS].leaving >= {5, *_SLOTS}:
                 await _open(control)
 
-        table.during_write = open_at_gift
+        table.during_write = open_at_reassignment
         await parts.assigner.tick()
-        await _settle()
+        await _run_pending_tasks()
         assert not parts.maps.by_service[builders.LOOKUPS].leaving
         assert control.grants == []
 
     asyncio.run(scenario())
 
 
-def test_what_is_left_of_a_release_is_older_than_grants_after_another_mark():
+def test_another_mark_raises_the_fence_above_that_of_the_former_release():
     # A grant of the first release that got no answer may be carried out after
     # the second one fenced the owner off: under the same fence it would count.
     async def scenario():
@@ -182,7 +182,7 @@
     asyncio.run(scenario())
 
 
-def test_a_gift_that_was_done_and_written_over_ends_all_orders():
+def test_a_reassignment_that_was_overwritten_ends_all_commands():
     # The answer to the gift was lost; another VM took over and wrote the map
     # before it was sent again. Nothing tells then that it wasn't done.
     async def scenario():
@@ -206,7 +206,7 @@
     asyncio.run(scenario())
 
 
-def test_one_that_was_replaced_while_the_store_was_asked_writes_nothing():
+def test_a_leader_replaced_during_the_store_probe_writes_nothing():
     # Its condition named the row of whoever leads now, and so it held.
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
@@ -224,7 +224,7 @@
     asyncio.run(scenario())
 
 
-def test_one_that_led_before_begins_anew_with_moves():
+def test_a_vm_that_leads_again_restarts_its_moves():
     # Another VM led in between and let the owner go on with its slots: what was
     # released before that says nothing.
     async def scenario():
@@ -244,7 +244,7 @@
     asyncio.run(scenario())
 
 
-def test_a_grant_without_answer_after_fencing_holds_up_the_gift(monkeypatch):
+def test_an_unanswered_grant_after_fencing_delays_the_reassignment(monkeypatch):
     # It may be carried out after the release, as both have the same fence. Its
     # time counts from its arrival.
     clock = [1000.0]
@@ -258,14 +258,14 @@
         current = parts.maps.by_service[builders.LOOKUPS]
         source = parts.assigner._sources["u-1"]
         source.is_fenced = True
-        parts.control.is_silent = True
+        parts.control.is_unresponsive = True
         target = parts.book.by_id["u-1"]
-        await parts.assigner._reclaimer.keep(current, "u-1", source, _PIECES)
+        await parts.assigner._reclaimer.keep(current, "u-1", source, _RANGES)
         assert parts.control.kept
         kept_until = clock[0] + reclaim.KEEP_HOLD_S
-        parts.control.is_silent = False
+        parts.control.is_unresponsive = False
         await parts.assigner._reclaimer.release(
-            current, target, source, list(_PIECES)
+            current, target, source, list(_RANGES)
         )
         assert set(source.tokens) == set(_SLOTS)
         clock[0] += 0.1
--- a/tests/unit/test_gateway_restart.py
+++ b/tests/unit/test_gateway_restart.py
@@ -12,7 +12,7 @@
 _FIRST, _SECOND = 1_789_144_553_235, 1_789_144_560_000
 
 
-def _life(started_ms: int, name: str = "u-1") -> model.Upstream:
+def _incarnation(started_ms: int, name: str = "u-1") -> model.Upstream:
     return builders.upstream(name, started_ms=started_ms)
 
 
@@ -23,18 +23,18 @@
     """
     parts = assigner_parts.Parts()
     for name in ("u-1", "u-2"):
-        parts.book.put(_life(_FIRST, name), 0.0)
+        parts.book.put(_incarnation(_FIRST, name), 0.0)
     started = {model.UpstreamId("u-1"): _FIRST}
     return parts, parts.start(leaving=(0, 1), started_ms=started)
 
 
-def test_nothing_is_known_of_a_new_life():
-    book = builders.book(_life(_FIRST))
+def test_a_restarted_upstream_has_no_history():
+    book = builders.book(_incarnation(_FIRST))
     before = book.by_id["u-1"]
     builders.occupy(before, 4)
     before.note_failure(0.0)
     before.peers["vm-2"] = (3, 1, 0.0)
-    after = book.put(_life(_SECOND), 0.1)
+    after = book.put(_incarnation(_SECOND), 0.1)
     assert after is book.by_id["u-1"] is not before
     assert after.occupied(0.1) == 0 and not after.is_penalised(0.1)
     # What is still under way to the earlier life ends with that.
@@ -43,22 +43,22 @@
     assert after.own == 0
 
 
-def test_the_same_life_stays_what_it_was():
-    book = builders.book(_life(_FIRST))
+def test_a_repeated_registration_changes_nothing():
+    book = builders.book(_incarnation(_FIRST))
     before = book.by_id["u-1"]
-    assert book.put(_life(_FIRST), 1.0) is before
-    assert book.put(_life(0), 2.0) is before
+    assert book.put(_incarnation(_FIRST), 1.0) is before
+    assert book.put(_incarnation(0), 2.0) is before
 
 
-def test_one_that_had_left_and_starts_again_is_used():
-    book = builders.book(_life(_FIRST))
+def test_an_upstream_that_left_and_restarts_is_used():
+    book = builders.book(_incarnation(_FIRST))
     book.mark_gone("u-1", 1.0)
     assert not book.by_id["u-1"].takes_requests(9.0, drain_s=2.0)
-    book.put(_life(_SECOND), 9.0)
+    book.put(_incarnation(_SECOND), 9.0)
     assert book.by_id["u-1"].takes_requests(9.0, drain_s=2.0)
 
 
-def test_a_map_remembers_to_which_life_slots_were_given():
+def test_a_map_records_the_incarnation_that_slots_were_assigned_to():
     made = keymap.KeyMap.empty(8)
     made = made.assign({}, {0: "u-1", 1: "u-2"}, {"u-1": _FIRST})
     first = keymap.decode(made.encode("a"), 1)
@@ -69,23 +69,23 @@
     assert first.started_ms["u-1"] == _FIRST
 
 
-def test_a_new_life_is_not_granted_by_the_fence_of_the_earlier_one():
+def test_a_restarted_owner_is_not_granted_under_its_earlier_fence():
     parts, _ = _parts()
 
     def renew():
         asyncio.run(parts.renewer._renew_due(builders.LOOKUPS, "u-1"))
 
-    parts.book.put(_life(_SECOND), 1.0)
+    parts.book.put(_incarnation(_SECOND), 1.0)
     renew()
     assert parts.control.grants == []
-    parts.book.put(_life(_FIRST), 2.0)
+    parts.book.put(_incarnation(_FIRST), 2.0)
     renew()
     assert parts.control.grants
 
 
-def test_the_leader_gives_a_new_life_its_slots_under_a_newer_fence():
+def test_the_leader_reassigns_slots_to_a_restarted_owner_under_a_newer_fence():
     parts, before = _parts()
-    parts.book.put(_life(_SECOND), 1.0)
+    parts.book.put(_incarnation(_SECOND), 1.0)
     asyncio.run(parts.assigner.tick())
     after = parts.maps.by_service[builders.LOOKUPS]
     assert after.started_ms["u-1"] == _SECOND
@@ -98,16 +98,16 @@
     assert {fence for _, _, fence in parts.control.grants} == {new.fence}
 
 
-def test_a_gift_to_one_that_starts_again_meanwhile_waits():
+def test_an_assignment_to_an_owner_that_restarts_meanwhile_waits():
     parts, _ = _parts()
     current = parts.maps.by_service[builders.LOOKUPS]
-    parts.book.put(_life(_SECOND), 1.0)
-    give = parts.assigner._assign(current, {0: "u-1", 1: "u-1"}, {})
-    asyncio.run(give)
+    parts.book.put(_incarnation(_SECOND), 1.0)
+    assign = parts.assigner._assign(current, {0: "u-1", 1: "u-1"}, {})
+    asyncio.run(assign)
     assert parts.maps.by_service[builders.LOOKUPS] is current
 
 
-def test_requests_wait_until_a_new_life_holds_its_keys():
+def test_requests_wait_until_a_restarted_owner_holds_its_keys():
     parts, _ = _parts()
     found = owners.KeyOwners(
         parts.maps,
@@ -122,7 +122,7 @@
         return found.find(builders.LOOKUPS, key, now)[0]
 
     assert owner(10.0) is parts.book.by_id["u-1"]
-    parts.book.put(_life(_SECOND), 10.0)
+    parts.book.put(_incarnation(_SECOND), 10.0)
     assert owner(10.0) is None
     asyncio.run(parts.assigner.tick())
     later = parts.maps.changed_at[builders.LOOKUPS][10] + 1.0
--- a/tests/unit/test_gateway_sharing.py
+++ b/tests/unit/test_gateway_sharing.py
@@ -29,27 +29,27 @@
         return None
 
 
-def _others_say(site, is_able: bool) -> None:
+def _receive_others(site, is_able: bool) -> None:
     """All ordinary VMs that are heard tell whether they may renew."""
     for peer in site.daemon._peers.by_node.values():
         if peer.report is not None and not peer.report.is_leader:
-            told = msgspec.structs.replace(
+            report = msgspec.structs.replace(
                 peer.report,
                 sequence=peer.report.sequence + 1,
                 is_able=is_able,
             )
-            peer.note_report(told, site.now)
+            peer.note_report(report, site.now)
 
 
-def _hear_leader(site, is_able: bool) -> None:
+def _receive_leader(site, is_able: bool) -> None:
     for peer in site.daemon._peers.by_node.values():
         if peer.claims_lead:
-            told = msgspec.structs.replace(
+            report = msgspec.structs.replace(
                 peer.report,
                 sequence=peer.report.sequence + 1,
                 is_able=is_able,
             )
-            peer.note_report(told, site.now)
+            peer.note_report(report, site.now)
 
 
 def _upstreams_of(site) -> int:
@@ -61,37 +61,37 @@
     return _SIZE.upstreams // _SIZE.domains
 
 
-def test_a_vm_looks_after_its_share(site):
+def test_a_vm_is_responsible_for_its_share(site):
     assert _upstreams_of(site) < _in_domain() / 5
 
 
-def test_without_a_leader_none_takes_over_what_others_look_after(site):
+def test_without_a_leader_no_vm_takes_over_upstreams_of_others(site):
     share = _upstreams_of(site)
     site.now += 0.5
-    _hear_leader(site, is_able=False)
-    _others_say(site, is_able=False)
+    _receive_leader(site, is_able=False)
+    _receive_others(site, is_able=False)
     assert _upstreams_of(site) == share
 
 
-def test_when_all_get_the_right_at_once_each_takes_its_share(site):
+def test_vms_that_are_authorised_at_once_take_their_shares(site):
     share = _upstreams_of(site)
     site.now += 0.5
-    _hear_leader(site, is_able=False)
-    _others_say(site, is_able=False)
+    _receive_leader(site, is_able=False)
+    _receive_others(site, is_able=False)
     _upstreams_of(site)
-    # The leader is back; what others told is older than that.
+    # The leader is back; what others report is older than that.
     site.now += 0.3
-    _hear_leader(site, is_able=True)
+    _receive_leader(site, is_able=True)
     assert _upstreams_of(site) == share
     site.now += 0.3
-    _others_say(site, is_able=True)
-    _hear_leader(site, is_able=True)
+    _receive_others(site, is_able=True)
+    _receive_leader(site, is_able=True)
     assert _upstreams_of(site) == share
 
 
-def test_one_that_says_later_that_it_may_not_is_replaced(site):
+def test_a_vm_that_reports_no_authority_later_is_replaced(site):
     share = _upstreams_of(site)
     site.now += sharing.PROPAGATION_S + 0.1
-    _hear_leader(site, is_able=True)
-    _others_say(site, is_able=False)
+    _receive_leader(site, is_able=True)
+    _receive_others(site, is_able=False)
     assert _upstreams_of(site) > share
--- a/tests/unit/test_gateway_slotplan.py
+++ b/tests/unit/test_gateway_slotplan.py
@@ -42,12 +42,12 @@
         return len(self.map.slots_by_owner.get(name, ()))
 
 
-def test_what_suits_its_owners_stays():
+def test_a_balanced_map_stays_unchanged():
     case = _Case()
     assert case.move(_NOW) == []
 
 
-def test_answers_faster_than_foreseen_move_no_keys():
+def test_answers_faster_than_expected_move_no_keys():
     # Only u-1 was asked yet. That says nothing of what u-2 can do.
     parts = assigner_parts.Parts()
     for _ in range(20):
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("speed", [0.2, 0.5])
-def test_one_of_many_that_turned_slow_is_relieved(speed):
+def test_one_slow_owner_of_many_is_relieved(speed):
     # Its share is missing nowhere else by much: the others are 2% or 4% short.
     case = _Case()
     case.weights["u-7"] *= speed
@@ -74,13 +74,13 @@
     assert case.owned("u-7") > before * 0.8
 
 
-def test_a_little_slower_is_within_what_is_known_of_speeds():
+def test_a_small_slowdown_is_within_the_accuracy_of_speeds():
     case = _Case()
     case.weights["u-7"] *= 0.75
     assert case.move(_NOW) == []
 
 
-def test_keys_beside_a_hot_slot_move_away_at_once_and_it_stays():
+def test_keys_beside_a_hot_slot_move_away_at_once():
     case = _Case()
     assert case.move(_NOW) == []
     hot = case.map.slots_by_owner["u-3"][50]
@@ -95,7 +95,7 @@
     assert case.move(_NOW + 0.4) == []
 
 
-def test_they_come_back_when_it_is_hot_no_more():
+def test_keys_return_when_the_hotspot_ends():
     case = _Case()
     hot = case.map.slots_by_owner["u-3"][50]
     before = case.owned("u-3")
@@ -119,7 +119,7 @@
     assert "u-3" not in placed.values()
 
 
-def test_owners_of_which_slots_are_leaving_keep_the_rest():
+def test_owners_with_leaving_slots_keep_the_rest():
     case = _Case()
     case.weights["u-7"] *= 0.2
     case.map = case.map.mark_leaving([case.map.slots_by_owner["u-7"][0]])
--- a/tests/unit/test_gateway_succession.py
+++ b/tests/unit/test_gateway_succession.py
@@ -53,12 +53,14 @@
         made.version = version
         self.maps.put(builders.LOOKUPS, made, now)
 
-    def hear(self, peer: reports.Peer, row_version: int, told: int, now: float):
+    def receive(
+        self, peer: reports.Peer, row_version: int, reported: int, now: float
+    ):
         peer.report = builders.report(
             peer.row,
             is_leader=True,
             leader_version=row_version,
-            versions={builders.LOOKUPS: told},
+            versions={builders.LOOKUPS: reported},
         )
         peer.heard_at = peer.direct_at = now
         self.known.note_report(peer, now)
@@ -75,15 +77,15 @@
     vm = _Vm()
     vm.follow(vm.first.row, _FIRST_ROW)
     vm.learn(_PLAIN, 100.0)
-    vm.hear(vm.first, _FIRST_ROW, _PLAIN, 100.5)
+    vm.receive(vm.first, _FIRST_ROW, _PLAIN, 100.5)
     vm.learn(_MARKED, 101.0, _SLOTS)
-    vm.hear(vm.first, _FIRST_ROW, _PLAIN, 101.5)
-    vm.hear(vm.first, _FIRST_ROW, _MARKED, 102.0)
-    vm.hear(vm.first, _FIRST_ROW, _MARKED, 103.0)
+    vm.receive(vm.first, _FIRST_ROW, _PLAIN, 101.5)
+    vm.receive(vm.first, _FIRST_ROW, _MARKED, 102.0)
+    vm.receive(vm.first, _FIRST_ROW, _MARKED, 103.0)
     return vm
 
 
-def test_a_successor_counts_from_when_the_marks_were_first_told():
+def test_a_successor_counts_from_the_first_report_of_the_marks():
     vm = _follower()
     vm.follow(vm.row, _SECOND_ROW)
     assert vm.leads.former_leader == "vm-1"
@@ -103,7 +105,7 @@
     assert vm.stopped_at() == 102.0 + authority.STOPPED_AFTER_S
 
 
-def test_so_does_the_successor_of_one_that_stepped_down():
+def test_a_successor_counts_so_too_after_the_leader_stepped_down():
     vm = _follower()
     vm.follow(None, _SECOND_ROW, vacated=_FIRST_ROW)
     vm.follow(vm.row, _THIRD_ROW)
@@ -117,18 +119,18 @@
     assert vm.stopped_at() is None
 
 
-def test_nor_where_one_stepped_down_whose_lead_was_missed():
+def test_nothing_is_known_if_a_leader_was_missed_that_stepped_down():
     vm = _follower()
     vm.follow(None, _THIRD_ROW, vacated=_SECOND_ROW)
     vm.follow(vm.row, _THIRD_ROW + 1)
     assert vm.stopped_at() is None
 
 
-def test_the_next_leader_counts_only_once_it_told_of_the_marks_itself():
+def test_reports_of_the_next_leader_count_once_it_reports_the_marks():
     vm = _follower()
     vm.follow(vm.other.row, _SECOND_ROW)
-    vm.hear(vm.other, _SECOND_ROW, _PLAIN, 105.0)
-    vm.hear(vm.other, _SECOND_ROW, _ADOPTED, 106.0)
+    vm.receive(vm.other, _SECOND_ROW, _PLAIN, 105.0)
+    vm.receive(vm.other, _SECOND_ROW, _ADOPTED, 106.0)
     vm.follow(vm.row, _THIRD_ROW)
     assert vm.stopped_at() == 106.0 + authority.STOPPED_AFTER_S
 
@@ -137,7 +139,7 @@
     "changes",
     [{"is_able": False}, {"leader_version": 9}, {"is_leader": False}],
 )
-def test_the_word_of_a_leader_without_its_right_does_not_count(changes):
+def test_reports_of_a_leader_without_authority_do_not_count(changes):
     vm = _Vm()
     vm.follow(vm.first.row, _FIRST_ROW)
     vm.learn(_MARKED, 101.0, _SLOTS)
@@ -152,17 +154,17 @@
     assert vm.stopped_at() is None
 
 
-def test_marks_that_were_learned_after_the_take_over_do_not_count():
+def test_marks_received_after_the_takeover_do_not_count():
     vm = _Vm()
     vm.follow(vm.first.row, _FIRST_ROW)
     vm.learn(_PLAIN, 100.0)
-    vm.hear(vm.first, _FIRST_ROW, _MARKED, 102.0)
+    vm.receive(vm.first, _FIRST_ROW, _MARKED, 102.0)
     vm.follow(vm.row, _SECOND_ROW)
     vm.learn(_MARKED, vm.leads.led_since + 0.1, _SLOTS)
     assert vm.stopped_at() is None
 
 
-def test_a_slot_that_was_given_and_marked_again_counts_from_the_later_mark():
+def test_a_reassigned_slot_counts_from_its_later_mark():
     vm = _follower()
     owners = dict.fromkeys(range(8), "u-1")
     again = keymap.KeyMap.empty(8).assign({}, owners).assign({}, {3: "u-2"})
@@ -197,7 +199,7 @@
             lambda: True,
             lambda: clock.now,
         )
-        self.book = holds.HoldTable(8, renewals.HOLD_S)
+        self.hold_table = holds.HoldTable(8, renewals.HOLD_S)
         self.due = clock.now
 
     def knows_mark(self) -> bool:
@@ -220,15 +222,17 @@
         self._third.follow(self._third.first.row, _FIRST_ROW)
         self._third.learn(_PLAIN, self._clock.now)
         self._marked_at = 100.0 + draw.uniform(1, 3)
-        self._lost_at = self._marked_at + draw.choice([0.2, 0.6, 2, 6])
-        self._taken_at = self._lost_at + draw.uniform(1.0, 2.0)
+        self._crashed_at = self._marked_at + draw.choice([0.2, 0.6, 2, 6])
+        self._taken_at = self._crashed_at + draw.uniform(1.0, 2.0)
         # When the renewer hears nothing, and from when the third VM doesn't.
-        self._deaf = self._window()
-        self._cut_at = draw.choice([1e9, self._lost_at - draw.uniform(0, 2)])
+        self._unreachable = self._window()
+        self._partitioned_at = draw.choice(
+            [1e9, self._crashed_at - draw.uniform(0, 2)]
+        )
         # How long the former leader goes on where it isn't dead but cut off.
-        self._goes_on_s = draw.choice([0.0, 0.0, 1.2])
+        self._continues_s = draw.choice([0.0, 0.0, 1.2])
         self._until = 0.0
-        self._given_at: float | None = None
+        self._reassigned_at: float | None = None
         self._keep_at = 0.0
         self._peer = builders.peer(self._renewer.vm.row, None, 0.0)
         self._former = builders.peer(
@@ -253,9 +257,12 @@
             self._clock.now += _STEP_S
             self._lead_first()
             self._renew()
-            self._tell()
+            self._report()
             self._lead_third()
-            if self._given_at is not None and self._until > self._clock.now:
+            if (
+                self._reassigned_at is not None
+                and self._until > self._clock.now
+            ):
                 self.overlap_s += _STEP_S
         return self.overlap_s
 
@@ -265,18 +272,23 @@
     def _lead_first(self) -> None:
         """The first leader tells its word, and keeps the slot now and then."""
         now = self._clock.now
-        if now >= self._lost_at:
-            if now < self._lost_at + self._goes_on_s and now >= self._keep_at:
+        if now >= self._crashed_at:
+            if (
+                now < self._crashed_at + self._continues_s
+                and now >= self._keep_at
+            ):
                 self._keep_at = now + reclaim.KEEP_INTERVAL_S
                 self._hold(reclaim.KEEP_HOLD_S)
             return
-        told = _MARKED if self._is_marked() else _PLAIN
-        if not self._deaf[0] <= now < self._deaf[1]:
-            self._renewer.vm.hear(self._renewer.vm.first, _FIRST_ROW, told, now)
+        reported = _MARKED if self._is_marked() else _PLAIN
+        if not self._unreachable[0] <= now < self._unreachable[1]:
+            self._renewer.vm.receive(
+                self._renewer.vm.first, _FIRST_ROW, reported, now
+            )
             if self._is_marked() and self._draw.random() < 0.1:
                 self._renewer.vm.learn(_MARKED, now, _SLOTS)
-        if now < self._cut_at:
-            self._third.hear(self._third.first, _FIRST_ROW, told, now)
+        if now < self._partitioned_at:
+            self._third.receive(self._third.first, _FIRST_ROW, reported, now)
             if self._is_marked():
                 self._third.learn(_MARKED, now, _SLOTS)
         if self._is_marked() and now >= self._keep_at:
@@ -291,39 +303,42 @@
             return
         renewer.due = now + renewals.RENEW_INTERVAL_S
         run = range(3, 5)
-        renewer.book.note_sent(run)
-        renewer.book.note_answered(run, now, renewals.HOLD_S)
+        renewer.hold_table.note_sent(run)
+        renewer.hold_table.note_answered(run, now, renewals.HOLD_S)
         self._hold(renewals.HOLD_S)
 
-    def _tell(self) -> None:
+    def _report(self) -> None:
         """The renewer tells the third VM what it knows and holds."""
         now = self._clock.now
-        if now >= self._cut_at or self._deaf[0] <= now < self._deaf[1]:
+        if (
+            now >= self._partitioned_at
+            or self._unreachable[0] <= now < self._unreachable[1]
+        ):
             return
         renewer = self._renewer
         version = renewer.vm.maps.by_service[builders.LOOKUPS].version
-        held_s = renewer.book.held_for_s(_SLOTS, now)
-        told = {}
+        held_s = renewer.hold_table.held_for_s(_SLOTS, now)
+        reported = {}
         if renewer.knows_mark() and held_s > 0:
             hold = reports.Hold(held_s, 0.0)
-            told = {builders.LOOKUPS: {"u-1": hold}}
+            reported = {builders.LOOKUPS: {"u-1": hold}}
         self._peer.report = builders.report(
             renewer.vm.row,
             versions={builders.LOOKUPS: version},
-            holds=told,
+            holds=reported,
         )
         self._peer.heard_at = self._peer.direct_at = now
 
     def _lead_third(self) -> None:
         now, vm = self._clock.now, self._third
-        if now < self._taken_at or self._given_at is not None:
+        if now < self._taken_at or self._reassigned_at is not None:
             return
         if not vm.leads.is_leader:
             vm.follow(vm.row, _SECOND_ROW)
             vm.learn(_MARKED, now, _SLOTS)
         known = self._outstanding_grants(now)
         if known is not None and known.all_stopped and known.held_s <= 0:
-            self._given_at = now
+            self._reassigned_at = now
 
     def _outstanding_grants(self, now: float) -> moves.OutstandingGrants | None:
         vm = self._third
@@ -344,7 +359,7 @@
             reports.Hold(0.0, 0.0),
             [self._peer, self._former],
             stopped_at,
-            self._renewer.book.max_held_s,
+            self._renewer.hold_table.max_held_s,
             now,
             former,
         )
@@ -352,9 +367,9 @@
     @property
     def waited_s(self) -> float | None:
         """How long after the take-over the slot was given away."""
-        if self._given_at is None:
+        if self._reassigned_at is None:
             return None
-        return self._given_at - self._taken_at
+        return self._reassigned_at - self._taken_at
 
 
 _SEEDS = range(300)
@@ -367,7 +382,7 @@
     return models
 
 
-def test_no_slot_is_given_while_it_may_be_held(monkeypatch):
+def test_no_slot_is_reassigned_while_it_may_be_held(monkeypatch):
     models = _play_all(monkeypatch)
     assert sum(model.overlap_s for model in models) == 0
     # Known in most of them, and then sooner than by counting anew.
@@ -377,12 +392,12 @@
     assert max(waits) < anew_s - 1.0
 
 
-def test_without_the_wait_for_stale_word_slots_overlap(monkeypatch):
+def test_without_the_wait_for_earlier_reports_holds_overlap(monkeypatch):
     monkeypatch.setattr(authority, "STOPPED_AFTER_S", -10.0)
     assert any(model.overlap_s for model in _play_all(monkeypatch))
 
 
-def test_without_the_wait_for_the_former_leader_slots_overlap(monkeypatch):
+def test_without_the_wait_for_the_former_leader_holds_overlap(monkeypatch):
     monkeypatch.setattr(authority, "LEADER_STOPPED_AFTER_S", -10.0)
     monkeypatch.setattr(authority, "STOPPED_AFTER_S", -5.0)
     original = moves.outstanding_grants
