--- a/tests/assigner_parts.py
+++ b/tests/assigner_parts.py
@@ -1,4 +1,4 @@
-"""The leader's parts, with an upstream control that notes its calls."""
+"""The components of a leader, with a control interface that records calls."""
 
 import asyncio
 import types
@@ -20,17 +20,17 @@
 
 
 class Control(interfaces.UpstreamControl):
-    """Notes calls; `during` runs while the first grant is under way."""
+    """Records calls; `during` runs while a grant is in flight."""
 
     def __init__(self):
         self.grants: list[tuple] = []
-        # Those of the grants that keep a slot where it was.
+        # Grants that let an owner keep a slot that is leaving it.
         self.kept: list[tuple] = []
         self.releases: list[tuple] = []
-        # The same calls with all their keys.
+        # The same calls with their full key ranges.
         self.released: list[tuple] = []
         self.during = None
-        # Runs while a connection is being opened, before anything is sent.
+        # Runs while the connection opens, before anything is sent.
         self.before_send = None
         self.is_unreachable = False
         self.is_unresponsive = False
@@ -61,12 +61,12 @@
 
 
 class Parts:
-    """A keeper that leads two upstreams.
+    """The `KeyAssigner` of a leader, with two upstreams.
 
     Args:
-        vms: VMs that read its maps, its own included.
-        table: Its table; one in memory if there is none.
-        control: Its upstreams; they do as they are told if there is none.
+        vms: Number of VMs that read its maps, its own included.
+        table: Its table; by default one in memory.
+        control: Its upstreams; by default they carry out all commands.
         max_ranges: Ranges of keys that the fleet can renew.
     """
 
@@ -139,7 +139,7 @@
         )
 
     def start(self, leaving=(0, 1), started_ms=None) -> keymap.KeyMap:
-        """Writes a map of which u-1 owns all, some of it leaving."""
+        """Writes a map in which u-1 owns all slots and some are leaving."""
         owners = dict.fromkeys(range(slotplan.SLOT_COUNT), "u-1")
         empty = keymap.KeyMap.empty(slotplan.SLOT_COUNT)
         made = empty.assign({}, owners, started_ms)
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -1,9 +1,10 @@
-"""Nothing is sent to an upstream for longer than it may take after it said so.
+"""No requests are sent to a leaving upstream after its drain time.
 
-What users saw: lookups reached upstreams 2.74 s after these had said that they
-leave, where 2.5 s are allowed, while the leader was cut off from the store and
-so moved no keys away. Each VM ends its sends by a time of its own; the tests
-here are about ways in which that time came late or wasn't kept.
+These tests guard against lookups that reach upstreams 2.74 s after these
+announced that they are leaving, where 2.5 s are allowed. It was seen while the
+leader was partitioned from the store and so moved no keys. Each VM ends its
+sends at a time that it determines itself; the tests cover cases in which this
+time was too late or wasn't enforced.
 """
 
 import asyncio
@@ -31,7 +32,7 @@
 from tests import gateway_builders as builders
 
 _DRAIN_S = 2.5
-# A request that was sent is on its way, behind others on a narrow link.
+# Transfer time of a request that is queued behind others on a slow link.
 _ON_ITS_WAY_S = 0.1
 _KEY = 100
 
@@ -39,11 +40,11 @@
 class _Vm:
     """A VM whose keys all belong to an upstream of another domain.
 
-    The arbiter there permits whatever it is asked for, as one does that hasn't
-    heard yet that the upstream leaves.
+    The arbiter in that domain grants every request for a permit, like one that
+    hasn't learned yet that the upstream is leaving.
 
     Attributes:
-        asked: Questions that the arbiter got.
+        asked: Requests that the arbiter received.
     """
 
     def __init__(self):
@@ -84,7 +85,7 @@
         self.book.put(away, at)
 
     def learn_leaving(self, since_s: float) -> None:
-        """Notes that the upstream has been leaving for some time."""
+        """Records that the upstream has been leaving for some time."""
         at = clocks.monotonic() - since_s
         self._put(model.UpstreamState.DRAINING, at)
 
@@ -128,9 +129,9 @@
 
 
 def test_an_arbiter_does_not_extend_the_time_of_a_leaving_owner():
-    # Cause: whether an owner still takes requests was left to its arbiter,
-    # which may have heard later that it leaves, or not at all. Evidence: a VM
-    # that had known of it for 2.4 s sent what the arbiter permitted.
+    # Only the arbiter checked whether an owner still accepts requests, and it
+    # may learn later that the owner is leaving, or not at all. A VM that had
+    # known it for 2.4 s was seen to send what the arbiter permitted.
     async def scenario():
         vm = _Vm()
         vm.learn_leaving(since_s=_DRAIN_S - 0.1)
@@ -149,10 +150,11 @@
 
 
 class _Store(interfaces.StateTable):
-    """A table whose next answers a test gives.
+    """A table with predefined answers.
 
     Attributes:
-        answers: Seconds that each takes, and the rows in it; None if it fails.
+        answers: Duration of each call in seconds, and the rows in the answer;
+            None for a call that fails.
     """
 
     def __init__(self, clock: _Clock):
@@ -196,10 +198,10 @@
     """A VM that follows the registrations, with one upstream in them.
 
     Attributes:
-        clock: The time; 100.0 when the table was last heard of.
+        clock: The time; 100.0 at the last contact with the table.
         store: Answers its calls.
         follower: Follows the table.
-        registry: Applies it.
+        registry: Applies the changes.
     """
 
     def __init__(self, monkeypatch, is_loaded: bool = True):
@@ -219,7 +221,7 @@
             self.step(0.01, _rows(1, _READY))
 
     def step(self, took_s: float, rows: interfaces.Snapshot | None) -> None:
-        """Has the store asked once; `rows` is None if it doesn't answer."""
+        """Makes one call to the store; `rows` is None if it doesn't answer."""
         self.store.answers.append((took_s, rows))
         sent = self.clock.now
         try:
@@ -234,7 +236,7 @@
         return self.book.by_id["u-1"].takes_requests(at, _DRAIN_S)
 
     def assert_sends_end_in_time(self, announced_at: float) -> None:
-        """Checks the last send to an upstream that said that it leaves."""
+        """Checks that sends end in time after a leaving announcement."""
         assert not self.is_sent_to(announced_at + _DRAIN_S - _ON_ITS_WAY_S)
 
 
@@ -242,10 +244,10 @@
 def test_sends_end_in_time_if_a_peer_forwards_the_rows_late(
     monkeypatch, late_s
 ):
-    # Cause: the time was counted from when the rows came. Evidence: lines of 64
-    # VMs tell of rows of registrations that came 0.5 to 0.9 s after the word of
-    # them, and a reader pauses for 0.3 s and tells each 0.25 s at most, where
-    # sends end only 0.5 s early.
+    # The time was counted from the arrival of the rows. In logs of 64 VMs, rows
+    # of registrations arrived 0.5 to 0.9 s after the notice of them; a reader
+    # waits for 0.3 s and notifies every 0.25 s at most, while sends end only
+    # 0.5 s early.
     vm = _Following(monkeypatch)
     announced_at = 100.0
     reported_at = announced_at + 0.5
@@ -295,10 +297,10 @@
 
 
 def test_sends_end_in_time_if_an_upstream_may_register_again(monkeypatch):
-    # Cause: after a call that failed, entries that are gone are kept for 2.2 s,
-    # since upstreams may register anew, and the time was counted from then.
-    # Evidence: lines of a VM that the store turned away, 2.3 to 2.7 s after the
-    # others knew that an upstream is gone.
+    # After a failed call, removed entries are kept for 2.2 s, since upstreams
+    # may register again, and the time was counted from the end of that. It was
+    # seen in logs of a VM that the store refused, 2.3 to 2.7 s after the other
+    # VMs knew that an upstream had left.
     vm = _Following(monkeypatch)
     vm.step(0.7, None)
     vm.step(0.01, interfaces.Snapshot([], 1))
--- a/tests/unit/test_gateway_evacuation.py
+++ b/tests/unit/test_gateway_evacuation.py
@@ -1,8 +1,8 @@
-"""What becomes of upstreams whose failure domain the operator evacuates.
+"""Upstreams in a failure domain that the operator evacuates.
 
-What was seen: the operator had a failure domain evacuated, and VMs went on
-sending there and left its upstreams their keys, as nothing took the operator's
-row in.
+These tests guard against VMs that continue to send requests to an evacuated
+domain and leave its upstreams their keys. It was seen when nothing applied the
+operator's row.
 """
 
 import asyncio
@@ -58,7 +58,7 @@
     late = builders.upstream("u-9", failure_domain=builders.AWAY)
     target = book.put(late, _CLOSED_AT)
     assert not target.takes_requests(_CLOSED_AT, _DRAIN_S)
-    # Nor does one of there that registers anew.
+    # Nor does one that registers there again.
     assert book.put(late, _CLOSED_AT + 1).leaving_since == _EVACUATED_AT
 
 
@@ -114,7 +114,7 @@
 
 def test_requests_without_a_key_go_elsewhere_at_once():
     book = _book(builders.HOME, builders.AWAY)
-    # The one that stays is slow and full but for one place.
+    # The upstream that stays is slow and has one free slot.
     book.by_id["u-1"].slowness = 1.5
     builders.occupy(book.by_id["u-1"], 3)
     decisions = admission.Admission(book, builders.AWAY, _DRAIN_S)
@@ -133,7 +133,7 @@
 
 
 class _Keys:
-    """A keyed service, of which `u-1` owns all keys in one domain."""
+    """A keyed service whose keys are all owned by `u-1`, in one domain."""
 
     def __init__(self):
         self.parts = assigner_parts.Parts()
@@ -175,7 +175,7 @@
     assert offered is None
     keys.book.evacuate(builders.HOME, _CLOSED_AT)
     assert isinstance(keys.offer(_CLOSED_AT)[1], admission.Overload)
-    # Nor does one wait on that came before.
+    # An earlier request doesn't wait any longer either.
     _, refused = keys.decisions.pump(_CLOSED_AT)
     assert [entry for entry, _ in refused] == [waiter]
 
@@ -190,7 +190,7 @@
         for _ in range(200):
             now[0] += 0.05
             await parts.assigner.tick()
-            # Releases run beside it.
+            # Releases run concurrently.
             await asyncio.sleep(0)
 
     def owning() -> dict[str, int]:
@@ -210,7 +210,7 @@
         assert owning()["u-1"] > 0
 
     asyncio.run(play())
-    # Each key was released before another upstream got it.
+    # Each key was released before it was assigned to another upstream.
     released = {
         key
         for name, keys, _ in parts.control.released
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -1,11 +1,11 @@
-"""One owner at a time, in a model of the platform's times.
-
-A leader takes a slot from server 1 and gives it to server 2, while another VM
-renews the slot at server 1. That VM may be cut off, stand still, be killed and
-started again; its grants may stay without an answer and be carried out late;
-the server's clock may run slow. Each safeguard is taken away once, and the
-overlap it prevents is found. What happens while the leader waits for a call is
-played in test_gateway_exclusivity_concurrency.py.
+"""Exclusive ownership, in a model of the platform's timing.
+
+A leader moves a slot from server 1 to server 2, while another VM renews the
+slot at server 1. That VM may be partitioned, paused, or killed and restarted;
+its grants may get no answer and be carried out late; the server's clock may run
+slow. Each safeguard is disabled once, to check that the overlap of holds that
+it prevents occurs. Events during a call of the leader are simulated in
+test_gateway_exclusivity_concurrency.py.
 """
 
 import random
@@ -53,7 +53,7 @@
 
 
 class _Renewer:
-    """The other VM, with its right to renew."""
+    """The other VM, with its authority to renew."""
 
     def __init__(self, clock: _Clock, run: str):
         self.row = builders.node_row("vm-2", run=run)
@@ -101,7 +101,7 @@
 
 
 class _Model:
-    """Plays one sequence of events; `overlap_s` is what mustn't be."""
+    """Simulates one sequence of events; `overlap_s` must stay 0."""
 
     def __init__(self, seed: int):
         self._random = random.Random(seed)
@@ -130,7 +130,7 @@
         self._paused = self._window(0.4)
         self._crashed = self._window(0.3)
         self._unreachable = self._window(0.4)
-        # The other VM hears the leader, and isn't heard.
+        # The other VM receives reports of the leader, but its own are lost.
         self._unheard = self._window(0.3)
         self._late_share = self._random.choice((0.0, 0.3, 0.9))
 
@@ -177,7 +177,7 @@
             return
         if self._was_restarted():
             self._renewer = renewer = _Renewer(self._clock, "run00002")
-            # A new run registers before anything else, with the newest map.
+            # A restarted VM registers first, and reads the latest map.
             renewer.learn(2 if self._marked_at else 1)
             self._peer.note_run(renewer.row, now)
         if now < renewer.due or not renewer.authority.may_renew(
@@ -272,7 +272,7 @@
 
 
 class _Restarting(_Model):
-    """The other VM is killed just before the slot is marked as leaving."""
+    """The other VM is killed shortly before the slot is marked as leaving."""
 
     def _plan(self) -> None:
         super()._plan()
@@ -304,10 +304,10 @@
 
 
 class _Partitioned(_Model):
-    """Only the end of all holds tells that the slot is free.
+    """The slot is known to be free only when all holds have expired.
 
-    The other VM renews until it hears of the mark, and is cut off with what it
-    holds; nobody reaches the server.
+    The other VM renews until it learns of the mark, and is partitioned before
+    it can report its holds; nobody reaches the server.
     """
 
     def _plan(self) -> None:
@@ -320,7 +320,7 @@
 
 
 class _Unheard(_Model):
-    """The other VM is silent for long before the slot is marked as leaving."""
+    """Reports of the other VM are lost long before the slot is marked."""
 
     def _plan(self) -> None:
         super()._plan()
@@ -339,7 +339,7 @@
     models = [_Unheard(seed) for seed in _SEEDS]
     for model in models:
         model.play(monkeypatch)
-    # Silent for long enough, there is nothing to wait for.
+    # If its reports have been missing for long enough, there is no wait.
     assert min(model.waited_s for model in models) < 0.2
 
 
@@ -420,12 +420,12 @@
         report = builders.report(row, leader_version=5)
         peers.by_node[name] = builders.peer(row, report, clock.now)
     assert peer_authority.is_authorised(clock.now)
-    # One that follows another leader, and one that is silent: two of four.
+    # One VM follows another leader, one is unresponsive: only two of four.
     peers.by_node["vm-2"].report.leader_version = 6
     unresponsive = peers.by_node["vm-3"]
     unresponsive.heard_at = unresponsive.direct_at = clock.now - 2.0
     assert not peer_authority.is_authorised(clock.now)
-    # Word that another VM handed on doesn't count, however fresh it seems.
+    # A forwarded report doesn't count, however recent it seems.
     unresponsive.note_word(unresponsive.report, clock.now)
     assert unresponsive.is_heard(clock.now)
     assert not peer_authority.is_authorised(clock.now)
@@ -433,7 +433,7 @@
     assert peer_authority.is_authorised(clock.now)
     peer_authority.tick(clock.now)
     assert peer_authority.quorum_since == clock.now
-    # Without the store for too long, whoever follows.
+    # The store has been unreachable for too long, whoever follows.
     contact["at"] = clock.now - authority.MAX_STORE_OUTAGE_S - 1
     assert not peer_authority.is_authorised(clock.now)
 
--- a/tests/unit/test_gateway_exclusivity_concurrency.py
+++ b/tests/unit/test_gateway_exclusivity_concurrency.py
@@ -1,12 +1,12 @@
-"""One owner at a time, in a model of what happens while a leader waits.
-
-The leader's own code takes slots back and gives them away, in virtual time.
-Each call that it waits for takes a while, and may be refused or left without an
-answer: connections that are being opened, grants and releases, the store.
-Meanwhile other slots of the same owner are marked, owners are lost, the store
-is away, and another VM takes over. Orders without an answer are carried out
-late or never. Orders are for single slots, or for ranges of them. Each
-safeguard is taken away once, and the overlap it prevents is found.
+"""Exclusive ownership, in a model of events during the calls of a leader.
+
+The real code of the leader reclaims and reassigns slots, in virtual time. Each
+call that it waits for takes some time, and may be refused or get no answer:
+connecting, grants and releases, the store. Meanwhile other slots of the same
+owner are marked, owners crash, the store has an outage, and another VM takes
+over. Unanswered commands are carried out late or never. Commands are for single
+slots or for ranges. Each safeguard is disabled once, to check that the overlap
+of holds that it prevents occurs.
 """
 
 import asyncio
@@ -31,9 +31,9 @@
 _SLOTS = 16
 _TICK_S = 0.05
 _KEY = key_assigner.MAP_PREFIX + builders.LOOKUPS
-# As the orders' own limits (platform/users_platform/control.py).
+# The same as the timeouts of these calls (platform/users_platform/control.py).
 _GRANT_TIMEOUT_S, _RELEASE_TIMEOUT_S = 0.25, 1.5
-# A leader that is replaced has a right to give orders for so long.
+# How long a replaced leader keeps its authority to send commands.
 _AUTHORITY_S = 1.0
 _SEEDS = range(150)
 
@@ -43,7 +43,7 @@
 
 
 class _Selector(selectors.SelectSelector):
-    """Goes on to the next timer instead of waiting for it."""
+    """Advances the clock to the next timer instead of waiting for it."""
 
     def __init__(self, clock: _Clock):
         super().__init__()
@@ -67,10 +67,10 @@
 
 
 class _World:
-    """Who holds which slots, and who has them by the map.
+    """Which owners hold which slots, and which own them in the map.
 
     Attributes:
-        overlaps: Slots that one owner held and another one had.
+        overlaps: Number of slots held by one owner and owned by another.
     """
 
     def __init__(self, clock: _Clock, draw: random.Random):
@@ -104,12 +104,12 @@
 
 
 class _Upstreams(interfaces.UpstreamControl):
-    """Carry orders out in time, late, or never.
+    """Carry out commands in time, late, or never.
 
     Attributes:
-        unanswered_share: Part of the orders that get no answer.
-        open_s: Longest time until a connection is open.
-        work_s: Longest time until work that was running has ended.
+        unanswered_share: Share of the commands that get no answer.
+        open_s: Maximum time until a connection is open.
+        work_s: Maximum time until the running work has ended.
     """
 
     def __init__(self, world: _World):
@@ -156,7 +156,7 @@
             raise errors.PeerTimeoutError("silent", step="release")
         for slot in _slots_of(keys):
             self._world.until[upstream, slot] = 0.0
-        # When the work that was running has ended.
+        # The release is answered when the running work has ended.
         await asyncio.sleep(self._draw(0.001, self.work_s))
         return "warm"
 
@@ -167,7 +167,7 @@
 
 
 class _Store(builders.MemoryTable):
-    """Takes its time, is away at times, and loses answers."""
+    """A store with delays, outages and lost answers."""
 
     def __init__(self, world: _World):
         super().__init__()
@@ -205,13 +205,13 @@
 
 
 class _Model:
-    """Plays one sequence of events."""
+    """Simulates one sequence of events."""
 
-    # Ranges of keys: each of 16 slots, or three that share them.
+    # Ranges that the fleet can renew: with `_SLOTS`, each slot is one.
     max_ranges = _SLOTS
-    # Slots that are leaving from the beginning.
+    # Maximum number of slots that are leaving from the start.
     _most_leaving = 9
-    # How often an owner has to be fenced off.
+    # Share of the runs in which the owner has to be fenced.
     _unanswered_share = 0.7
 
     def __init__(self, seed: int):
@@ -252,7 +252,7 @@
                 parts.assigner.forget()
 
     def _grant_all(self) -> None:
-        """Grants of before; some got no answer, so owners are fenced off."""
+        """Records earlier grants; if unanswered, the owner is fenced."""
         book = self._parts.renewer.holds(builders.LOOKUPS, _SLOTS)
         every = range(_SLOTS)
         is_unanswered = self._draw.random() < self._unanswered_share
@@ -286,7 +286,7 @@
         self._parts.book.mark_gone("u-1", self._clock.now)
 
     def _replace_leader(self) -> None:
-        """Another VM leads; this one learns of it a while later."""
+        """Makes another VM the leader; this one learns of it later."""
         loop, table = asyncio.get_running_loop(), self._parts.table
         table.apply([], [interfaces.Write("leader", b"another")])
         loop.call_later(self._draw.uniform(0, 0.2), self._take_over)
@@ -305,7 +305,7 @@
 
 
 class _Remarked(_Model):
-    """More slots are marked again and again while the first are taken back."""
+    """More slots are marked repeatedly while the first are reclaimed."""
 
     def _plan(self, store, upstreams) -> None:
         draw = self._draw.uniform
@@ -315,7 +315,7 @@
 
 
 class _StoreOutage(_Model):
-    """The store is away for a moment, after slots were released."""
+    """The store has a short outage after slots were released."""
 
     _most_leaving = 2
     _unanswered_share = 1.0
@@ -328,7 +328,7 @@
 
 
 class _StoreOutageAndRemarked(_StoreOutage):
-    """As soon as the store is back another slot of the owner is marked."""
+    """Another slot of the owner is marked as soon as the outage ends."""
 
     def _plan(self, store, upstreams) -> None:
         super()._plan(store, upstreams)
@@ -342,12 +342,12 @@
 
 
 def _overlaps(monkeypatch, kind=_Model, seeds=_SEEDS) -> int:
-    """Returns days on which two owners had a slot."""
+    """Returns the number of runs in which two owners had a slot."""
     models = _play_all(monkeypatch, kind, seeds)
     return sum(model.world.overlaps > 0 for model in models)
 
 
-# Orders for single slots, and for up to five neighbours at a time.
+# Commands for single slots, and for up to five adjacent slots at a time.
 @pytest.mark.parametrize("max_ranges", [_SLOTS, 1])
 @pytest.mark.parametrize(
     "kind", [_Model, _Remarked, _StoreOutage, _StoreOutageAndRemarked]
@@ -357,7 +357,7 @@
     monkeypatch.setattr(kind, "max_ranges", max_ranges)
     models = _play_all(monkeypatch, kind)
     assert [model.world.overlaps for model in models] == [0] * len(models)
-    # Most of what was to move did.
+    # Most moves were completed.
     moved = sum(model.world.owners[0] != "u-1" for model in models)
     assert moved > 0.8 * len(models)
 
@@ -370,7 +370,7 @@
 
 def test_without_checking_holds_twice_they_overlap(monkeypatch):
     original = key_assigner.KeyAssigner._next_steps
-    # The map that was looked at, and what was seen.
+    # The map that was checked, and the result.
     checked = [None, None]
 
     def only_the_first(self, current, weights, now):
@@ -407,5 +407,6 @@
         return self.with_slots({}, self.next_fence, self.version)
 
     monkeypatch.setattr(keymap.KeyMap, "with_newer_fence", same)
-    # One in 200 days: the store is back, an order is late, another mark comes.
+    # Occurs in one of 200 runs: after an outage of the store, a command is
+    # carried out late and another slot is marked.
     assert _overlaps(monkeypatch, _StoreOutageAndRemarked, range(240, 430)) > 0
--- a/tests/unit/test_gateway_key_assigner.py
+++ b/tests/unit/test_gateway_key_assigner.py
@@ -1,4 +1,4 @@
-"""The leader's moves: what it may still send, and what it takes over."""
+"""Moves of the leader: commands that it may send, and moves it takes over."""
 
 import asyncio
 
@@ -11,8 +11,8 @@
 
 
 def test_a_release_sends_nothing_after_its_move_ended():
-    # Found on trouble-3 of hbrt-gw: slots were reassigned as their holds had
-    # ended, while a release of the same slots was still working its way down.
+    # Seen on trouble-3 of hbrt-gw: slots were reassigned as their holds had
+    # expired, while a release of the same slots was still in progress.
     parts = assigner_parts.Parts()
     current = parts.start()
     reassigned = current.assign({}, {0: "u-2", 1: "u-2"})
@@ -46,8 +46,8 @@
 
 
 def test_fencing_an_unresponsive_owner_lets_its_holds_expire(monkeypatch):
-    # Found by seed 3 of the soak: each try counted as a grant of full length,
-    # so the keys of a dead owner were never reassigned.
+    # Seen in seed 3 of the soak test: each attempt counted as a grant with the
+    # full hold, so the keys of a crashed owner were never reassigned.
     parts = assigner_parts.Parts()
     current = parts.start()
     parts.control.is_unresponsive = True
@@ -112,12 +112,12 @@
 
 
 def test_an_outage_after_the_release_returns_slots_to_their_owner():
-    # Found by CI: an outage of the store in the middle of a move left the
-    # released slots without an owner until the store was back.
+    # Seen in CI: a store outage in the middle of a move left the released slots
+    # without an owner until the store was available again.
     async def scenario():
         parts = assigner_parts.Parts()
         parts.start()
-        # The store answers until the slots were released.
+        # The store answers until the slots are released.
         original = parts.control.release
 
         async def release(*arguments):
@@ -128,11 +128,11 @@
         parts.control.release = release
         await _tick_until(parts, lambda: parts.control.kept)
         fence = parts.maps.by_service[builders.LOOKUPS].next_fence
-        # Both slots by one grant, as they were released together.
+        # One grant for both slots, as they were released together.
         assert set(parts.control.kept) == {("u-1", 0, fence, "warm")}
         book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
         assert book.held_for_s([0, 1], key_assigner.clocks.monotonic()) > 0
-        # Once the store is back the slots are reclaimed, then reassigned.
+        # After the outage the slots are reclaimed again, then reassigned.
         parts.control.release = original
         parts.table.refuse = 0
         current = parts.maps.by_service
@@ -158,9 +158,9 @@
 
 
 def test_a_grant_is_counted_from_when_it_is_sent():
-    # Found on trouble-3 of armor-encheres: while connections to a lost owner
+    # Seen on trouble-3 of armor-encheres: while connections to a crashed owner
     # were being opened its slots counted as held, for seconds after all holds
-    # were over.
+    # had expired.
     parts = assigner_parts.Parts()
     parts.start(leaving=())
     book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
@@ -232,8 +232,8 @@
 def test_earlier_runs_of_a_new_leader_end_when_its_process_starts(
     monkeypatch,
 ):
-    # Found on trouble-3 of armor-encheres: each VM that led for the first time
-    # counted what an earlier run of its own may have granted from then on.
+    # Seen on trouble-3 of armor-encheres: a VM that became leader counted the
+    # grants of its own earlier runs from that time on, not from its start.
     clock = [100.0]
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: clock[0])
     parts = assigner_parts.Parts()
@@ -242,7 +242,7 @@
     made = assigner_parts.Parts()
     made.maps.put(builders.LOOKUPS, current, 120.0)
     book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
-    # Built when the process started, at 100, and led since 120.
+    # Created when the process started at 100; leader since 120.
     assert parts.assigner._own_hold(book, [0], 120.0).held_s == 0.0
     assert made.assigner._own_hold(book, [0], 120.0).held_s > 5.0
 
@@ -256,7 +256,7 @@
     weights = {"u-1": 3.0, "u-2": 6.0, "u-3": 5.0, "u-4": 4.0}
     reported = {}
     for slot, now in ((7, 100.0), (9, 101.0), (11, 102.0)):
-        # Each takes nearly all of u-1, and some of whatever it is moved to.
+        # Each uses nearly all the capacity of u-1, and part of its new owner's.
         reported[slot] = 9.0
         parts.key_load.receive("vm-2", {builders.LOOKUPS: dict(reported)}, now)
         moving = parts.plan.hot_slots_to_move(current, weights, now)
@@ -267,7 +267,7 @@
 
 
 def _writes_while_slots_become_hot(monkeypatch, vms: int, for_s: float) -> int:
-    """Returns writes of the map while another slot is hot at each look."""
+    """Counts writes of the map while another slot becomes hot each tick."""
 
     async def scenario() -> int:
         parts = assigner_parts.Parts(vms)
@@ -285,8 +285,8 @@
 
 
 def test_maps_are_written_less_often_in_large_fleets(monkeypatch):
-    # Found on trouble-3 of hbrt-gw-grown: up to 30 writes/s, each of them read
-    # and decoded by 77 VMs.
+    # Seen on trouble-3 of hbrt-gw-grown: up to 30 writes/s, each of which was
+    # read and decoded by 77 VMs.
     many = _writes_while_slots_become_hot(monkeypatch, vms=77, for_s=2.0)
     assert 3 <= many <= 2.0 / 0.456 + 2.0 / 0.168 + 2
     few = _writes_while_slots_become_hot(monkeypatch, vms=12, for_s=1.0)
--- a/tests/unit/test_gateway_key_load.py
+++ b/tests/unit/test_gateway_key_load.py
@@ -1,4 +1,4 @@
-"""Busy keys: found from all VMs' counts, and put on fast upstreams."""
+"""Hot keys: detected from the counts of all VMs, moved to fast upstreams."""
 
 from swiftstile.gateway import hotplan
 from swiftstile.gateway import key_load
@@ -61,8 +61,8 @@
 
 
 def test_a_hot_slot_does_not_join_a_recently_placed_one():
-    # Found on trouble-3 of hbrt-gw: after a restart the three busiest slots
-    # came to the same upstream one after the other.
+    # Seen on trouble-3 of hbrt-gw: after a restart the three busiest slots were
+    # moved to the same upstream in turn.
     current = _map("u-1", "u-1", "u-2")
     moved = hotplan.relocations(current, {0: 2.0}, _CAPACITY, taken={"u-2"})
     assert moved == {0: "u-3"}
--- a/tests/unit/test_gateway_keys.py
+++ b/tests/unit/test_gateway_keys.py
@@ -1,4 +1,4 @@
-"""Key maps, plans, holds and when a slot may be given away."""
+"""Key maps, plans, holds, and when a slot may be reassigned."""
 
 import collections
 
@@ -151,12 +151,12 @@
 @pytest.mark.parametrize(
     ("vms", "link_mbps", "owners", "width"),
     [
-        # Wide links bear the finest division.
+        # Fast links can afford the finest division.
         (8, 1000.0, 14, 1),
         (18, 10.0, 20, 13),
         (66, 10.0, 100, 3),
         (195, 10.0, 140, 2),
-        # However narrow, an owner's share has to fit.
+        # Even on slow links, the blocks have to match an owner's share.
         (64, 1.0, 100, 3),
     ],
 )
@@ -184,7 +184,7 @@
 
 
 def test_ranges_stay_few_while_speeds_vary():
-    # Each round another owner is slow for a while, and a slot is hot.
+    # In each round another owner is slow.
     key_map = _in_blocks()
     names = sorted(_TWENTY)
     for number in range(200):
@@ -240,7 +240,7 @@
 
 
 def test_a_grant_that_could_not_be_sent_holds_nothing():
-    # A dead owner is tried again and again; that mustn't extend its hold.
+    # Repeated attempts to reach a crashed owner mustn't extend its hold.
     table = holds.HoldTable(4, 5.0)
     table.note_sent(range(0, 1))
     table.note_answered(range(0, 1), 1.0, 5.0)
@@ -345,7 +345,7 @@
 
 
 def _restarted(peer: reports.Peer, at: float, up_s: float) -> None:
-    """Another run of a peer registers, and tells for how long it has lived."""
+    """Registers another run of a peer, and lets it report its uptime."""
     report = peer.report
     peer.note_run(peer.row, at)
     fresh = msgspec.structs.replace(report, up_s=up_s, grants_end_s=None)
@@ -354,7 +354,7 @@
 
 def test_an_earlier_run_ended_before_the_present_one_began():
     peer = _reporting_peer(7, reports.Hold(0.0, 0.0), 10.1)
-    # It registered late, as the store was away.
+    # It registered late because of a store outage.
     _restarted(peer, 10.0, up_s=4.1)
     assert _outstanding_grants([peer], 10.2).held_s == pytest.approx(1.05)
 
@@ -374,12 +374,12 @@
 
 def test_the_report_of_one_run_does_not_apply_to_other_runs():
     peer = _reporting_peer(7, reports.Hold(0.0, 0.0), 10.1)
-    # Killed, started again, stopped in good order, started again.
+    # Killed, restarted, shut down gracefully, restarted.
     _restarted(peer, 10.0, up_s=0.1)
     _leave(peer, 10.5, grants_end_s=0.2)
     _restarted(peer, 11.0, up_s=0.1)
     assert _outstanding_grants([peer], 11.1).held_s == pytest.approx(4.15)
-    # Killed once more.
+    # Killed again.
     _restarted(peer, 12.0, up_s=0.1)
     assert _outstanding_grants([peer], 12.2).held_s == pytest.approx(5.05)
 
--- a/tests/unit/test_gateway_leaving.py
+++ b/tests/unit/test_gateway_leaving.py
@@ -1,4 +1,4 @@
-"""A VM that stops in good order gives no more grants, and says so."""
+"""A VM that shuts down gracefully stops granting, and reports it."""
 
 import asyncio
 
--- a/tests/unit/test_gateway_owners.py
+++ b/tests/unit/test_gateway_owners.py
@@ -1,4 +1,4 @@
-"""Which owner a request is sent to, and when there is none."""
+"""Looking up the owner of a key for a request."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 class _Case:
-    """One upstream of another domain that owns all keys, and a VM there."""
+    """An upstream of another domain that owns all keys, and a VM there."""
 
     def __init__(self, heard_at: float):
         parts = assigner_parts.Parts()
@@ -40,7 +40,7 @@
 def test_a_failing_owner_in_a_partitioned_domain_is_not_retried():
     case = _Case(heard_at=_NOW - 5)
     assert case.find() == (case.target, 0.0)
-    # A connection to it couldn't be opened; the penalty is over by now.
+    # A connection to it couldn't be opened, and the penalty has expired.
     case.target.note_failure(_NOW - 1)
     assert case.find() == (None, owners.FAILED_OWNER_S)
 
--- a/tests/unit/test_gateway_reassignment.py
+++ b/tests/unit/test_gateway_reassignment.py
@@ -1,15 +1,11 @@
-"""A slot is given away, and its former owner gets nothing of it any more.
-
-Users saw a key that two upstreams worked on: its former owner, whose hold had
-been over for more than a second, ran a request for it while the next owner was
-granted it. The holds had ended while the leader was still taking the slots
-back, with grants that shut out older ones. By the ended holds the leader took
-the slots for free and had their next owner written; while that write was on its
-way, the taking back went on and granted the slots to their former owner anew.
-
-Evidence: the former owner refused the key 0.36 s before it ran the request, so
-it was granted the slot once more in between, which only the leader does with a
-slot that is leaving; and the tests here, each of which found such a grant.
+"""The former owner of a slot gets no grants once the slot is reassigned.
+
+These tests guard against a key that two upstreams process at the same time. The
+holds of a slot expired while the leader was still reclaiming it with fencing
+grants. So the leader considered the slot free and wrote its next owner; during
+that write the reclaiming continued and granted the slot to its former owner
+again. In the observed case the former owner refused the key 0.36 s before it
+ran a request for it, and only the leader grants a slot that is leaving.
 """
 
 import asyncio
@@ -23,15 +19,15 @@
 from tests import gateway_builders as builders
 
 _SLOTS = [0, 1]
-# They came to their owner together, so they are taken back as one.
+# They were assigned together, so they are reclaimed as one range.
 _RANGES = [range(2)]
 _KEYS = keymap.KeyMap.empty(slotplan.SLOT_COUNT).keys_of_range(_RANGES[0])
-# Longer than any grant of an earlier run of the leader may last.
+# Longer than the hold of any grant of an earlier run of the leader.
 _LONG_AGO_S = 60.0
 
 
 class _SlowTable(builders.MemoryTable):
-    """Lets something happen while a call is under way."""
+    """Runs callbacks while a call is in progress."""
 
     def __init__(self):
         super().__init__()
@@ -50,7 +46,7 @@
 
 
 class _OpeningControl(assigner_parts.Control):
-    """Sends nothing before its connections are open."""
+    """Delays grants until its connections are open."""
 
     def __init__(self):
         super().__init__()
@@ -62,7 +58,7 @@
 
 
 async def _run_pending_tasks() -> None:
-    """Lets everything run that can run."""
+    """Runs all tasks that are ready."""
     for _ in range(20):
         await asyncio.sleep(0)
 
@@ -73,7 +69,7 @@
 
 
 async def _reclaiming(table, control) -> assigner_parts.Parts:
-    """Returns a leader that takes slots back whose holds are over.
+    """Returns a leader that reclaims slots whose holds have expired.
 
     Its fencing grants are about to be sent.
     """
@@ -141,9 +137,9 @@
 
 
 def test_a_release_grants_nothing_after_its_owner_is_marked_again():
-    # More slots of an owner turn hot, or it is lost, while its first ones are
-    # being taken back: the release of these goes on, and what forbids orders
-    # while the next owner is written must hold for it, too.
+    # More slots of an owner become hot, or it crashes, while its first slots
+    # are reclaimed. The release of these continues, so the flag that forbids
+    # commands while the next owner is written must apply to it as well.
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
         parts = await _reclaiming(table, control)
@@ -164,8 +160,8 @@
 
 
 def test_another_mark_raises_the_fence_above_that_of_the_former_release():
-    # A grant of the first release that got no answer may be carried out after
-    # the second one fenced the owner off: under the same fence it would count.
+    # An unanswered grant of the first release may be carried out after the
+    # second release fenced the owner; with the same fence it would be accepted.
     async def scenario():
         parts = await _reclaiming(_SlowTable(), _OpeningControl())
         before = parts.maps.by_service[builders.LOOKUPS].next_fence
@@ -183,8 +179,8 @@
 
 
 def test_a_reassignment_that_was_overwritten_ends_all_commands():
-    # The answer to the gift was lost; another VM took over and wrote the map
-    # before it was sent again. Nothing tells then that it wasn't done.
+    # The answer to the write was lost; another VM took over and wrote the map
+    # before the write was repeated. So it isn't known whether it took effect.
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
         parts = await _reclaiming(table, control)
@@ -207,7 +203,7 @@
 
 
 def test_a_leader_replaced_during_the_store_probe_writes_nothing():
-    # Its condition named the row of whoever leads now, and so it held.
+    # Its condition named the row of the new leader, so the write succeeded.
     async def scenario():
         table, control = _SlowTable(), _OpeningControl()
         parts = await _reclaiming(table, control)
@@ -225,8 +221,8 @@
 
 
 def test_a_vm_that_leads_again_restarts_its_moves():
-    # Another VM led in between and let the owner go on with its slots: what was
-    # released before that says nothing.
+    # Another VM led in between and let the owner keep using its slots, so
+    # earlier releases are no longer valid.
     async def scenario():
         parts = assigner_parts.Parts()
         parts.start(_SLOTS)
@@ -245,8 +241,8 @@
 
 
 def test_an_unanswered_grant_after_fencing_delays_the_reassignment(monkeypatch):
-    # It may be carried out after the release, as both have the same fence. Its
-    # time counts from its arrival.
+    # The grant may be carried out after the release, as both have the same
+    # fence. Its hold starts when it arrives.
     clock = [1000.0]
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: clock[0])
 
--- a/tests/unit/test_gateway_restart.py
+++ b/tests/unit/test_gateway_restart.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under the id that they had."""
+"""Upstreams that restart with the same id."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 def _parts() -> tuple[assigner_parts.Parts, keymap.KeyMap]:
-    """Returns a keeper whose two upstreams are in their first life.
+    """Returns a leader with two upstreams that haven't restarted yet.
 
     Slots 0 and 1 of u-1 are leaving, all others stay with it.
     """
@@ -37,7 +37,7 @@
     after = book.put(_incarnation(_SECOND), 0.1)
     assert after is book.by_id["u-1"] is not before
     assert after.occupied(0.1) == 0 and not after.is_penalised(0.1)
-    # What is still under way to the earlier life ends with that.
+    # Requests in flight to the earlier incarnation are counted there.
     assert before.is_replaced
     before.note_ended(-1)
     assert after.own == 0
@@ -92,7 +92,7 @@
     old, new = before.slots[5], after.slots[5]
     assert (new.owner, new.token) == ("u-1", "")
     assert new.fence > old.fence
-    # What was on its way to another upstream goes on.
+    # Moves to other upstreams continue.
     assert after.leaving == {0, 1}
     asyncio.run(parts.renewer._renew_due(builders.LOOKUPS, "u-1"))
     assert {fence for _, _, fence in parts.control.grants} == {new.fence}
--- a/tests/unit/test_gateway_sharing.py
+++ b/tests/unit/test_gateway_sharing.py
@@ -1,4 +1,4 @@
-"""Upstreams are shared out among VMs, also when all get their right at once."""
+"""Upstreams are divided among VMs, even if all are authorised at once."""
 
 import msgspec
 import pytest
@@ -30,7 +30,7 @@
 
 
 def _receive_others(site, is_able: bool) -> None:
-    """All ordinary VMs that are heard tell whether they may renew."""
+    """Receives reports of all followers on whether they may renew."""
     for peer in site.daemon._peers.by_node.values():
         if peer.report is not None and not peer.report.is_leader:
             report = msgspec.structs.replace(
@@ -79,7 +79,7 @@
     _receive_leader(site, is_able=False)
     _receive_others(site, is_able=False)
     _upstreams_of(site)
-    # The leader is back; what others report is older than that.
+    # The leader is available again; the reports of others are older.
     site.now += 0.3
     _receive_leader(site, is_able=True)
     assert _upstreams_of(site) == share
--- a/tests/unit/test_gateway_slotplan.py
+++ b/tests/unit/test_gateway_slotplan.py
@@ -1,4 +1,4 @@
-"""Where slots should be, by speeds and by what is hot."""
+"""Planning the owners of slots by speed and by hotspots."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 class _Case:
-    """Twenty upstreams of 30 requests/s each, and a map that suits them."""
+    """Twenty upstreams of 30 requests/s each, and a balanced map."""
 
     def __init__(self):
         self.parts = assigner_parts.Parts(max_ranges=_RANGES)
@@ -48,7 +48,7 @@
 
 
 def test_answers_faster_than_expected_move_no_keys():
-    # Only u-1 was asked yet. That says nothing of what u-2 can do.
+    # Only u-1 got requests so far, which says nothing about the speed of u-2.
     parts = assigner_parts.Parts()
     for _ in range(20):
         parts.speeds.note("u-1", 0.2, _NOW)
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("speed", [0.2, 0.5])
 def test_one_slow_owner_of_many_is_relieved(speed):
-    # Its share is missing nowhere else by much: the others are 2% or 4% short.
+    # No other owner falls short of its share by much: only by 2% or 4%.
     case = _Case()
     case.weights["u-7"] *= speed
     before = case.owned("u-7")
@@ -66,7 +66,7 @@
     while case.move(now):
         now += slotplan.REBALANCE_INTERVAL_S
     assert case.owned("u-7") < before * speed * 1.2
-    # And gets its keys back when it is as fast as the others again.
+    # It gets its keys back when it is as fast as the others again.
     case.weights["u-7"] = 3.0
     now += slotplan.REBALANCE_INTERVAL_S
     while case.move(now):
@@ -85,12 +85,12 @@
     assert case.move(_NOW) == []
     hot = case.map.slots_by_owner["u-3"][50]
     before = case.owned("u-3")
-    # It isn't time for a look yet; what is hot doesn't wait for that.
+    # A hotspot triggers rebalancing before the next round is due.
     case.receive_load(hot, 40.0, _NOW + 0.3)
     moved = case.move(_NOW + 0.3)
     assert len(moved) > 0.8 * before
     assert hot not in moved and case.map.slots[hot].owner == "u-3"
-    # Once, not at each look.
+    # But only once.
     case.receive_load(hot, 38.0, _NOW + 0.4)
     assert case.move(_NOW + 0.4) == []
 
--- a/tests/unit/test_gateway_succession.py
+++ b/tests/unit/test_gateway_succession.py
@@ -1,4 +1,4 @@
-"""What a new leader may conclude from the reports of the one before it."""
+"""What a new leader may conclude from the reports of its predecessor."""
 
 import random
 
@@ -73,7 +73,7 @@
 
 
 def _follower() -> _Vm:
-    """Returns a VM that heard the leader tell of its marks at 102."""
+    """Returns a VM that received the leader's first report of marks at 102."""
     vm = _Vm()
     vm.follow(vm.first.row, _FIRST_ROW)
     vm.learn(_PLAIN, 100.0)
@@ -93,11 +93,11 @@
 
 
 def test_a_successor_that_reads_its_own_row_again_knows_its_predecessor():
-    # What a follower reads includes the row that this VM wrote itself. Taken
-    # for a change, it made this VM its own predecessor: the VM that had led
-    # was treated like any other, which gives no orders for marked slots, and
-    # slots that it had just kept at their owner in an outage of the store were
-    # given away.
+    # A VM reads the row that it wrote itself with the table's changes. Treated
+    # as a change of the leader, that made the VM its own predecessor. The real
+    # predecessor was then assumed to send no commands for marked slots, and
+    # slots were reassigned that it had just granted to their owner again during
+    # a store outage.
     vm = _follower()
     vm.follow(vm.row, _SECOND_ROW)
     vm.follow(vm.row, _SECOND_ROW)
@@ -175,15 +175,15 @@
     assert (marks[3].version, marks[4].version) == (_MARKED + 5, _MARKED)
 
 
-# A model of the platform's times: the leader marks a slot, lets its owner go on
-# with it now and then, and is lost; another VM renews by its word; a third one
-# takes over and gives the slot away by what it knows.
+# A model of the platform's timing: the leader marks a slot, lets its owner keep
+# it at times, and crashes; another VM renews the slot by the leader's reports;
+# a third VM takes over and reassigns the slot by what it knows.
 
 _STEP_S = 0.05
 
 
 class _Renewer:
-    """A VM that renews a slot as long as it has the right to."""
+    """A VM that renews a slot as long as it has the authority to."""
 
     def __init__(self, clock, seed: int):
         self._random = random.Random(seed)
@@ -211,7 +211,7 @@
 
 
 class _Model:
-    """One sequence of events; `overlap_s` is what mustn't be."""
+    """Simulates one sequence of events; `overlap_s` must stay 0."""
 
     def __init__(self, seed: int):
         draw = random.Random(seed)
@@ -224,12 +224,14 @@
         self._marked_at = 100.0 + draw.uniform(1, 3)
         self._crashed_at = self._marked_at + draw.choice([0.2, 0.6, 2, 6])
         self._taken_at = self._crashed_at + draw.uniform(1.0, 2.0)
-        # When the renewer hears nothing, and from when the third VM doesn't.
+        # When the renewer receives nothing, and from when the third VM receives
+        # nothing.
         self._unreachable = self._window()
         self._partitioned_at = draw.choice(
             [1e9, self._crashed_at - draw.uniform(0, 2)]
         )
-        # How long the former leader goes on where it isn't dead but cut off.
+        # How long the former leader continues if it is partitioned instead of
+        # crashed.
         self._continues_s = draw.choice([0.0, 0.0, 1.2])
         self._until = 0.0
         self._reassigned_at: float | None = None
@@ -270,7 +272,7 @@
         self._until = max(self._until, self._clock.now + hold_s * 1.02)
 
     def _lead_first(self) -> None:
-        """The first leader tells its word, and keeps the slot now and then."""
+        """Lets the first leader send reports, and keep the slot at times."""
         now = self._clock.now
         if now >= self._crashed_at:
             if (
@@ -308,7 +310,7 @@
         self._hold(renewals.HOLD_S)
 
     def _report(self) -> None:
-        """The renewer tells the third VM what it knows and holds."""
+        """Reports the version and the holds of the renewer to the third VM."""
         now = self._clock.now
         if (
             now >= self._partitioned_at
@@ -366,7 +368,7 @@
 
     @property
     def waited_s(self) -> float | None:
-        """How long after the take-over the slot was given away."""
+        """Time between the takeover and the reassignment of the slot."""
         if self._reassigned_at is None:
             return None
         return self._reassigned_at - self._taken_at
@@ -385,7 +387,8 @@
 def test_no_slot_is_reassigned_while_it_may_be_held(monkeypatch):
     models = _play_all(monkeypatch)
     assert sum(model.overlap_s for model in models) == 0
-    # Known in most of them, and then sooner than by counting anew.
+    # The marks are known in most runs, and then the wait is shorter than if
+    # counted from the takeover.
     waits = [model.waited_s for model in models if model.waited_s is not None]
     assert len(waits) > len(models) / 2
     anew_s = authority.STOPPED_AFTER_S + holds.max_held_s(renewals.HOLD_S)
