--- a/src/swiftstile/gateway/authority.py
+++ b/src/swiftstile/gateway/authority.py
@@ -95,8 +95,8 @@
         if not self._is_registered():
             return False
         if self._leader_state.is_leader:
-            storeless_s = now - self._store_contact_at()
-            return self._has_quorum(now) and storeless_s < MAX_STORE_OUTAGE_S
+            store_outage_s = now - self._store_contact_at()
+            return self._has_quorum(now) and store_outage_s < MAX_STORE_OUTAGE_S
         return self._authorising_leader(now) is not None
 
     def may_renew(self, service: ids.ServiceName) -> bool:
--- a/src/swiftstile/gateway/key_assigner.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -79,7 +79,7 @@
     releases: list[tuple[model.UpstreamId, bool]]
 
     @property
-    def is_any(self) -> bool:
+    def has_any(self) -> bool:
         """Whether there is any step to take."""
         return bool(self.cleared or self.releases)
 
@@ -184,18 +184,18 @@
         newer fence. It keeps its slots, as any other upstream would have to
         wait until all grants under the old fence have expired.
         """
-        again = self._restarted_owners(current)
-        if not again:
+        restarted = self._restarted_owners(current)
+        if not restarted:
             return False
         owners = {
             index: owner
-            for owner in again
+            for owner in restarted
             for index in current.slots_by_owner[owner]
             if index not in current.leaving
         }
-        given = current.assign({}, owners, self._started_ms(again))
-        if await self._write(given, "owner started again"):
-            self._meters.ownership.add("started-again", len(again))
+        reassigned = current.assign({}, owners, self._started_ms(restarted))
+        if await self._write(reassigned, "owner started again"):
+            self._meters.ownership.add("started-again", len(restarted))
         return True
 
     def _restarted_owners(self, current) -> list[model.UpstreamId]:
@@ -218,14 +218,14 @@
         }
 
     async def _mark(self, current, weights, now: float) -> None:
-        lost = [
+        orphaned = [
             index
             for owner, slots in current.slots_by_owner.items()
             if owner not in weights and self._has_left(owner, now)
             for index in slots
             if index not in current.leaving
         ]
-        moving, reason = lost, "owner lost"
+        moving, reason = orphaned, "owner lost"
         if not moving and now - self._marked_at < self._write_interval_s(
             MARK_INTERVAL_PER_VM_S
         ):
@@ -245,10 +245,10 @@
             # their fence must be older than that of the next release.
             marked = marked.with_newer_fence()
         if await self._write(marked, reason):
-            done = self._marked_at = clocks.monotonic()
+            written_at = self._marked_at = clocks.monotonic()
             version = self._maps.by_service[self._service].version
             for owner in owners:
-                self._replace_source(owner, reclaim.Source(version, done))
+                self._replace_source(owner, reclaim.Source(version, written_at))
 
     def _replace_source(
         self, owner: model.UpstreamId, source: reclaim.Source
@@ -282,7 +282,7 @@
         if set(slots_by_source) - set(self._sources):
             await self._adopt_moves(current, set(slots_by_source))
             return
-        if not self._next_steps(current, weights, now).is_any:
+        if not self._next_steps(current, weights, now).has_any:
             return
         if not await self._store_answers():
             await self._keep_at_owners()
@@ -364,12 +364,14 @@
             current.with_newer_fence(), "moves taken over"
         ):
             return
-        done = clocks.monotonic()
+        written_at = clocks.monotonic()
         version = self._maps.by_service[self._service].version
         self.forget()
         slots = current.leaving_by_owner()
         self._sources = {
-            owner: self._adopted_source(slots.get(owner, []), version, done)
+            owner: self._adopted_source(
+                slots.get(owner, []), version, written_at
+            )
             for owner in owners
         }
 
--- a/src/swiftstile/gateway/keyplan.py
+++ b/src/swiftstile/gateway/keyplan.py
@@ -142,11 +142,11 @@
         max(0.0, shares[owner] * (1 - IMBALANCE_TOLERANCE) - owned[owner])
         for owner in shares
     )
-    beyond = sum(
+    overload = sum(
         max(0.0, owned[owner] - shares[owner] * (1 + OVERLOAD_TOLERANCE))
         for owner in shares
     )
-    if missing < 1 and beyond < 1:
+    if missing < 1 and overload < 1:
         return []
     busy = set(current.leaving_by_owner())
     ranges_by_id = {
@@ -154,8 +154,8 @@
         for owner, slots in current.slots_by_owner.items()
         if owner in shares and owner not in busy
     }
-    left = sum(max(0.0, shares[owner] - owned[owner]) for owner in shares)
-    left = min(left, limit)
+    remaining = sum(max(0.0, shares[owner] - owned[owner]) for owner in shares)
+    remaining = min(remaining, limit)
     chosen: list[int] = []
     while ranges_by_id:
         owner = max(ranges_by_id, key=lambda name: owned[name] - shares[name])
@@ -163,7 +163,7 @@
         slot_range = (
             ranges_by_id[owner].pop() if ranges_by_id[owner] else range(0)
         )
-        if extra <= 0 or left < len(slot_range) / 2:
+        if extra <= 0 or remaining < len(slot_range) / 2:
             break
         if not slot_range:
             # The remaining slots of this owner are pinned.
@@ -171,7 +171,7 @@
             continue
         chosen += slot_range
         owned[owner] -= len(slot_range)
-        left -= len(slot_range)
+        remaining -= len(slot_range)
     return chosen
 
 
@@ -215,7 +215,7 @@
             owned[owner] -= 1
     placed: dict[int, model.UpstreamId] = {}
     for slot_range in move_ranges(current, moving, width):
-        near = {
+        adjacent_owners = {
             placed.get(i, current.slots[i].owner)
             for i in (slot_range.start - 1, slot_range.stop)
             if 0 <= i < len(current.slots)
@@ -223,7 +223,9 @@
         half = len(slot_range) / 2
         below = [name for name in shares if owned[name] < shares[name] - half]
         excess = {
-            name: owned[name] - shares[name] + len(slot_range) * (name in near)
+            name: owned[name]
+            - shares[name]
+            + len(slot_range) * (name in adjacent_owners)
             for name in below or shares
         }
         best = min(excess, key=excess.get)
--- a/src/swiftstile/gateway/leadership.py
+++ b/src/swiftstile/gateway/leadership.py
@@ -105,7 +105,7 @@
         A row that this VM wrote is received again with the table's changes.
         That isn't a change of the leader: this VM isn't its own predecessor.
         """
-        was = self.is_leader
+        was_leader = self.is_leader
         if change.version <= self.version:
             return
         if self.row is not None and self.row.node:
@@ -122,9 +122,9 @@
             leader=self.row.node if self.row else "",
             version=self.version,
         )
-        if was and not self.is_leader:
+        if was_leader and not self.is_leader:
             logs.logger.info("no longer leading")
-        if self.is_leader and not was:
+        if self.is_leader and not was_leader:
             # This VM's write had a condition on the previous version, so no
             # other VM led in between.
             self.predecessor = vacated or before
--- a/src/swiftstile/gateway/owners.py
+++ b/src/swiftstile/gateway/owners.py
@@ -117,7 +117,7 @@
             if now - at > MISDIRECTED_TTL_S or fence != slot.fence:
                 del self._misdirected[service, index]
         if target.is_failing and (
-            target.is_gone or self._is_cut_off(target, now)
+            target.is_gone or self._is_partitioned(target, now)
         ):
             return None, FAILED_OWNER_S
         if target.is_penalised(now):
@@ -130,7 +130,7 @@
             return NO_UPSTREAM_S
         return HANDOVER_S
 
-    def _is_cut_off(self, target: targets.Target, now: float) -> bool:
+    def _is_partitioned(self, target: targets.Target, now: float) -> bool:
         """Whether no reports arrive from a target's failure domain.
 
         If so, it isn't retried: each attempt would block the caller until the
--- a/src/swiftstile/gateway/settle.py
+++ b/src/swiftstile/gateway/settle.py
@@ -32,21 +32,23 @@
             is overwritten. It can no longer take effect.
         PlatformUnavailableError: The write had no effect and never will.
     """
-    may_be_done = False
+    may_have_taken_effect = False
     while True:
         try:
             return await table.write(conditions, [write])
         except errors.OutcomeUnknownError:
-            may_be_done = True
+            may_have_taken_effect = True
         except errors.ConflictError:
-            return await _find(table, write)
+            return await _find_own_write(table, write)
         except errors.PlatformUnavailableError:
-            if not may_be_done:
+            if not may_have_taken_effect:
                 raise
         await asyncio.sleep(RETRY_PAUSE_S)
 
 
-async def _find(table: interfaces.StateTable, write: interfaces.Write) -> int:
+async def _find_own_write(
+    table: interfaces.StateTable, write: interfaces.Write
+) -> int:
     while True:
         try:
             snapshot = await table.read_all()
--- a/src/swiftstile/gateway/sharing.py
+++ b/src/swiftstile/gateway/sharing.py
@@ -92,14 +92,14 @@
         self, owner: model.UpstreamId, view: ClusterView
     ) -> bool:
         me, domain = self._me, view.domain_by_owner[owner]
-        near = _reaching(view.authorised_by_domain.get(domain, ()), owner)
-        if domain != me.domain and near:
+        local = _reaching(view.authorised_by_domain.get(domain, ()), owner)
+        if domain != me.domain and local:
             # One of those is responsible for it.
             return False
         reaches_it = owner not in view.unreachable
         if domain == me.domain and reaches_it:
-            return _is_first(me, near, owner)
-        if near:
+            return _is_first(me, local, owner)
+        if local:
             return False
         return self._is_fallback(owner, domain, view, reaches_it)
 
@@ -115,10 +115,10 @@
         if domain in view.reported_domains:
             # Its own domain is responsible for it and sends no reports here.
             return False
-        near = view.authorised_by_domain.get(domain, [])
-        if domain == me.domain and len(near) >= SINGLE_RETRY_VMS:
+        local = view.authorised_by_domain.get(domain, [])
+        if domain == me.domain and len(local) >= SINGLE_RETRY_VMS:
             # No VM of its domain reaches it. Only one of them keeps trying.
-            return _is_first(me, [vm.row for vm in near], owner)
+            return _is_first(me, [vm.row for vm in local], owner)
         reaching = [
             row
             for vms in view.authorised_by_domain.values()
@@ -150,8 +150,8 @@
     authorised: dict[ids.FailureDomain, list[AuthorisedVm]] = {}
     for peer in peers.heard(now):
         report = peer.report
-        is_able = report.is_able or peer.heard_at < propagated_at
-        if is_able and not report.is_leaving:
+        is_authorised = report.is_able or peer.heard_at < propagated_at
+        if is_authorised and not report.is_leaving:
             entry = AuthorisedVm(peer.row, tuple(report.unreachable))
             authorised.setdefault(peer.row.domain, []).append(entry)
     return authorised
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -160,13 +160,15 @@
         Empty until the next round of rebalancing is due. A slot that has just
         become hot triggers one at once, as hotspots last only seconds.
         """
-        left, hot = self._weights_beside_hot(current, weights, now)
+        remaining, hot = self._weights_beside_hot(current, weights, now)
         is_due = now - self._rebalanced_at >= REBALANCE_INTERVAL_S
         if not weights or not (is_due or hot - self._rebalanced_for):
             return []
         self._rebalanced_at, self._rebalanced_for = now, hot
         width = self._block_width(len(current.slots), weights)
-        return keyplan.surplus(current, left, MAX_REBALANCED_SLOTS, hot, width)
+        return keyplan.surplus(
+            current, remaining, MAX_REBALANCED_SLOTS, hot, width
+        )
 
     def destinations(
         self,
@@ -176,9 +178,9 @@
         now: float,
     ) -> dict[int, model.UpstreamId]:
         """Returns a new owner for each slot that moves."""
-        left, _ = self._weights_beside_hot(current, weights, now)
+        remaining, _ = self._weights_beside_hot(current, weights, now)
         width = self._block_width(len(current.slots), weights)
-        placed = keyplan.destinations(current, moving, left, width)
+        placed = keyplan.destinations(current, moving, remaining, width)
         for index in moving:
             destination = self._hot_destinations.pop(index, None)
             if destination in weights:
@@ -208,19 +210,21 @@
         A key with more load than its owner can handle leaves no capacity for
         the other keys of that owner, which are better served elsewhere.
         """
-        left, hot = dict(weights), set()
+        remaining, hot = dict(weights), set()
         busy = self._busy_slots(current, self._capacities(weights), now)
         for slot, share in busy.items():
-            least = hotplan.HOT_SHARE
+            threshold = hotplan.HOT_SHARE
             if slot in self._rebalanced_for:
                 # Hysteresis, so that noise doesn't move keys back and forth.
-                least = hotplan.BUSY_SHARE
+                threshold = hotplan.BUSY_SHARE
             owner = current.slots[slot].owner
-            if share >= least and slot not in current.leaving:
+            if share >= threshold and slot not in current.leaving:
                 hot.add(slot)
-                kept = MIN_SHARE_BESIDE_HOT * weights[owner]
-                left[owner] = max(kept, left[owner] - share * weights[owner])
-        return left, frozenset(hot)
+                minimum = MIN_SHARE_BESIDE_HOT * weights[owner]
+                remaining[owner] = max(
+                    minimum, remaining[owner] - share * weights[owner]
+                )
+        return remaining, frozenset(hot)
 
     def _busy_slots(
         self, current: keymap.KeyMap, capacity: Weights, now: float
--- a/tests/assigner_parts.py
+++ b/tests/assigner_parts.py
@@ -49,7 +49,7 @@
         if self.during is not None:
             self.during()
         if self.is_unresponsive:
-            raise errors.PeerTimeoutError("silent", step="grant")
+            raise errors.PeerTimeoutError("timed out", step="grant")
         return interfaces.GrantResult.HELD
 
     async def release(self, address, upstream, keys, fence):
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -44,7 +44,7 @@
     hasn't learned yet that the upstream is leaving.
 
     Attributes:
-        asked: Requests that the arbiter received.
+        requested: Requests that the arbiter received.
     """
 
     def __init__(self):
@@ -56,7 +56,7 @@
         row = builders.node_row("vm-9", domain=builders.AWAY)
         peer = builders.peer(row, builders.report(row), clocks.monotonic() + 60)
         parts.peers.by_node[row.node] = peer
-        self.asked: list[permit_messages.Ask] = []
+        self.requested: list[permit_messages.Ask] = []
         self._peers = parts.peers
         self._peers.send_permit = self._permit
         gate = gate_lib.Gate(
@@ -101,7 +101,7 @@
         message = msgspec.msgpack.decode(data, type=permit_messages.Message)
         if not isinstance(message, permit_messages.Ask):
             return
-        self.asked.append(message)
+        self.requested.append(message)
         decided = permit_messages.Decided(
             message.number, permit_messages.Verdict.GRANTED
         )
@@ -123,7 +123,7 @@
         vm = _Vm()
         vm.learn_leaving(since_s=1.0)
         assert (await _acquire(vm)).id == "u-1"
-        assert len(vm.asked) == 1
+        assert len(vm.requested) == 1
 
     asyncio.run(scenario())
 
@@ -137,7 +137,7 @@
         vm.learn_leaving(since_s=_DRAIN_S - 0.1)
         with pytest.raises(outcomes.RefusedError):
             await _acquire(vm)
-        assert not vm.asked
+        assert not vm.requested
 
     asyncio.run(scenario())
 
@@ -165,7 +165,7 @@
         took_s, rows = self.answers.pop(0)
         self._clock.now += took_s
         if rows is None:
-            raise errors.PlatformUnavailableError("silent", step="read")
+            raise errors.PlatformUnavailableError("timed out", step="read")
         return rows
 
     async def read_all(self):
--- a/tests/unit/test_gateway_exclusivity_concurrency.py
+++ b/tests/unit/test_gateway_exclusivity_concurrency.py
@@ -142,7 +142,7 @@
                     arrived,
                 )
             await asyncio.sleep(_GRANT_TIMEOUT_S)
-            raise errors.PeerTimeoutError("silent", step="grant")
+            raise errors.PeerTimeoutError("timed out", step="grant")
         is_held = world.grant(upstream, slots, fence, hold_s, arrived)
         await asyncio.sleep(self._draw(0.001, 0.02))
         if is_held:
@@ -153,7 +153,7 @@
         await asyncio.sleep(self._draw(0, self.open_s))
         if self._is_unanswered():
             await asyncio.sleep(_RELEASE_TIMEOUT_S)
-            raise errors.PeerTimeoutError("silent", step="release")
+            raise errors.PeerTimeoutError("timed out", step="release")
         for slot in _slots_of(keys):
             self._world.until[upstream, slot] = 0.0
         # The release is answered when the running work has ended.
@@ -253,11 +253,15 @@
 
     def _grant_all(self) -> None:
         """Records earlier grants; if unanswered, the owner is fenced."""
-        book = self._parts.renewer.holds(builders.LOOKUPS, _SLOTS)
+        hold_table = self._parts.renewer.holds(builders.LOOKUPS, _SLOTS)
         every = range(_SLOTS)
         is_unanswered = self._draw.random() < self._unanswered_share
-        book.note_sent(every)
-        end = book.note_unanswered if is_unanswered else book.note_answered
+        hold_table.note_sent(every)
+        end = (
+            hold_table.note_unanswered
+            if is_unanswered
+            else hold_table.note_answered
+        )
         granted_at = self._clock.now - self._draw.uniform(0, renewals.HOLD_S)
         end(every, granted_at, renewals.HOLD_S)
         for slot in every:
@@ -378,7 +382,7 @@
             checked[0] = None
             return checked[1]
         steps = original(self, current, weights, now)
-        checked[:] = (current, steps) if steps.is_any else (None, None)
+        checked[:] = (current, steps) if steps.has_any else (None, None)
         return steps
 
     monkeypatch.setattr(key_assigner.KeyAssigner, "_next_steps", only_the_first)
--- a/tests/unit/test_gateway_key_assigner.py
+++ b/tests/unit/test_gateway_key_assigner.py
@@ -26,9 +26,9 @@
 def test_a_fencing_grant_in_flight_prevents_reassignment():
     parts = assigner_parts.Parts()
     current = parts.start()
-    book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+    hold_table = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     seen = []
-    parts.control.during = lambda: seen.append(book.held_for_s([0], 1e12))
+    parts.control.during = lambda: seen.append(hold_table.held_for_s([0], 1e12))
     parts.release(current)
     assert seen[0] == float("inf")
     assert len(parts.control.releases) == 2
@@ -39,10 +39,10 @@
     current = parts.start()
     parts.control.is_unresponsive = True
     source = parts.release(current)
-    book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+    hold_table = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     now = key_assigner.clocks.monotonic()
     assert source.tokens == {}
-    assert 0 < book.held_for_s([0], now) < renewals.HOLD_S
+    assert 0 < hold_table.held_for_s([0], now) < renewals.HOLD_S
 
 
 def test_fencing_an_unresponsive_owner_lets_its_holds_expire(monkeypatch):
@@ -56,7 +56,7 @@
     source = reclaim.Source(current.version, clock[0])
     source.is_fenced = True
     target = parts.book.by_id["u-1"]
-    book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+    hold_table = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     free_at = None
     while clock[0] < 1010.0 and free_at is None:
         if source.may_release(clock[0]):
@@ -66,7 +66,7 @@
                 )
             )
         clock[0] += 0.1
-        if book.held_for_s([0, 1], clock[0]) == 0.0:
+        if hold_table.held_for_s([0, 1], clock[0]) == 0.0:
             free_at = clock[0]
     assert free_at is not None
 
@@ -130,8 +130,10 @@
         fence = parts.maps.by_service[builders.LOOKUPS].next_fence
         # One grant for both slots, as they were released together.
         assert set(parts.control.kept) == {("u-1", 0, fence, "warm")}
-        book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
-        assert book.held_for_s([0, 1], key_assigner.clocks.monotonic()) > 0
+        hold_table = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+        assert (
+            hold_table.held_for_s([0, 1], key_assigner.clocks.monotonic()) > 0
+        )
         # After the outage the slots are reclaimed again, then reassigned.
         parts.control.release = original
         parts.table.refuse = 0
@@ -163,13 +165,15 @@
     # had expired.
     parts = assigner_parts.Parts()
     parts.start(leaving=())
-    book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+    hold_table = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     seen = []
-    parts.control.before_send = lambda: seen.append(book.held_for_s([0], 0.0))
+    parts.control.before_send = lambda: seen.append(
+        hold_table.held_for_s([0], 0.0)
+    )
     parts.control.is_unreachable = True
     asyncio.run(parts.renewer._renew_due(builders.LOOKUPS, "u-1"))
     assert seen and set(seen) == {0.0}
-    assert book.held_for_s([0], 0.0) == 0.0
+    assert hold_table.held_for_s([0], 0.0) == 0.0
 
 
 def test_a_slot_marked_while_a_connection_opens_is_not_granted():
@@ -239,12 +243,12 @@
     parts = assigner_parts.Parts()
     current = parts.start(leaving=(0,))
     clock[0] = 120.0
-    made = assigner_parts.Parts()
-    made.maps.put(builders.LOOKUPS, current, 120.0)
-    book = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
+    later = assigner_parts.Parts()
+    later.maps.put(builders.LOOKUPS, current, 120.0)
+    hold_table = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     # Created when the process started at 100; leader since 120.
-    assert parts.assigner._own_hold(book, [0], 120.0).held_s == 0.0
-    assert made.assigner._own_hold(book, [0], 120.0).held_s > 5.0
+    assert parts.assigner._own_hold(hold_table, [0], 120.0).held_s == 0.0
+    assert later.assigner._own_hold(hold_table, [0], 120.0).held_s > 5.0
 
 
 def test_slots_that_become_hot_in_turn_get_different_owners(monkeypatch):
--- a/tests/unit/test_gateway_keys.py
+++ b/tests/unit/test_gateway_keys.py
@@ -36,7 +36,7 @@
 
 _STEPS = strategies.lists(
     strategies.tuples(
-        strategies.sampled_from(["give", "mark", "raise", "forget"]),
+        strategies.sampled_from(["assign", "mark", "raise", "forget"]),
         strategies.sets(strategies.integers(0, 299), max_size=20),
         strategies.sampled_from(["u-1", "u-2", "u-3", "u-4"]),
     ),
@@ -49,7 +49,7 @@
     written = _assigned(count=300)
     followed = None
     for version, (kind, slots, owner) in enumerate(steps, start=1):
-        if kind == "give":
+        if kind == "assign":
             tokens = dict.fromkeys(list(slots)[::2], f"t{version}")
             written = written.assign(tokens, dict.fromkeys(slots, owner))
         elif kind == "mark":
@@ -121,8 +121,8 @@
 def test_slots_of_a_crashed_owner_are_spread():
     key_map = _assigned(count=240)
     left = {"u-1": 3.0, "u-2": 3.0}
-    lost = key_map.slots_by_owner["u-3"]
-    placed = keyplan.destinations(key_map, lost, left)
+    orphaned = key_map.slots_by_owner["u-3"]
+    placed = keyplan.destinations(key_map, orphaned, left)
     counts = collections.Counter(placed.values())
     assert abs(counts["u-1"] - counts["u-2"]) <= 2
 
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -153,9 +153,8 @@
     _off(
         "keys beside a hot slot move away",
         "slotplan",
-        "                left[owner] = max(kept, left[owner] - share *"
-        " weights[owner])",
-        "                left[owner] = max(kept, left[owner])",
+        "minimum, remaining[owner] - share * weights[owner]",
+        "minimum, remaining[owner]",
     ),
     _off(
         "one slow owner of many is relieved",
