--- a/src/swiftstile/gateway/key_assigner.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -135,7 +135,7 @@
         self._store_answered_at = 0.0
         self._store_failed_at = 0.0
         self._unknown_since: dict[model.UpstreamId, float] = {}
-        # Version of the leader's row under which `_sources` were made.
+        # Version of the leader's row under which `_sources` were created.
         self._leader_version = interfaces.NEW_ROW
 
     def forget(self) -> None:
@@ -355,7 +355,7 @@
     async def _adopt_moves(
         self, current, owners: set[model.UpstreamId]
     ) -> None:
-        """Takes over moves that a former leader began.
+        """Takes over moves that a former leader started.
 
         The former leader may still send fencing grants; their fence must be
         older than that of this VM's grants.
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -67,7 +67,7 @@
     """The key maps in force, by service.
 
     Attributes:
-        by_service: Maps as this VM knows them.
+        by_service: The latest known maps.
         marks_by_service: Slots that are leaving, by service and slot.
         changed_at: When a slot's owner last changed, by service and slot.
         changed: Wakes tasks that wait for a newer map.
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -51,9 +51,10 @@
     Args:
         service: The service.
         book: The upstreams.
-        speed_book: How fast they are.
+        speed_book: Their measured speeds.
         key_load_table: Request rates of busy slots.
-        work_s: Returns the mean work of a service's requests, once measured.
+        work_s: Returns the mean processing time of a service's requests, once
+            it has been measured.
         now: The time, on the monotonic clock.
         limits: Which upstreams are cold, so that few requests may be sent to
             them.
