--- a/tests/assigner_parts.py
+++ b/tests/assigner_parts.py
@@ -83,7 +83,7 @@
         self.book = builders.book(
             builders.upstream("u-1"), builders.upstream("u-2")
         )
-        self.leads = types.SimpleNamespace(
+        self.leader_state = types.SimpleNamespace(
             is_leader=True,
             condition=lambda: interfaces.Condition("leader", 0),
             version=1,
@@ -127,8 +127,8 @@
             self.plan,
             peers,
             self.renewer,
-            self.leads,
-            succession.Succession(self.leads, self.maps),
+            self.leader_state,
+            succession.Succession(self.leader_state, self.maps),
             self.table,
             follower,
             self.control,
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -64,7 +64,7 @@
         self.leader = reports.Peer(leader_row, clock.now)
         peers = gossip.Peers(self.row, lambda *_: None)
         peers.by_node["vm-1"] = self.leader
-        leads = types.SimpleNamespace(
+        leader_state = types.SimpleNamespace(
             is_leader=False,
             version=5,
             row=leadership.LeaderRow("vm-1", leader_row.incarnation, ""),
@@ -72,7 +72,7 @@
         maps = renewals.KeyMaps()
         self._maps = maps
         self.authority = authority.PeerAuthority(
-            peers, leads, maps, lambda: True, lambda: clock.now
+            peers, leader_state, maps, lambda: True, lambda: clock.now
         )
         self.learn(1)
 
@@ -410,10 +410,14 @@
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: clock.now)
     me = builders.node_row("vm-1", run="leaderrr")
     peers = gossip.Peers(me, lambda *_: None)
-    leads = types.SimpleNamespace(is_leader=True, version=5, row=None)
+    leader_state = types.SimpleNamespace(is_leader=True, version=5, row=None)
     contact = {"at": clock.now}
     peer_authority = authority.PeerAuthority(
-        peers, leads, renewals.KeyMaps(), lambda: True, lambda: contact["at"]
+        peers,
+        leader_state,
+        renewals.KeyMaps(),
+        lambda: True,
+        lambda: contact["at"],
     )
     for name in ("vm-2", "vm-3", "vm-4"):
         row = builders.node_row(name)
--- a/tests/unit/test_gateway_exclusivity_concurrency.py
+++ b/tests/unit/test_gateway_exclusivity_concurrency.py
@@ -246,7 +246,7 @@
             parts.assigner._follower.failing_since = (
                 store.outage[0] if store.is_unavailable() else None
             )
-            if parts.leads.is_leader:
+            if parts.leader_state.is_leader:
                 await parts.assigner.tick()
             else:
                 parts.assigner.forget()
@@ -305,7 +305,7 @@
         table.apply([], [interfaces.Write(_KEY, adopted.encode("another"))])
 
     def _learn_of_new_leader(self) -> None:
-        self._parts.leads.is_leader = False
+        self._parts.leader_state.is_leader = False
 
 
 class _Remarked(_Model):
--- a/tests/unit/test_gateway_reassignment.py
+++ b/tests/unit/test_gateway_reassignment.py
@@ -211,7 +211,7 @@
         parts.assigner._store_answered_at = 0.0
 
         async def replace() -> None:
-            parts.leads.is_leader = False
+            parts.leader_state.is_leader = False
 
         table.during_probe = replace
         await parts.assigner.tick()
@@ -230,7 +230,7 @@
         source = parts.assigner._sources["u-1"]
         source.is_fenced = True
         source.tokens = dict.fromkeys(_SLOTS, "warm")
-        parts.leads.version += 2
+        parts.leader_state.version += 2
         before = parts.maps.by_service[builders.LOOKUPS]
         await parts.assigner.tick()
         after = parts.maps.by_service[builders.LOOKUPS]
