--- /dev/null
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -0,0 +1,547 @@
+"""Assigns the keys of a service to upstreams while this VM is the leader.
+
+Covers the initial assignment, rebalancing, and the keys of owners that crashed,
+restarted or are leaving.
+"""
+
+import asyncio
+import enum
+import typing
+
+from swiftstile import clocks
+from swiftstile import errors
+from swiftstile import ids
+from swiftstile import logs
+from swiftstile import metrics
+from swiftstile.gateway import authority
+from swiftstile.gateway import follow
+from swiftstile.gateway import gossip
+from swiftstile.gateway import holds
+from swiftstile.gateway import interfaces
+from swiftstile.gateway import keymap
+from swiftstile.gateway import leadership
+from swiftstile.gateway import model
+from swiftstile.gateway import moves
+from swiftstile.gateway import reclaim
+from swiftstile.gateway import renewals
+from swiftstile.gateway import reports
+from swiftstile.gateway import settle
+from swiftstile.gateway import slotplan
+from swiftstile.gateway import succession
+from swiftstile.gateway import targets
+
+__all__ = ["MAP_PREFIX", "KeyAssigner"]
+
+MAP_PREFIX = "keys/"
+# An owner that hasn't registered since this VM started counts as having left
+# after this time.
+UNKNOWN_OWNER_S = 3.0
+# Time to wait for the reports of all VMs that they stopped renewing; after it
+# the owner is fenced. Long enough for a few reports between failure domains.
+STOP_WAIT_S = 0.3
+# The store must have answered within this time before slots are released and
+# before their next owner is written: an outage in between would leave them
+# without an owner.
+STORE_FRESH_S = 0.05
+# Timeout of that probe; a slow store answers in 0.25 s.
+STORE_PROBE_S = 0.5
+# Delay before the next probe after a failed one, as each call has a cost.
+STORE_RETRY_S = 0.3
+# Each write of a map is sent to all VMs. In fleets larger than this, moves are
+# delayed so that several share a write: with 77 VMs slots are marked every
+# 0.46 s and assigned every 0.17 s, instead of up to 30 writes/s in total.
+UNTHROTTLED_VMS = 20
+MARK_INTERVAL_PER_VM_S = 0.008
+ASSIGN_INTERVAL_PER_VM_S = 0.003
+
+
+class _MoveState(enum.Enum):
+    """Progress of the slots that are leaving one owner."""
+
+    WAITING = "waiting"
+    RELEASE = "release"
+    # Older grants may still arrive at the owner.
+    FENCE_AND_RELEASE = "fence-and-release"
+    CLEAR = "clear"
+
+
+class _NextSteps(typing.NamedTuple):
+    """The next steps for slots that are leaving.
+
+    Attributes:
+        cleared: Slots that may be assigned to others, by the owner that they
+            leave.
+        releases: Owners that should release their slots, and whether older
+            grants may still arrive there.
+    """
+
+    cleared: dict[model.UpstreamId, list[int]]
+    releases: list[tuple[model.UpstreamId, bool]]
+
+    @property
+    def has_any(self) -> bool:
+        """Whether there is any step to take."""
+        return bool(self.cleared or self.releases)
+
+
+class KeyAssigner:
+    """Maintains the key map of one service while this VM is the leader."""
+
+    def __init__(
+        self,
+        service: ids.ServiceName,
+        maps: renewals.KeyMaps,
+        book: targets.TargetBook,
+        plan: slotplan.SlotPlan,
+        peers: gossip.Peers,
+        renewer: renewals.GrantRenewer,
+        leader_state: leadership.Leadership,
+        successor: succession.Succession,
+        table: interfaces.StateTable,
+        follower: follow.TableFollower,
+        control: interfaces.UpstreamControl,
+        peer_authority: authority.PeerAuthority,
+        row_bytes: int,
+        started: float,
+        meters: metrics.Meters,
+    ):
+        self._service = service
+        self._maps = maps
+        self._book = book
+        self._plan = plan
+        self._marked_at = 0.0
+        self._assigned_at = 0.0
+        self._peers = peers
+        self._renewer = renewer
+        self._leader_state = leader_state
+        self._succession = successor
+        self._table = table
+        self._follower = follower
+        self._authority = peer_authority
+        self._row_bytes = row_bytes
+        self._meters = meters
+        self._started = started
+        self._sources: dict[model.UpstreamId, reclaim.Source] = {}
+        self._reclaimer = reclaim.Reclaimer(
+            service,
+            maps,
+            book,
+            renewer,
+            leader_state,
+            control,
+            peer_authority,
+            meters,
+        )
+        self._store_answered_at = 0.0
+        self._store_failed_at = 0.0
+        self._unknown_since: dict[model.UpstreamId, float] = {}
+        # Version of the leader's row under which `_sources` were created.
+        self._leader_version = interfaces.NEW_ROW
+
+    def forget(self) -> None:
+        """Cancels all releases and drops the state that only a leader needs."""
+        for source in self._sources.values():
+            source.cancel()
+        self._sources.clear()
+
+    async def tick(self) -> None:
+        """Determines what has to be done and takes the next step."""
+        if self._leader_version != self._leader_state.version:
+            # A tick lasts as long as its writes. Another VM may have led since
+            # the last one, and may have let owners keep using their slots.
+            self.forget()
+            self._leader_version = self._leader_state.version
+        now = clocks.monotonic()
+        if self._follower.failing_since is not None:
+            await self._keep_at_owners()
+            return
+        current = self._maps.by_service.get(self._service)
+        owners = () if current is None else current.slots_by_owner
+        weights = self._plan.weights(now, owners)
+        if current is None:
+            await self._assign_all(weights, now)
+            return
+        if await self._reassign_to_restarted(current):
+            return
+        await self._mark(current, weights, now)
+        current = self._maps.by_service[self._service]
+        await self._advance_moves(current, weights, now)
+
+    async def _assign_all(self, weights, now: float) -> None:
+        assigned = self._plan.initial_assignment(weights, now)
+        if not assigned:
+            return
+        empty = keymap.KeyMap.empty(len(assigned))
+        started_ms = self._started_ms(set(assigned))
+        first = empty.assign({}, dict(enumerate(assigned)), started_ms)
+        await self._write(first, "first deal")
+
+    async def _reassign_to_restarted(self, current) -> bool:
+        """Assigns the slots of restarted owners to them again.
+
+        A restarted owner holds nothing, but grants from before the restart may
+        have arrived or may still arrive, so what it holds is known only under a
+        newer fence. It keeps its slots, as any other upstream would have to
+        wait until all grants under the old fence have expired.
+        """
+        restarted = self._restarted_owners(current)
+        if not restarted:
+            return False
+        owners = {
+            index: owner
+            for owner in restarted
+            for index in current.slots_by_owner[owner]
+            if index not in current.leaving
+        }
+        reassigned = current.assign({}, owners, self._started_ms(restarted))
+        if await self._write(reassigned, "owner started again"):
+            self._meters.ownership.add("started-again", len(restarted))
+        return True
+
+    def _restarted_owners(self, current) -> list[model.UpstreamId]:
+        """Returns owners that restarted since their slots were assigned."""
+        return [
+            owner
+            for owner in current.slots_by_owner
+            if owner in self._book.by_id
+            and self._book.by_id[owner].upstream.is_life_after(
+                current.started_ms.get(owner, 0)
+            )
+        ]
+
+    def _started_ms(self, owners) -> dict[model.UpstreamId, int]:
+        """Returns the start times of upstreams, where they are known."""
+        return {
+            owner: self._book.by_id[owner].upstream.started_ms
+            for owner in owners
+            if owner in self._book.by_id
+        }
+
+    async def _mark(self, current, weights, now: float) -> None:
+        orphaned = [
+            index
+            for owner, slots in current.slots_by_owner.items()
+            if owner not in weights and self._has_left(owner, now)
+            for index in slots
+            if index not in current.leaving
+        ]
+        moving, reason = orphaned, "owner lost"
+        if not moving and now - self._marked_at < self._write_interval_s(
+            MARK_INTERVAL_PER_VM_S
+        ):
+            return
+        if not moving:
+            moving = self._plan.hot_slots_to_move(current, weights, now)
+            reason = "hot slots"
+        if not moving:
+            moving = self._plan.surplus_slots_to_move(current, weights, now)
+            reason = "evening out"
+        if not moving:
+            return
+        owners = {current.slots[index].owner for index in moving}
+        marked = current.mark_leaving(moving)
+        if owners & set(self._sources):
+            # Commands of the release that this one replaces may still arrive;
+            # their fence must be older than that of the next release.
+            marked = marked.with_newer_fence()
+        if await self._write(marked, reason):
+            written_at = self._marked_at = clocks.monotonic()
+            version = self._maps.by_service[self._service].version
+            for owner in owners:
+                self._replace_source(owner, reclaim.Source(version, written_at))
+
+    def _replace_source(
+        self, owner: model.UpstreamId, source: reclaim.Source
+    ) -> None:
+        """Restarts the move of an owner; only one release may send commands."""
+        if owner in self._sources:
+            self._sources[owner].cancel()
+        self._sources[owner] = source
+
+    def _write_interval_s(self, per_vm_s: float) -> float:
+        """Returns the minimum time between two writes of a map.
+
+        It grows with the number of VMs that read the map.
+        """
+        return per_vm_s * max(0, len(self._peers.by_node) - UNTHROTTLED_VMS)
+
+    def _has_left(self, owner: model.UpstreamId, now: float) -> bool:
+        target = self._book.by_id.get(owner)
+        if target is not None:
+            self._unknown_since.pop(owner, None)
+            return target.leaving_since is not None
+        since = self._unknown_since.setdefault(owner, now)
+        return now - since > UNKNOWN_OWNER_S
+
+    async def _advance_moves(self, current, weights, now: float) -> None:
+        slots_by_source = current.leaving_by_owner()
+        for owner in [
+            name for name in self._sources if name not in slots_by_source
+        ]:
+            del self._sources[owner]
+        if set(slots_by_source) - set(self._sources):
+            await self._adopt_moves(current, set(slots_by_source))
+            return
+        if not self._next_steps(current, weights, now).has_any:
+            return
+        if not await self._store_answers():
+            await self._keep_at_owners()
+            return
+        # Releases continued during the probe and may have granted slots whose
+        # holds had expired, so the holds are checked once more.
+        now = clocks.monotonic()
+        steps = self._next_steps(current, weights, now)
+        for owner, fences in steps.releases:
+            self._reclaimer.start(
+                current,
+                owner,
+                self._sources[owner],
+                self._plan.move_ranges(current, slots_by_source[owner]),
+                fences,
+            )
+        if steps.cleared:
+            moving = [i for slots in steps.cleared.values() for i in slots]
+            tokens: dict[int, str] = {}
+            for owner in steps.cleared:
+                tokens |= self._sources[owner].tokens
+            placed = self._plan.destinations(current, moving, weights, now)
+            await self._assign(current, placed, tokens)
+
+    def _next_steps(self, current, weights, now: float) -> "_NextSteps":
+        """Returns the next steps for the slots that are leaving."""
+        steps = _NextSteps({}, [])
+        is_throttled = now - self._assigned_at < self._write_interval_s(
+            ASSIGN_INTERVAL_PER_VM_S
+        )
+        for owner, slots in current.leaving_by_owner().items():
+            source = self._sources.get(owner)
+            if source is None:
+                # Sources were dropped meanwhile: this VM is shutting down.
+                continue
+            state = self._state_of(current, owner, source, slots, now)
+            if state is _MoveState.CLEAR:
+                if weights and not is_throttled:
+                    steps.cleared[owner] = slots
+            elif state is not _MoveState.WAITING and source.may_release(now):
+                fences = state is _MoveState.FENCE_AND_RELEASE
+                steps.releases.append((owner, fences))
+        return steps
+
+    async def _assign(self, current, placed, tokens) -> None:
+        """Assigns cleared slots to other owners.
+
+        Nothing may be granted to the owners that the slots leave between the
+        check of their holds and the outcome of the write. So there is no
+        `await` between that check and setting the flag that forbids grants.
+        """
+        started_ms = self._started_ms(set(placed.values()))
+        if self._restarted_owners(current):
+            # A fence belongs to one incarnation of an owner: the other slots
+            # of the restarted one have to be assigned again first.
+            return
+        leaves = {current.slots[index].owner for index in placed}
+        sources = [self._sources[name] for name in leaves & set(self._sources)]
+        for source in sources:
+            source.is_reassigning = True
+        if await self._write(
+            current.assign(tokens, placed, started_ms), "moved"
+        ):
+            self._assigned_at = clocks.monotonic()
+            self._meters.ownership.add("moved", len(placed))
+            return
+        for source in sources:
+            source.is_reassigning = False
+
+    async def _adopt_moves(
+        self, current, owners: set[model.UpstreamId]
+    ) -> None:
+        """Takes over moves that a former leader started.
+
+        The former leader may still send fencing grants; their fence must be
+        older than that of this VM's grants.
+        """
+        if not await self._write(
+            current.with_newer_fence(), "moves taken over"
+        ):
+            return
+        written_at = clocks.monotonic()
+        version = self._maps.by_service[self._service].version
+        self.forget()
+        slots = current.leaving_by_owner()
+        self._sources = {
+            owner: self._adopted_source(
+                slots.get(owner, []), version, written_at
+            )
+            for owner in owners
+        }
+
+    def _adopted_source(
+        self, slots, version: int, now: float
+    ) -> reclaim.Source:
+        """Returns the state of a move whose slots a former leader marked."""
+        marked = self._succession.marked_version(self._service, slots)
+        stopped_at = None
+        if marked is not None:
+            stopped_at = self._succession.stopped_at(self._service, marked)
+        if stopped_at is None:
+            return reclaim.Source(version, now)
+        former = (self._leader_state.former_leader, version)
+        return reclaim.Source(marked, now, stopped_at, former)
+
+    async def _store_answers(self) -> bool:
+        """Probes the store, unless it has just answered or failed."""
+        now = clocks.monotonic()
+        if now - self._store_answered_at < STORE_FRESH_S:
+            return True
+        if now - self._store_failed_at < STORE_RETRY_S:
+            return False
+        try:
+            async with asyncio.timeout(STORE_PROBE_S):
+                await self._table.probe(self._follower.version)
+        except (TimeoutError, errors.PlatformError) as error:
+            self._store_failed_at = clocks.monotonic()
+            logs.logger.info(
+                "moves wait for the store",
+                service=self._service,
+                error=repr(error),
+            )
+            return False
+        self._store_answered_at = clocks.monotonic()
+        return True
+
+    async def _keep_at_owners(self) -> None:
+        """Lets owners keep using slots that can't be moved for now."""
+        current = self._maps.by_service.get(self._service)
+        if current is None or not current.leaving:
+            return
+        slots_by_source = current.leaving_by_owner()
+        await asyncio.gather(
+            *(
+                self._reclaimer.keep(
+                    current,
+                    owner,
+                    source,
+                    self._plan.move_ranges(current, slots_by_source[owner]),
+                )
+                for owner, source in list(self._sources.items())
+                if owner in slots_by_source
+            )
+        )
+
+    def _state_of(
+        self, current, owner, source, slots, now: float
+    ) -> "_MoveState":
+        if owner is None or self._is_replaced(owner):
+            return _MoveState.CLEAR
+        hold_table = self._renewer.holds(self._service, len(current.slots))
+        known = moves.outstanding_grants(
+            self._service,
+            owner,
+            source.version,
+            self._own_hold(hold_table, slots, now),
+            list(self._peers.by_node.values()),
+            self._stopped_at(source),
+            hold_table.max_held_s,
+            now,
+            self._former_leader(source),
+            self._authority.quorum_since,
+        )
+        if known.all_stopped and known.held_s <= 0:
+            return _MoveState.CLEAR
+        is_certain = known.all_stopped and known.open_s <= 0
+        if set(slots) <= set(source.tokens):
+            is_fenced_off = source.is_fenced and now >= source.unanswered_until
+            return (
+                _MoveState.CLEAR
+                if is_fenced_off or is_certain
+                else _MoveState.WAITING
+            )
+        if is_certain:
+            return _MoveState.RELEASE
+        if now - source.marked_at > STOP_WAIT_S:
+            source.log_wait(known, owner, len(slots), now)
+            return _MoveState.FENCE_AND_RELEASE
+        return _MoveState.WAITING
+
+    def _own_hold(self, hold_table, slots, now: float) -> reports.Hold:
+        """Returns the holds from grants of this VM and its earlier runs."""
+        earlier_s = self._started + hold_table.max_held_s - now
+        return reports.Hold(
+            max(earlier_s, hold_table.held_for_s(slots, now)),
+            max(earlier_s, hold_table.unanswered_for_s(slots, now)),
+        )
+
+    def _stopped_at(self, source: reclaim.Source) -> float:
+        """Returns when VMs that send no reports have stopped renewing."""
+        if source.stopped_at is not None:
+            return source.stopped_at
+        since = self._authority.quorum_since
+        if since is None:
+            return float("inf")
+        return max(since, source.marked_at) + authority.STOPPED_AFTER_S
+
+    def _former_leader(self, source) -> moves.FormerLeader | None:
+        """Returns the former leader that marked the slots, if there is one."""
+        if source.former_leader is None:
+            return None
+        since = self._authority.quorum_since
+        stopped_at = float("inf")
+        if since is not None:
+            stopped_at = since + authority.LEADER_STOPPED_AFTER_S
+        return moves.FormerLeader(
+            *source.former_leader,
+            stopped_at,
+            holds.max_held_s(reclaim.KEEP_HOLD_S),
+        )
+
+    def _is_replaced(self, owner: model.UpstreamId) -> bool:
+        """Whether the owner has ended, as another runs at its address."""
+        target = self._book.by_id.get(owner)
+        return target is not None and target.is_replaced
+
+    async def _write(self, changed: keymap.KeyMap, reason: str) -> bool:
+        if not self._leader_state.is_leader:
+            # This VM was replaced while the tick waited. The condition would
+            # name the row of the new leader, and the write would succeed.
+            return False
+        key = MAP_PREFIX + self._service
+        value = changed.encode(ids.new_attempt_id())
+        if len(value) > self._row_bytes:
+            # Tokens only save the next owners a cold start, and take up most
+            # of the row.
+            logs.logger.warning(
+                "key map too large; writing it without hand-over tokens",
+                bytes=len(value),
+            )
+            changed = changed.without_tokens()
+            value = changed.encode(ids.new_attempt_id())
+        conditions = [
+            self._leader_state.condition(),
+            interfaces.Condition(key, changed.version),
+        ]
+        try:
+            version = await settle.settled_write(
+                self._table, conditions, interfaces.Write(key, value)
+            )
+        except errors.PlatformError as error:
+            logs.logger.info(
+                "key map not written", service=self._service, error=str(error)
+            )
+            if isinstance(error, errors.ConflictError):
+                # Another VM leads or led. It may have overwritten this write
+                # after it took effect, so no command may rely on the previous
+                # map: moves restart once a write confirms the map in force.
+                self.forget()
+            return False
+        changed.version = version
+        self._maps.put(self._service, changed, clocks.monotonic())
+        self._meters.ownership.add(reason.replace(" ", "-"))
+        logs.logger.info(
+            "key map written",
+            service=self._service,
+            reason=reason,
+            version=version,
+            leaving=len(changed.leaving),
+            fence=changed.next_fence - 1,
+        )
+        return True
--- a/src/swiftstile/gateway/keyplan.py
+++ b/src/swiftstile/gateway/keyplan.py
@@ -1,7 +1,7 @@
-"""Where ranges of keys should be: decisions without a network.
+"""Plans the assignment of key ranges to owners, without any I/O.
 
-Keys are assigned in blocks of neighbouring slots, so that one grant renews a
-whole block. A hot slot leaves its block alone; whole blocks even shares out.
+Keys are assigned in blocks of adjacent slots, so that one grant renews a whole
+block. A hot slot is moved on its own; rebalancing moves whole blocks.
 """
 
 import collections
@@ -10,39 +10,45 @@
 from swiftstile.gateway import keymap
 from swiftstile.gateway import model
 
-__all__ = ["block_width", "deal", "destinations", "pieces", "surplus"]
-
-# Blocks that an owner of mean capacity gets at least: with fewer its share
-# can't be met, and one hotspot takes too much of it.
-LEAST_PER_OWNER = 16
-
-# A target may own this part more than its share before slots are moved away:
-# moving costs its callers more than so small an imbalance.
-TOLERANCE = 0.15
-# An owner that has this much more than its share is relieved, though no other
-# falls short by much: one of twenty that turned slow, or that has a hot slot.
-# Speeds are known to a tenth or two.
-OVERLOAD = 0.4
-# In slots: how far behind its share an owner must be to get two in a row.
-NEIGHBOUR_COST = 0.25
-
-
-def block_width(count: int, owners: int, most_ranges: int) -> int:
+__all__ = [
+    "assign_blocks",
+    "block_width",
+    "destinations",
+    "move_ranges",
+    "surplus",
+]
+
+# Minimum number of blocks for an owner of mean capacity: with fewer its share
+# can't be matched, and one hotspot takes up too much of it.
+MIN_BLOCKS_PER_OWNER = 16
+
+# Owners may fall short of their share by this part before slots are moved to
+# them: moving costs the callers more than a smaller imbalance does.
+IMBALANCE_TOLERANCE = 0.15
+# An owner that exceeds its share by more than this part is relieved even if no
+# other falls short by much: one of twenty that became slow or has a hot slot.
+# Measured speeds are accurate to 10% or 20%.
+OVERLOAD_TOLERANCE = 0.4
+# In blocks: how far behind its share an owner must be to get two in a row.
+ADJACENCY_PENALTY = 0.25
+
+
+def block_width(count: int, owners: int, max_ranges: int) -> int:
     """Returns the width of a block, in slots.
 
     Args:
         count: Slots of the service.
-        owners: Upstreams that share them.
-        most_ranges: Ranges that the fleet can afford to renew.
+        owners: Number of upstreams that own them.
+        max_ranges: Ranges that the fleet can afford to renew.
     """
-    ranges = max(LEAST_PER_OWNER * max(1, owners), most_ranges)
+    ranges = max(MIN_BLOCKS_PER_OWNER * max(1, owners), max_ranges)
     return max(1, round(count / ranges))
 
 
-def deal(
+def assign_blocks(
     count: int, weight_by_id: dict[model.UpstreamId, float], width: int = 1
 ) -> list[model.UpstreamId]:
-    """Assigns blocks of slots, each owner's as far apart as possible.
+    """Assigns blocks of slots, those of each owner as far apart as possible.
 
     Args:
         count: Number of slots.
@@ -54,35 +60,36 @@
     """
     total = sum(weight_by_id.values())
     credit = dict.fromkeys(sorted(weight_by_id), 0.0)
-    dealt: list[model.UpstreamId] = []
-    while len(dealt) < count:
+    assigned: list[model.UpstreamId] = []
+    while len(assigned) < count:
         for owner in credit:
             credit[owner] += weight_by_id[owner] / total
-        last = dealt[-1] if dealt else None
+        last = assigned[-1] if assigned else None
         best = max(
             credit,
-            key=lambda owner: credit[owner] - NEIGHBOUR_COST * (owner == last),
+            key=lambda owner: credit[owner]
+            - ADJACENCY_PENALTY * (owner == last),
         )
         credit[best] -= 1.0
-        dealt += [best] * min(width, count - len(dealt))
-    return dealt
+        assigned += [best] * min(width, count - len(assigned))
+    return assigned
 
 
-def pieces(
+def move_ranges(
     current: keymap.KeyMap,
     slots: collections.abc.Iterable[int],
     width: int = 1,
-    apart: collections.abc.Container[int] = (),
+    separate: collections.abc.Container[int] = (),
 ) -> list[range]:
-    """Returns slots as ranges that are moved as one, in order.
+    """Groups slots into ranges that are moved as a whole, in order.
 
-    Neighbours that one owner got at the same time are one piece.
+    Adjacent slots that were assigned together are in one range.
 
     Args:
-        current: The map as it is.
+        current: The current map.
         slots: The slots.
-        width: Widest piece, in slots.
-        apart: Slots that are pieces of their own.
+        width: Maximum width of a range, in slots.
+        separate: Slots that form ranges of their own.
     """
     found: list[range] = []
     for index in sorted(slots):
@@ -91,9 +98,9 @@
             last is not None
             and last.stop == index
             and len(last) < width
-            and index not in apart
-            and last[-1] not in apart
-            and current.is_alike(last[-1], index)
+            and index not in separate
+            and last[-1] not in separate
+            and current.were_assigned_together(last[-1], index)
         )
         if is_next:
             found[-1] = range(last.start, index + 1)
@@ -112,19 +119,19 @@
 def surplus(
     current: keymap.KeyMap,
     weight_by_id: dict[model.UpstreamId, float],
-    most: int,
+    limit: int,
     pinned: frozenset[int] = frozenset(),
     width: int = 1,
 ) -> list[int]:
-    """Returns slots that should leave owners that have too many.
+    """Returns slots that should leave owners with more than their share.
 
-    Owners of which slots are leaving already keep the rest.
+    Owners with slots that are already leaving keep the rest.
 
     Args:
-        current: The map as it is.
+        current: The current map.
         weight_by_id: Share of each owner that stays.
-        most: Most slots to return.
-        pinned: Slots that stay where they are.
+        limit: Maximum number of slots.
+        pinned: Slots that stay with their owners.
         width: Slots of a block.
     """
     shares = _shares(len(current.slots), weight_by_id)
@@ -132,44 +139,46 @@
         owner: len(current.slots_by_owner.get(owner, ())) for owner in shares
     }
     missing = sum(
-        max(0.0, shares[owner] * (1 - TOLERANCE) - owned[owner])
+        max(0.0, shares[owner] * (1 - IMBALANCE_TOLERANCE) - owned[owner])
         for owner in shares
     )
-    beyond = sum(
-        max(0.0, owned[owner] - shares[owner] * (1 + OVERLOAD))
+    overload = sum(
+        max(0.0, owned[owner] - shares[owner] * (1 + OVERLOAD_TOLERANCE))
         for owner in shares
     )
-    if missing < 1 and beyond < 1:
+    if missing < 1 and overload < 1:
         return []
     busy = set(current.leaving_by_owner())
-    pieces_by_id = {
-        owner: _spread(pieces(current, set(slots) - pinned, width))
+    ranges_by_id = {
+        owner: _spread_out(move_ranges(current, set(slots) - pinned, width))
         for owner, slots in current.slots_by_owner.items()
         if owner in shares and owner not in busy
     }
-    left = sum(max(0.0, shares[owner] - owned[owner]) for owner in shares)
-    left = min(left, most)
+    remaining = sum(max(0.0, shares[owner] - owned[owner]) for owner in shares)
+    remaining = min(remaining, limit)
     chosen: list[int] = []
-    while pieces_by_id:
-        owner = max(pieces_by_id, key=lambda name: owned[name] - shares[name])
+    while ranges_by_id:
+        owner = max(ranges_by_id, key=lambda name: owned[name] - shares[name])
         extra = owned[owner] - shares[owner]
-        piece = pieces_by_id[owner].pop() if pieces_by_id[owner] else range(0)
-        if extra <= 0 or left < len(piece) / 2:
+        slot_range = (
+            ranges_by_id[owner].pop() if ranges_by_id[owner] else range(0)
+        )
+        if extra <= 0 or remaining < len(slot_range) / 2:
             break
-        if not piece:
-            # All else it has is pinned.
-            del pieces_by_id[owner]
+        if not slot_range:
+            # The remaining slots of this owner are pinned.
+            del ranges_by_id[owner]
             continue
-        chosen += piece
-        owned[owner] -= len(piece)
-        left -= len(piece)
+        chosen += slot_range
+        owned[owner] -= len(slot_range)
+        remaining -= len(slot_range)
     return chosen
 
 
-def _spread(in_order: list[range]) -> list[range]:
-    """Returns ranges in an order in which any last few lie far apart.
+def _spread_out(in_order: list[range]) -> list[range]:
+    """Orders ranges so that the last few are far apart, whatever their number.
 
-    Multiples of the golden ratio, modulo 1, are evenly spread at any count.
+    Multiples of the golden ratio, modulo 1, are evenly spread for any count.
     """
     golden = 0.618034
     by_place = {(i * golden) % 1.0: one for i, one in enumerate(in_order)}
@@ -182,13 +191,13 @@
     weight_by_id: dict[model.UpstreamId, float],
     width: int = 1,
 ) -> dict[int, model.UpstreamId]:
-    """Returns a new owner for each slot that moves; pieces stay together.
+    """Returns a new owner for each slot that moves; ranges stay together.
 
-    The owner that is furthest below its share comes first. One that owns a
-    neighbouring slot counts as if it had one such piece more.
+    The owner that is furthest below its share is preferred. One that owns an
+    adjacent slot counts as if it already owned the range.
 
     Args:
-        current: The map as it is.
+        current: The current map.
         moving: Slots that move.
         weight_by_id: Share of each owner that stays.
         width: Slots of a block.
@@ -205,19 +214,21 @@
         if owner in owned:
             owned[owner] -= 1
     placed: dict[int, model.UpstreamId] = {}
-    for piece in pieces(current, moving, width):
-        near = {
+    for slot_range in move_ranges(current, moving, width):
+        adjacent_owners = {
             placed.get(i, current.slots[i].owner)
-            for i in (piece.start - 1, piece.stop)
+            for i in (slot_range.start - 1, slot_range.stop)
             if 0 <= i < len(current.slots)
         }
-        half = len(piece) / 2
+        half = len(slot_range) / 2
         below = [name for name in shares if owned[name] < shares[name] - half]
         excess = {
-            name: owned[name] - shares[name] + len(piece) * (name in near)
+            name: owned[name]
+            - shares[name]
+            + len(slot_range) * (name in adjacent_owners)
             for name in below or shares
         }
         best = min(excess, key=excess.get)
-        placed |= dict.fromkeys(piece, best)
-        owned[best] += len(piece)
+        placed |= dict.fromkeys(slot_range, best)
+        owned[best] += len(slot_range)
     return placed
--- a/src/swiftstile/gateway/leadership.py
+++ b/src/swiftstile/gateway/leadership.py
@@ -1,9 +1,9 @@
-"""The one VM that plans who owns which keys, and how it is found.
+"""Elects the one VM that assigns keys to upstreams.
 
-Every write of a key map names the version of the leader's row in its
-conditions, so the writes of a former leader fail from the moment another took
-over. Leading needs no lease: what a leader may do without the store is
-nothing but asking upstreams to release keys that the store has marked.
+Every write of a key map has a condition on the version of the leader's row, so
+the writes of a former leader fail as soon as another VM has taken over. A
+leader needs no lease: the only thing that it may do without the store is to ask
+upstreams to release keys that are marked in the store.
 """
 
 import asyncio
@@ -25,38 +25,41 @@
 __all__ = ["LEADER_KEY", "LeaderRow", "Leadership"]
 
 LEADER_KEY = "leader"
-# A leader without the store for this long is replaced if others reach it.
-STORELESS_S = 1.5
-# After an outage of the store for this VM, too, the leader gets so long to
-# reach it again: twice the longest pause between its tries. Each change of the
-# leader makes moves wait for what the former one may have done.
-LEADER_RETURNS_S = 1.0
-# A leader whose failure domain is cut off isn't replaced by the smaller part,
-# unless it is silent for so long.
-LONG_SILENCE_S = 4.0
-# Between two tries to take over, so that VMs don't race again and again.
-TRY_PAUSE_S = 0.5
-# Each VM waits up to this long at random before it tries, for the same reason.
-SPREAD_S = 0.25
-# The same for each VM, where they are many. Word of a new leader takes some
-# 0.1 s to reach all; the first of them tries about this soon, however many.
-SPREAD_PER_VM_S = 0.01
-# VMs with narrow links wait so much longer than any other, until word of one of
-# these came. A leader tells all VMs, and its link must not fill.
-NARROW_PAUSE_S = 0.2
-# After the start, until reports of others came in.
-START_PAUSE_S = 0.4
+# A leader that hasn't reached the store for this long is replaced, if other VMs
+# reach it.
+STORE_OUTAGE_S = 1.5
+# Time for the leader to reach the store again after an outage that affected
+# this VM as well: twice the longest delay between its attempts. Each change of
+# the leader delays moves by the wait for the former one's actions.
+LEADER_RECONNECT_S = 1.0
+# A leader whose failure domain is partitioned isn't replaced by a minority of
+# the VMs, unless it has been unresponsive for this long.
+LEADER_TIMEOUT_S = 4.0
+# Interval between attempts to take over, so that VMs don't race repeatedly.
+RETRY_INTERVAL_S = 0.5
+# Maximum random delay of each attempt, for the same reason.
+JITTER_S = 0.25
+# Maximum random delay per VM in large fleets. The report of a new leader takes
+# about 0.1 s to reach all VMs; the first attempt is made after about this time,
+# whatever the number of VMs.
+JITTER_PER_VM_S = 0.01
+# Extra delay of VMs with slow links over the longest delay of all others, so
+# that they can receive the report of one of those first. A leader sends reports
+# to all VMs, which must not saturate its link.
+NARROW_LINK_DELAY_S = 0.2
+# Delay after the start, until reports of other VMs have arrived.
+STARTUP_DELAY_S = 0.4
 
 
 class LeaderRow(msgspec.Struct, array_like=True):
-    """Who leads.
+    """The row that names the leader.
 
     Attributes:
         node: The VM; empty after a leader stepped down.
-        incarnation: The run of it that leads.
-        attempt: Makes each writing of the row unique.
-        vacated: Version of the row that a leader replaced by this one when it
-            stepped down.
+        incarnation: The incarnation of the VM that leads.
+        attempt: Makes each write of the row unique.
+        vacated: Version of the previous row, if a leader replaced it by this
+            one when it stepped down.
     """
 
     node: str
@@ -66,15 +69,15 @@
 
 
 class Leadership:
-    """Knows who leads and takes over when nobody does.
+    """Tracks the leader and takes over when there is none.
 
     Attributes:
-        row: The row as the store last told it.
+        row: The latest row received from the store.
         version: Its version.
-        predecessor: Version of the row of the one that led directly before
-            this VM, while this VM leads.
-        former_leader: That VM, as far as it is known.
-        led_since: When this VM began to lead, on the steady clock.
+        predecessor: While this VM leads, the version of the row of the VM that
+            led directly before.
+        former_leader: The VM that led directly before, where it is known.
+        led_since: When this VM became leader, on the monotonic clock.
     """
 
     def __init__(
@@ -87,8 +90,8 @@
         self._table = table
         self._follower = follower
         self._started = clocks.monotonic()
-        self._try_at = 0.0
-        self._silent_since: float | None = None
+        self._retry_at = 0.0
+        self._unresponsive_since: float | None = None
         self._applied_at = self._started
         self.row: LeaderRow | None = None
         self.version = interfaces.NEW_ROW
@@ -97,12 +100,12 @@
         self.led_since = 0.0
 
     def apply(self, change: interfaces.Change) -> None:
-        """Takes in the leader's row, unless it is known.
+        """Applies a change of the leader's row, unless it is known.
 
-        A row that this VM wrote comes again with the table's changes. It is no
-        change of the leader: this VM isn't its own predecessor.
+        A row that this VM wrote is received again with the table's changes.
+        That isn't a change of the leader: this VM isn't its own predecessor.
         """
-        was = self.is_leader
+        was_leader = self.is_leader
         if change.version <= self.version:
             return
         if self.row is not None and self.row.node:
@@ -110,7 +113,7 @@
         before, vacated = self.version, self.row.vacated if self.row else 0
         self.version = change.version
         self._applied_at = clocks.monotonic()
-        self._silent_since = None
+        self._unresponsive_since = None
         self.row = None
         if change.value is not None:
             self.row = msgspec.msgpack.decode(change.value, type=LeaderRow)
@@ -119,48 +122,48 @@
             leader=self.row.node if self.row else "",
             version=self.version,
         )
-        if was and not self.is_leader:
+        if was_leader and not self.is_leader:
             logs.logger.info("no longer leading")
-        if self.is_leader and not was:
-            # This VM's write was done on condition of the version before, so
-            # nobody led in between.
+        if self.is_leader and not was_leader:
+            # This VM's write had a condition on the previous version, so no
+            # other VM led in between.
             self.predecessor = vacated or before
             self.led_since = self._applied_at
 
     @property
     def is_leader(self) -> bool:
-        """Whether this run of this VM leads, as far as it knows."""
+        """Whether this incarnation of this VM leads, as far as it knows."""
         row = self.row
         return row is not None and row.incarnation == self._peers.me.incarnation
 
     def condition(self) -> interfaces.Condition:
-        """Returns the condition that makes a write fail once replaced."""
+        """Returns a condition that fails once this VM has been replaced."""
         return interfaces.Condition(LEADER_KEY, self.version)
 
     async def tick(self) -> None:
-        """Takes over if nobody leads."""
+        """Takes over if there is no leader."""
         now = clocks.monotonic()
         if self.is_leader or not self._follower.is_loaded:
             return
-        if now - self._started < START_PAUSE_S or now < self._try_at:
+        if now - self._started < STARTUP_DELAY_S or now < self._retry_at:
             return
         if not self._is_vacant(now) or self._follower.failing_since is not None:
             return
-        await asyncio.sleep(self._pause_s())
+        await asyncio.sleep(self._takeover_delay_s())
         if self._is_vacant(clocks.monotonic()):
             await self._take_over()
-        self._try_at = clocks.monotonic() + TRY_PAUSE_S
+        self._retry_at = clocks.monotonic() + RETRY_INTERVAL_S
 
-    def _pause_s(self) -> float:
-        """Returns how long to wait before a try to take over."""
+    def _takeover_delay_s(self) -> float:
+        """Returns the random delay before an attempt to take over."""
         places, vms = self._peers.places, len(self._peers.by_node) + 1
         wide = places.wide
-        wide_spread_s = max(SPREAD_S, SPREAD_PER_VM_S * wide)
+        wide_jitter_s = max(JITTER_S, JITTER_PER_VM_S * wide)
         if not places.is_narrow(self._peers.me):
-            return random.uniform(0, wide_spread_s)
-        spread_s = max(SPREAD_S, SPREAD_PER_VM_S * (vms - wide))
-        after_s = wide_spread_s + NARROW_PAUSE_S
-        return after_s + random.uniform(0, spread_s)
+            return random.uniform(0, wide_jitter_s)
+        jitter_s = max(JITTER_S, JITTER_PER_VM_S * (vms - wide))
+        delay_s = wide_jitter_s + NARROW_LINK_DELAY_S
+        return delay_s + random.uniform(0, jitter_s)
 
     def _is_vacant(self, now: float) -> bool:
         if self.row is None or not self.row.node:
@@ -169,34 +172,38 @@
         if leader is None or leader.row.incarnation != self.row.incarnation:
             return True
         if leader.is_heard(now):
-            self._silent_since = None
-            return self._gave_up(leader.report, now)
-        if self._silent_since is None:
-            # Where VMs are many, one of another domain says nothing here before
-            # it leads.
-            self._silent_since = max(
+            self._unresponsive_since = None
+            return self._cannot_lead(leader.report, now)
+        if self._unresponsive_since is None:
+            # In large fleets, a VM of another domain sends no reports to this
+            # one before it leads.
+            self._unresponsive_since = max(
                 leader.heard_at, leader.changed_at, self._applied_at
             )
         known = self._peers.counted(now)
         heard = self._peers.circulation.heard(now)
-        silent_s = now - self._silent_since
-        if silent_s < reports.SILENT_AFTER_S:
+        unresponsive_s = now - self._unresponsive_since
+        if unresponsive_s < reports.SILENT_AFTER_S:
             return False
-        return 2 * heard > len(known) or silent_s > LONG_SILENCE_S
+        return 2 * heard > len(known) or unresponsive_s > LEADER_TIMEOUT_S
 
-    def _gave_up(self, report: reports.Report, now: float) -> bool:
-        """Whether a leader that is heard can't lead for now."""
+    def _cannot_lead(self, report: reports.Report, now: float) -> bool:
+        """Whether a responsive leader is currently unable to lead."""
         if report.is_leaving:
             return True
-        is_just_back = now - self._follower.recovered_at < LEADER_RETURNS_S
-        return report.store_silent_s > STORELESS_S and not is_just_back
+        has_just_reconnected = (
+            now - self._follower.recovered_at < LEADER_RECONNECT_S
+        )
+        return (
+            report.store_silent_s > STORE_OUTAGE_S and not has_just_reconnected
+        )
 
     async def _take_over(self) -> None:
         me = self._peers.me
         await self._write(LeaderRow(me.node, me.incarnation, _attempt()))
 
     async def step_down(self) -> None:
-        """Lets another VM lead at once."""
+        """Gives up leadership, so that another VM can take over at once."""
         if self.is_leader:
             await self._write(LeaderRow("", "", _attempt(), self.version))
 
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -1,10 +1,10 @@
-"""Renews the grants of upstreams that this VM looks after.
+"""Renews the grants of upstreams that this VM is responsible for.
 
-Renewing a grant to the same owner under the same fence is harmless whoever
-does it, so VMs share the upstreams out by what they see of each other, and two
-that see differently only renew twice. What must not happen is a renewal long
-after a slot was marked as leaving: a VM renews only while an `Authority` says
-that what it knows is current.
+Renewing a grant to the same owner under the same fence is idempotent, so VMs
+divide the upstreams among themselves by their own view of the cluster, and two
+VMs with different views only renew the same grant twice. A slot must not be
+renewed long after it was marked as leaving: a VM renews only while an
+`Authority` confirms that its key map is current.
 """
 
 import abc
@@ -29,33 +29,33 @@
 from swiftstile.gateway import sharing
 from swiftstile.gateway import targets
 
-__all__ = ["HOLD_S", "Authority", "KeyMaps", "Renewals"]
+__all__ = ["HOLD_S", "Authority", "GrantRenewer", "KeyMaps"]
 
-# Hold of each grant. A lost owner's keys wait so long for another; longer
-# holds would need fewer renewals.
+# Hold of each grant. The keys of a crashed owner are unavailable for this long;
+# longer holds would need fewer renewals.
 HOLD_S = 5.0
-# Between two renewals of a slot: two may fail before the hold is over.
-RENEW_EVERY_S = 1.8
-# Between two looks for what is due.
-_TICK_S = 0.15
-# After a failed grant.
-_FAILURE_PAUSE_S = 0.25
-# Grants to one upstream at the same time: enough to renew all its slots in
-# a fraction of the interval, at a few milliseconds each.
+# Interval between renewals of a slot: two may fail before its hold expires.
+RENEW_INTERVAL_S = 1.8
+# Interval between checks for grants that are due.
+_POLL_INTERVAL_S = 0.15
+# Delay after a failed grant.
+_RETRY_DELAY_S = 0.25
+# Concurrent grants to one upstream: enough to renew all its slots in a fraction
+# of the interval, at a few milliseconds each.
 _PARALLEL = 4
-# The same to an upstream that leaves orders without an answer.
-_PARALLEL_LOSING = 24
-# Without an answer to so many, the upstream counts as out of reach.
+# Concurrent grants to an upstream that doesn't answer commands.
+_PARALLEL_UNRESPONSIVE = 24
+# After this many unanswered grants, the upstream counts as unreachable.
 _GIVE_UP_AFTER = 4
 
 
 class Mark(msgspec.Struct, frozen=True):
-    """A slot that is leaving its owner, as this VM knows it.
+    """A slot that is leaving its owner, as far as this VM knows.
 
     Attributes:
-        version: Version of the map in which it was seen to be marked first.
-        fence: Under which its owner has it.
-        known_at: When that was, on the steady clock.
+        version: Version of the first known map in which the slot is marked.
+        fence: Fence under which the owner has the slot.
+        known_at: When this VM received that map, on the monotonic clock.
     """
 
     version: int
@@ -67,10 +67,10 @@
     """The key maps in force, by service.
 
     Attributes:
-        by_service: Maps as this VM knows them.
+        by_service: The latest known maps.
         marks_by_service: Slots that are leaving, by service and slot.
         changed_at: When a slot's owner last changed, by service and slot.
-        changed: Wakes those that wait for a newer map.
+        changed: Wakes tasks that wait for a newer map.
     """
 
     def __init__(self):
@@ -82,7 +82,7 @@
     def put(
         self, service: ids.ServiceName, newer: keymap.KeyMap, now: float
     ) -> None:
-        """Takes in a map, unless a newer one is known."""
+        """Stores a map, unless the known one is at least as new."""
         known = self.by_service.get(service)
         if known is not None and known.version >= newer.version:
             return
@@ -107,57 +107,59 @@
         self.marks_by_service[service] = marks
 
 
-class _Sending:
-    """Counts one grant: that it was sent, and what became of it."""
+class _GrantAttempt:
+    """Records one grant in a hold table: its sending and its outcome."""
 
-    def __init__(self, book: holds.HoldBook, run: range, hold_s: float):
-        self._book = book
-        self._run = run
+    def __init__(
+        self, hold_table: holds.HoldTable, slot_range: range, hold_s: float
+    ):
+        self._holds = hold_table
+        self._slot_range = slot_range
         self._hold_s = hold_s
         self._is_open = False
 
-    def begin(self) -> None:
-        """It is about to be sent."""
+    def note_sending(self) -> None:
+        """Records that the grant is about to be sent."""
         self._is_open = True
-        self._book.note_sent(self._run)
+        self._holds.note_sent(self._slot_range)
 
-    def end_answered(self) -> None:
-        """It was answered."""
+    def note_answered(self) -> None:
+        """Records that the grant was answered."""
         self._is_open = False
         now = clocks.monotonic()
-        self._book.note_answered(self._run, now, self._hold_s)
+        self._holds.note_answered(self._slot_range, now, self._hold_s)
 
-    def end_unsent(self) -> None:
-        """It wasn't sent after all."""
+    def note_unsent(self) -> None:
+        """Records that the grant wasn't sent after all."""
         if self._is_open:
             self._is_open = False
-            self._book.note_unsent(self._run)
+            self._holds.note_unsent(self._slot_range)
 
-    def end_lost(self) -> None:
-        """Nothing more comes of it; it may have arrived if it is open."""
+    def note_unanswered(self) -> None:
+        """Ends the attempt; if it is still open, the grant may arrive."""
         if self._is_open:
             self._is_open = False
             now = clocks.monotonic()
-            self._book.note_lost(self._run, now, self._hold_s)
+            self._holds.note_unanswered(self._slot_range, now, self._hold_s)
 
 
 class Authority(abc.ABC):
-    """Knows whether grants may be renewed by what this VM knows."""
+    """Decides whether this VM may renew grants by its current knowledge."""
 
     @abc.abstractmethod
-    def is_able(self, now: float) -> bool:
-        """Whether this VM has the right to renew for any service."""
+    def is_authorised(self, now: float) -> bool:
+        """Whether this VM has the authority to renew grants at all."""
 
     @abc.abstractmethod
     def may_renew(self, service: ids.ServiceName) -> bool:
         """Whether this VM's map of a service is current enough."""
 
 
-class Renewals:
-    """Grants and renews keys.
+class GrantRenewer:
+    """Grants keys to their owners and renews the grants.
 
     Attributes:
-        holds_by_service: What may be held by grants of this VM.
+        holds_by_service: Bounds on the holds from grants of this VM.
         unreachable: Upstreams that don't answer this VM.
     """
 
@@ -173,40 +175,41 @@
         self._maps = maps
         self._book = book
         self._peers = peers
-        self._sharing = sharing.Sharing(peers.me)
+        self._responsibilities = sharing.Responsibilities(peers.me)
         self._control = control
         self._authority = authority
         self._meters = meters
-        # When a run of slots was last granted, and under which fence, by its
+        # When a range of slots was last granted, and under which fence, by its
         # first slot.
         self._granted: dict[ids.ServiceName, dict[int, tuple[int, float]]] = {}
-        # Until when none of an owner's slots is due, by the map that says so.
-        self._due: dict[model.UpstreamId, tuple[keymap.KeyMap, float]] = {}
-        self._losing: set[model.UpstreamId] = set()
+        # The time before which none of an owner's slots is due, with the map
+        # that it was computed from.
+        self._next_due: dict[model.UpstreamId, tuple[keymap.KeyMap, float]] = {}
+        self._unresponsive: set[model.UpstreamId] = set()
         self._tasks: dict[model.UpstreamId, asyncio.Task] = {}
         self._is_stopped = False
-        # Since when this VM has had the right to renew without a break.
-        self._able_since: float | None = None
-        self.holds_by_service: dict[ids.ServiceName, holds.HoldBook] = {}
+        # Since when this VM has had the authority to renew without a break.
+        self._authorised_since: float | None = None
+        self.holds_by_service: dict[ids.ServiceName, holds.HoldTable] = {}
         self.unreachable: set[model.UpstreamId] = set()
 
     async def run(self) -> None:
         """Renews until cancelled."""
         try:
             while True:
-                self._share_out(clocks.monotonic())
-                await self._maps.changed.wait(_TICK_S)
+                self._update_tasks(clocks.monotonic())
+                await self._maps.changed.wait(_POLL_INTERVAL_S)
         finally:
             for task in self._tasks.values():
                 task.cancel()
 
     def stop(self, now: float) -> bool:
-        """Grants no more, if others will; whether it stopped.
+        """Stops granting, if other VMs can take over; returns whether it did.
 
-        Told to the others, it saves a successor the wait for what this run may
-        have granted until its end.
+        Once the other VMs know this, a restarted process needn't be waited for
+        on account of what this one might have granted until its end.
         """
-        if sharing.able_by_domain(self._peers, now):
+        if sharing.authorised_by_domain(self._peers, now):
             self._is_stopped = True
             for task in self._tasks.values():
                 task.cancel()
@@ -214,23 +217,25 @@
         return self._is_stopped
 
     def grants_end_s(self, now: float) -> float | None:
-        """Returns until when its grants may hold; None while it gives any."""
+        """Returns the time until all grants expire; None while it grants."""
         if not self._is_stopped:
             return None
-        books = self.holds_by_service.values()
-        return max((book.all_over_in_s(now) for book in books), default=0.0)
+        tables = self.holds_by_service.values()
+        return max(
+            (table.max_remaining_s(now) for table in tables), default=0.0
+        )
 
-    def _share_out(self, now: float) -> None:
+    def _update_tasks(self, now: float) -> None:
         if self._is_stopped:
             return
-        if not self._authority.is_able(now):
-            # Others say the same of themselves while there is no leader. Taken
-            # for those that are gone, each VM would look after all upstreams.
-            self._able_since = None
+        if not self._authority.is_authorised(now):
+            # Without a leader, the other VMs aren't authorised either. Treated
+            # as crashed, they would make each VM responsible for all upstreams.
+            self._authorised_since = None
             return
-        if self._able_since is None:
-            self._able_since = now
-        wanted = self._sharing.mine(self._look(now))
+        if self._authorised_since is None:
+            self._authorised_since = now
+        wanted = self._responsibilities.upstreams(self._cluster_view(now))
         for owner in [name for name in self._tasks if name not in wanted]:
             self._tasks.pop(owner).cancel()
             self.unreachable.discard(owner)
@@ -239,11 +244,13 @@
             if task is None or task.done():
                 self._tasks[owner] = asyncio.create_task(self._renew(owner))
 
-    def _look(self, now: float) -> sharing.Look:
-        """Returns all that decides which upstreams this VM looks after."""
+    def _cluster_view(self, now: float) -> sharing.ClusterView:
+        """Returns the input for dividing the upstreams among the VMs."""
         by_id = self._book.by_id
-        return sharing.Look(
-            sharing.able_by_domain(self._peers, now, self._able_since),
+        return sharing.ClusterView(
+            sharing.authorised_by_domain(
+                self._peers, now, self._authorised_since
+            ),
             self._peers.circulation.heard_of(now),
             frozenset(self.unreachable),
             {
@@ -260,29 +267,29 @@
             is_answering = await self._renew_due(service, owner)
             if is_answering:
                 self.unreachable.discard(owner)
-                await self._maps.changed.wait(_TICK_S)
+                await self._maps.changed.wait(_POLL_INTERVAL_S)
             else:
                 self.unreachable.add(owner)
-                await asyncio.sleep(_FAILURE_PAUSE_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
 
     async def _renew_due(self, service, owner) -> bool:
         key_map = self._maps.by_service[service]
         now = clocks.monotonic()
         if not self._authority.may_renew(service):
             return True
-        if self._has_started_again(key_map, owner):
-            # Its new life needs a newer fence, which the leader gives it.
+        if self._has_restarted(key_map, owner):
+            # The restarted owner needs a newer fence from the leader.
             return True
-        queue = self._due_runs(service, key_map, owner, now)
+        queue = self._due_ranges(service, key_map, owner, now)
         if not queue:
             return True
-        # Orders that get no answer cost nothing but waiting: more at a time.
-        is_losing = owner in self._losing
-        count = _PARALLEL_LOSING if is_losing else _PARALLEL
+        # Unanswered commands cost only waiting time, so more run concurrently.
+        is_unresponsive = owner in self._unresponsive
+        count = _PARALLEL_UNRESPONSIVE if is_unresponsive else _PARALLEL
         answers: list[bool] = []
 
-        async def grant(run: range) -> None:
-            answers.append(await self._grant(service, owner, run))
+        async def grant(slot_range: range) -> None:
+            answers.append(await self._grant(service, owner, slot_range))
 
         await parallel.work_off(
             queue,
@@ -291,48 +298,48 @@
             lambda: any(answers) or len(answers) < _GIVE_UP_AFTER,
         )
         if all(answers):
-            self._losing.discard(owner)
+            self._unresponsive.discard(owner)
         else:
-            self._losing.add(owner)
+            self._unresponsive.add(owner)
         return any(answers)
 
-    def _due_runs(self, service, key_map, owner, now: float) -> list[range]:
-        """Returns runs of slots to renew, the one granted longest ago last."""
-        known = self._due.get(owner)
+    def _due_ranges(self, service, key_map, owner, now: float) -> list[range]:
+        """Returns ranges of slots to renew, the least recently granted last."""
+        known = self._next_due.get(owner)
         if known is not None and known[0] is key_map and now < known[1]:
             return []
         granted = self._granted.get(service, {})
-        due, earliest = [], now + RENEW_EVERY_S
-        for run in key_map.runs_of(owner):
-            fence, at = granted.get(run.start, (0, 0.0))
-            if fence != key_map.slots[run.start].fence:
+        due, earliest = [], now + RENEW_INTERVAL_S
+        for slot_range in key_map.ranges_of(owner):
+            fence, at = granted.get(slot_range.start, (0, 0.0))
+            if fence != key_map.slots[slot_range.start].fence:
                 at = 0.0
-            if now - at >= RENEW_EVERY_S:
-                due.append((at, run))
+            if now - at >= RENEW_INTERVAL_S:
+                due.append((at, slot_range))
             else:
-                earliest = min(earliest, at + RENEW_EVERY_S)
+                earliest = min(earliest, at + RENEW_INTERVAL_S)
         if not due:
-            self._due[owner] = key_map, earliest
+            self._next_due[owner] = key_map, earliest
         due.sort(key=lambda entry: entry[0], reverse=True)
-        return [run for _, run in due]
+        return [slot_range for _, slot_range in due]
 
-    async def _grant(self, service, owner, run: range) -> bool:
+    async def _grant(self, service, owner, slot_range: range) -> bool:
         key_map = self._maps.by_service[service]
-        slot = key_map.slots[run.start]
+        slot = key_map.slots[slot_range.start]
         target = self._book.by_id.get(owner)
         now = clocks.monotonic()
 
         def is_due() -> bool:
-            return self._is_due(service, owner, run, slot)
+            return self._is_due(service, owner, slot_range, slot)
 
         if target is None or not is_due():
             return True
         try:
-            result = await self.grant_counted(
+            result = await self.grant_and_record(
                 service,
                 target,
-                run,
-                key_map.keys_of_run(run),
+                slot_range,
+                key_map.keys_of_range(slot_range),
                 slot.fence,
                 HOLD_S,
                 slot.token,
@@ -350,7 +357,7 @@
             return False
         self._meters.ownership.add(f"grant-{result.value}")
         granted = self._granted.setdefault(service, {})
-        granted[run.start] = slot.fence, now
+        granted[slot_range.start] = slot.fence, now
         if result is interfaces.GrantResult.REPLACED:
             self._book.mark_replaced(target, now)
             return False
@@ -359,59 +366,61 @@
                 "grant refused",
                 upstream=owner,
                 service=service,
-                keys=str(key_map.keys_of_run(run)),
+                keys=str(key_map.keys_of_range(slot_range)),
                 fence=slot.fence,
                 result=result.value,
             )
         return True
 
-    def _is_due(self, service, owner, run: range, first) -> bool:
-        """Whether a run of slots is still its owner's, and ours to renew."""
+    def _is_due(self, service, owner, slot_range: range, first) -> bool:
+        """Whether the range has the same owner and this VM may renew it."""
         key_map = self._maps.by_service[service]
-        if any(self._is_stale(key_map.slots[i], owner, first) for i in run):
+        if any(
+            self._is_stale(key_map.slots[i], owner, first) for i in slot_range
+        ):
             return False
-        if self._has_started_again(key_map, owner):
+        if self._has_restarted(key_map, owner):
             return False
         return self._authority.may_renew(service)
 
-    async def grant_counted(
+    async def grant_and_record(
         self,
         service: ids.ServiceName,
         target: targets.Target,
-        run: range,
+        slot_range: range,
         keys: interfaces.KeyRange,
         fence: int,
         hold_s: float,
         token: str,
         is_due: collections.abc.Callable[[], bool],
     ) -> interfaces.GrantResult:
-        """Sends one grant, and counts what its upstream may hold by it.
+        """Sends one grant and records what its upstream may hold by it.
 
         Args:
             service: The service.
             target: The upstream.
-            run: Slots that are granted.
+            slot_range: Slots that are granted.
             keys: Their keys.
-            fence: Under which fence.
-            hold_s: For how long, from its arrival.
+            fence: Fence of the grant.
+            hold_s: Duration of the hold, from the arrival of the grant.
             token: Hand-over token; empty if there is none.
-            is_due: Whether it may be sent. Asked right before that, as opening
-                a connection takes time, in which a slot may be marked.
+            is_due: Returns whether the grant may be sent. Called right before
+                it is sent, as a slot may be marked while the connection opens.
 
         Raises:
-            PeerTimeoutError: No answer; it may have arrived.
+            PeerTimeoutError: No answer; the grant may have arrived.
             PeerUnreachableError: No connection; nothing was sent.
             PeerUnavailableError: Nothing was sent.
         """
         count = len(self._maps.by_service[service].slots)
-        sending = _Sending(self.holds(service, count), run, hold_s)
+        attempt = _GrantAttempt(self.holds(service, count), slot_range, hold_s)
 
         def on_send() -> None:
             if self._is_stopped or not is_due():
                 raise errors.PeerUnavailableError(
-                    "not due any more", step="grant keys", peer=target.id
+                    "grant no longer due", step="grant keys", peer=target.id
                 )
-            sending.begin()
+            attempt.note_sending()
 
         try:
             result = await self._control.grant(
@@ -423,18 +432,18 @@
                 token,
                 on_send,
             )
-            sending.end_answered()
+            attempt.note_answered()
         except errors.PeerTimeoutError:
             raise
         except errors.PeerUnavailableError:
-            sending.end_unsent()
+            attempt.note_unsent()
             raise
         finally:
-            sending.end_lost()
+            attempt.note_unanswered()
         return result
 
-    def _has_started_again(self, key_map: keymap.KeyMap, owner) -> bool:
-        """Whether an owner started again since its slots were given to it."""
+    def _has_restarted(self, key_map: keymap.KeyMap, owner) -> bool:
+        """Whether an owner restarted since its slots were assigned to it."""
         target = self._book.by_id.get(owner)
         return target is not None and target.upstream.is_life_after(
             key_map.started_ms.get(owner, 0)
@@ -446,30 +455,31 @@
             slot.is_leaving or slot.owner != owner or slot.fence != first.fence
         )
 
-    def holds(self, service: ids.ServiceName, count: int) -> holds.HoldBook:
-        """Returns the bounds of a service's slots."""
-        book = self.holds_by_service.get(service)
-        if book is None:
-            book = holds.HoldBook(count, HOLD_S)
-            self.holds_by_service[service] = book
-        return book
+    def holds(self, service: ids.ServiceName, count: int) -> holds.HoldTable:
+        """Returns the bounds on the holds of a service's slots."""
+        hold_table = self.holds_by_service.get(service)
+        if hold_table is None:
+            hold_table = holds.HoldTable(count, HOLD_S)
+            self.holds_by_service[service] = hold_table
+        return hold_table
 
     def leaving_holds(
         self, now: float
     ) -> dict[ids.ServiceName, dict[model.UpstreamId, reports.Hold]]:
-        """Returns what this VM's grants mean for slots that are leaving.
+        """Returns the holds from this VM's grants on slots that are leaving.
 
-        Owners for which they mean nothing are left out. That is most of them,
-        as one VM renews an upstream's grants.
+        Owners without such holds are left out. That is most of them, as only
+        one VM renews an upstream's grants.
         """
         found: dict[ids.ServiceName, dict] = {}
         for service, key_map in self._maps.by_service.items():
             if not key_map.leaving:
                 continue
-            book = self.holds(service, len(key_map.slots))
+            hold_table = self.holds(service, len(key_map.slots))
             for owner, indices in key_map.leaving_by_owner().items():
                 hold = reports.Hold(
-                    book.held_for_s(indices, now), book.open_for_s(indices, now)
+                    hold_table.held_for_s(indices, now),
+                    hold_table.unanswered_for_s(indices, now),
                 )
                 if hold.held_s > 0 or hold.open_s > 0:
                     found.setdefault(service, {})[owner] = hold
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -1,15 +1,16 @@
-"""Where the slots of one service should be: what a leader decides, in time.
+"""Plans which upstreams own the slots of one service, over time.
 
-Joins what is known of upstreams, their speeds and the busy slots with the plans
-of `keyplan` and `hotplan`. No network and no store: the keeper carries it out.
+Combines the state of the upstreams, their measured speeds and the load of busy
+slots with the algorithms in `keyplan` and `hotplan`. Does no I/O: the leader's
+`KeyAssigner` carries the plan out.
 """
 
 import collections.abc
 
 from swiftstile import ids
 from swiftstile.gateway import coldstart
-from swiftstile.gateway import heat
 from swiftstile.gateway import hotplan
+from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
 from swiftstile.gateway import keyplan
 from swiftstile.gateway import model
@@ -19,26 +20,28 @@
 __all__ = ["SLOT_COUNT", "SlotPlan"]
 
 # Slots of a service: the finest division of its keys. They are assigned in
-# blocks, which are cut where a neighbourhood of keys is hot.
+# blocks, which are split where adjacent keys are hot.
 SLOT_COUNT = 4096
-# Before the first deal, no upstream joined for this long.
-SETTLED_S = 1.0
-# Most slots that are moved at a time only to even things out: about a tenth,
-# so that no owner's keys are on the move all at once.
-MOVE_BATCH = 400
-# Between two rounds of evening out: about what the effect of one takes to show.
-EVEN_OUT_EVERY_S = 1.5
-# A hot slot stays this long where it was put, so that it doesn't go back and
-# forth with noise.
-RELOCATE_EVERY_S = 3.0
-# Bounds of a target's speed over the mean, for its share of the keys. A slow
-# one keeps a few, which tell when it is fast again.
-SLOWEST_WEIGHT, FASTEST_WEIGHT = 0.1, 2.0
-# What an owner keeps of its share of the keys beside a slot that takes all that
-# it can do: a few, so that it isn't empty when the hot time is over.
-LEAST_BESIDE_HOT = 0.1
-
-# What owners can do, in slots of a target of mean speed.
+# The initial assignment waits until no upstream has joined for this long.
+STABLE_MEMBERSHIP_S = 1.0
+# Maximum number of slots that are moved at a time by rebalancing: about a
+# tenth, so that the keys of an owner aren't moved all at once.
+MAX_REBALANCED_SLOTS = 400
+# Interval between rounds of rebalancing: about the time until the effect of one
+# can be measured.
+REBALANCE_INTERVAL_S = 1.5
+# Minimum time between two moves of a hot slot, so that noise doesn't move it
+# back and forth.
+MIN_RELOCATION_INTERVAL_S = 3.0
+# Bounds on the speed of a target relative to the mean, for its share of the
+# keys. A slow target keeps a few keys, whose requests show when it is fast
+# again.
+MIN_SPEED, MAX_SPEED = 0.1, 2.0
+# Part of its share of the keys that an owner keeps beside a hot slot that takes
+# up all its capacity, so that it isn't idle when the hotspot ends.
+MIN_SHARE_BESIDE_HOT = 0.1
+
+# Capacity of owners, in request slots of a target of mean speed.
 Weights = dict[model.UpstreamId, float]
 
 
@@ -48,12 +51,14 @@
     Args:
         service: The service.
         book: The upstreams.
-        speed_book: How fast they are.
-        heat_book: How often busy slots are asked for.
-        work_s: Returns the mean work of a service's requests, once measured.
-        now: On the steady clock.
-        limits: Which upstreams are cold, so that little may be sent there.
-        most_ranges: Returns how many ranges the fleet can afford to renew.
+        speed_book: Their measured speeds.
+        key_load_table: Request rates of busy slots.
+        work_s: Returns the mean processing time of a service's requests, once
+            it has been measured.
+        now: The time, on the monotonic clock.
+        limits: Which upstreams are cold, so that few requests may be sent to
+            them.
+        max_ranges: Returns how many ranges the fleet can afford to renew.
     """
 
     def __init__(
@@ -61,25 +66,25 @@
         service: ids.ServiceName,
         book: targets.TargetBook,
         speed_book: speeds.SpeedBook,
-        heat_book: heat.HeatBook,
+        key_load_table: key_load.KeyLoadTable,
         work_s,
         now: float,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
-        most_ranges: collections.abc.Callable[[], int] = lambda: SLOT_COUNT,
+        max_ranges: collections.abc.Callable[[], int] = lambda: SLOT_COUNT,
     ):
         self._limits = limits
-        self._most_ranges = most_ranges
+        self._max_ranges = max_ranges
         self._service = service
         self._book = book
         self._speeds = speed_book
-        self._heat = heat_book
+        self._key_load = key_load_table
         self._work_s = work_s
-        # Where hot slots are on their way to.
-        self._wanted: dict[int, model.UpstreamId] = {}
+        # Planned new owners of hot slots that are being moved.
+        self._hot_destinations: dict[int, model.UpstreamId] = {}
         self._relocated_at: dict[int, float] = {}
-        self._evened_at = 0.0
-        # Hot slots beside which things were evened out last.
-        self._evened_for: frozenset[int] = frozenset()
+        self._rebalanced_at = 0.0
+        # Hot slots at the time of the last rebalancing.
+        self._rebalanced_for: frozenset[int] = frozenset()
         self._members: set[model.UpstreamId] = set()
         self._members_at = now
 
@@ -88,10 +93,10 @@
         now: float,
         owners: collections.abc.Container[model.UpstreamId] = (),
     ) -> Weights:
-        """Returns what the upstreams that stay can do.
+        """Returns the capacity of the upstreams that aren't leaving.
 
-        A cold one gets no keys until it is warm, unless it has some: few of
-        their requests could be sent to it.
+        A cold upstream gets no keys until it is warm, unless it already has
+        some, as only few requests could be sent to it.
 
         Args:
             now: The time.
@@ -116,52 +121,55 @@
         self._members = set(weights)
         return weights
 
-    def first_deal(
+    def initial_assignment(
         self, weights: Weights, now: float
     ) -> list[model.UpstreamId]:
-        """Returns the first owner of each slot; none until all have joined."""
-        if not weights or now - self._members_at < SETTLED_S:
+        """Returns the owner of each slot; empty until all have joined."""
+        if not weights or now - self._members_at < STABLE_MEMBERSHIP_S:
             return []
         width = self._block_width(SLOT_COUNT, weights)
-        return keyplan.deal(SLOT_COUNT, weights, width)
+        return keyplan.assign_blocks(SLOT_COUNT, weights, width)
 
-    def hot_to_move(
+    def hot_slots_to_move(
         self, current: keymap.KeyMap, weights: Weights, now: float
     ) -> list[int]:
-        """Returns hot slots that should leave, and notes where they go."""
+        """Returns hot slots to move, and records their destinations."""
         capacity = self._capacities(weights)
-        busy = self._busy(current, capacity, now)
+        busy = self._busy_slots(current, capacity, now)
         hot = {
             slot: share
             for slot, share in busy.items()
             if share >= hotplan.HOT_SHARE
             and slot not in current.leaving
-            and now - self._relocated_at.get(slot, 0.0) > RELOCATE_EVERY_S
+            and now - self._relocated_at.get(slot, 0.0)
+            > MIN_RELOCATION_INTERVAL_S
         }
         taken = {
-            self._wanted.get(slot, current.slots[slot].owner)
+            self._hot_destinations.get(slot, current.slots[slot].owner)
             for slot in busy.keys() - hot.keys()
         }
         found = hotplan.relocations(current, hot, capacity, taken)
-        self._wanted |= found
+        self._hot_destinations |= found
         self._relocated_at |= dict.fromkeys(found, now)
         return list(found)
 
-    def surplus_to_move(
+    def surplus_slots_to_move(
         self, current: keymap.KeyMap, weights: Weights, now: float
     ) -> list[int]:
-        """Returns slots that should leave owners that have too many.
+        """Returns slots that should leave owners with more than their share.
 
-        Nothing until it is time for that again. A slot that just became hot
-        doesn't wait: it lasts for seconds only.
+        Empty until the next round of rebalancing is due. A slot that has just
+        become hot triggers one at once, as hotspots last only seconds.
         """
-        left, hot = self._left_beside_hot(current, weights, now)
-        is_due = now - self._evened_at >= EVEN_OUT_EVERY_S
-        if not weights or not (is_due or hot - self._evened_for):
+        remaining, hot = self._weights_beside_hot(current, weights, now)
+        is_due = now - self._rebalanced_at >= REBALANCE_INTERVAL_S
+        if not weights or not (is_due or hot - self._rebalanced_for):
             return []
-        self._evened_at, self._evened_for = now, hot
+        self._rebalanced_at, self._rebalanced_for = now, hot
         width = self._block_width(len(current.slots), weights)
-        return keyplan.surplus(current, left, MOVE_BATCH, hot, width)
+        return keyplan.surplus(
+            current, remaining, MAX_REBALANCED_SLOTS, hot, width
+        )
 
     def destinations(
         self,
@@ -171,58 +179,62 @@
         now: float,
     ) -> dict[int, model.UpstreamId]:
         """Returns a new owner for each slot that moves."""
-        left, _ = self._left_beside_hot(current, weights, now)
+        remaining, _ = self._weights_beside_hot(current, weights, now)
         width = self._block_width(len(current.slots), weights)
-        placed = keyplan.destinations(current, moving, left, width)
+        placed = keyplan.destinations(current, moving, remaining, width)
         for index in moving:
-            wanted = self._wanted.pop(index, None)
-            if wanted in weights:
-                placed[index] = wanted
+            destination = self._hot_destinations.pop(index, None)
+            if destination in weights:
+                placed[index] = destination
         return placed
 
-    def pieces(
+    def move_ranges(
         self, current: keymap.KeyMap, slots: collections.abc.Iterable[int]
     ) -> list[range]:
-        """Returns slots of one owner as ranges that it releases as one.
+        """Groups slots of one owner into ranges that it releases as a whole.
 
-        Hot slots are released one by one, as each gets an owner of its own.
+        Hot slots are released one by one, as each gets its own new owner.
         """
         width = self._block_width(len(current.slots), self._members)
-        return keyplan.pieces(current, slots, width, self._wanted)
+        return keyplan.move_ranges(
+            current, slots, width, self._hot_destinations
+        )
 
     def _block_width(self, count: int, owners: collections.abc.Sized) -> int:
-        return keyplan.block_width(count, len(owners), self._most_ranges())
+        return keyplan.block_width(count, len(owners), self._max_ranges())
 
-    def _left_beside_hot(
+    def _weights_beside_hot(
         self, current: keymap.KeyMap, weights: Weights, now: float
     ) -> tuple[Weights, frozenset[int]]:
-        """Returns what owners can do beside their hot slots, and these slots.
+        """Returns the capacity left beside hot slots, and the hot slots.
 
-        A key that draws more than its owner can do leaves nothing for the rest
-        of that owner's keys: they are better off elsewhere meanwhile.
+        A key with more load than its owner can handle leaves no capacity for
+        the other keys of that owner, which are better served elsewhere.
         """
-        left, hot = dict(weights), set()
-        busy = self._busy(current, self._capacities(weights), now)
+        remaining, hot = dict(weights), set()
+        busy = self._busy_slots(current, self._capacities(weights), now)
         for slot, share in busy.items():
-            least = hotplan.HOT_SHARE
-            if slot in self._evened_for:
-                # Not back and forth with noise.
-                least = hotplan.BUSY_SHARE
+            threshold = hotplan.HOT_SHARE
+            if slot in self._rebalanced_for:
+                # Hysteresis, so that noise doesn't move keys back and forth.
+                threshold = hotplan.BUSY_SHARE
             owner = current.slots[slot].owner
-            if share >= least and slot not in current.leaving:
+            if share >= threshold and slot not in current.leaving:
                 hot.add(slot)
-                kept = LEAST_BESIDE_HOT * weights[owner]
-                left[owner] = max(kept, left[owner] - share * weights[owner])
-        return left, frozenset(hot)
+                minimum = MIN_SHARE_BESIDE_HOT * weights[owner]
+                remaining[owner] = max(
+                    minimum, remaining[owner] - share * weights[owner]
+                )
+        return remaining, frozenset(hot)
 
-    def _busy(
+    def _busy_slots(
         self, current: keymap.KeyMap, capacity: Weights, now: float
     ) -> dict[int, float]:
-        rates = self._heat.rates(self._service, now)
-        return hotplan.shares(current, rates, capacity)
+        rates = self._key_load.rates(self._service, now)
+        return hotplan.busy_shares(current, rates, capacity)
 
     def _capacities(self, weights: Weights) -> dict[model.UpstreamId, float]:
-        """Returns the requests/s that upstreams can do, once known."""
+        """Returns the requests/s that upstreams can handle, once known."""
         work_s = self._work_s(self._service)
         if not work_s:
             return {}
@@ -230,6 +242,6 @@
 
 
 def _weight(target: targets.Target, ratio: float) -> float:
-    """Returns how much a target can do: its slots over its slowness."""
-    speed = 1.0 / min(max(ratio, 1 / FASTEST_WEIGHT), 1 / SLOWEST_WEIGHT)
+    """Returns the capacity of a target: its slots times its speed."""
+    speed = 1.0 / min(max(ratio, 1 / MAX_SPEED), 1 / MIN_SPEED)
     return max(1, target.upstream.slots) * speed
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -24,9 +24,9 @@
 from swiftstile.gateway import gate as gate_lib
 from swiftstile.gateway import gossip
 from swiftstile.gateway import handler as handler_lib
-from swiftstile.gateway import heat
 from swiftstile.gateway import interfaces
-from swiftstile.gateway import keeper
+from swiftstile.gateway import key_assigner
+from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
 from swiftstile.gateway import leadership
 from swiftstile.gateway import measures
@@ -138,7 +138,7 @@
         self._book = targets.TargetBook()
         self._maps = renewals.KeyMaps()
         self._speeds = speeds.SpeedBook()
-        self._heat = heat.HeatBook()
+        self._heat = key_load.KeyLoadTable()
         self._suspects = suspects.Suspects()
         self._peers = gossip.Peers(
             self._node,
@@ -200,7 +200,7 @@
             admission.Admission(
                 self._book, self._node.domain, self._drain_s, self._cold_limits
             ),
-            key_owners.note_demand,
+            key_owners.count_request,
         )
         self._registry = registry = registry_lib.Registry(
             self._book, adapters.decode_upstream, gate.pump, self._meters
@@ -258,7 +258,7 @@
             ),
             self._meters,
         )
-        self._renewing = renewals.Renewals(
+        self._renewing = renewals.GrantRenewer(
             self._maps,
             self._book,
             self._peers,
@@ -310,8 +310,10 @@
         )
         return self._daemon
 
-    def _make_keeper(self, service: ids.ServiceName) -> keeper.MapKeeper:
-        return keeper.MapKeeper(
+    def _make_keeper(
+        self, service: ids.ServiceName
+    ) -> key_assigner.KeyAssigner:
+        return key_assigner.KeyAssigner(
             service,
             self._maps,
             self._book,
@@ -341,7 +343,7 @@
     def _most_ranges(self) -> int:
         peers = self._peers.by_node.values()
         rows = [peer.row for peer in peers if not peer.row.is_retired]
-        return renewal_budget.most_ranges([self._node, *rows])
+        return renewal_budget.max_ranges([self._node, *rows])
 
     def _on_report(self, peer: reports.Peer, now: float) -> None:
         self._succession.note_report(peer, now)
@@ -362,8 +364,10 @@
             self._leads.apply(change)
         elif key.startswith(membership.NODE_PREFIX):
             self._member.apply(change)
-        elif key.startswith(keeper.MAP_PREFIX) and change.value is not None:
-            service = ids.ServiceName(key.removeprefix(keeper.MAP_PREFIX))
+        elif (
+            key.startswith(key_assigner.MAP_PREFIX) and change.value is not None
+        ):
+            service = ids.ServiceName(key.removeprefix(key_assigner.MAP_PREFIX))
             known = self._maps.by_service.get(service)
             if known is not None and known.version >= change.version:
                 # This VM wrote it.
--- a/tests/keeper_parts.py
+++ b/tests/assigner_parts.py
@@ -1,4 +1,4 @@
-"""The leader's parts, with an upstream control that notes its calls."""
+"""The components of a leader, with a control interface that records calls."""
 
 import asyncio
 import types
@@ -7,33 +7,33 @@
 from swiftstile import errors
 from swiftstile import metrics
 from swiftstile.gateway import gossip
-from swiftstile.gateway import heat
 from swiftstile.gateway import interfaces
-from swiftstile.gateway import keeper
+from swiftstile.gateway import key_assigner
+from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
+from swiftstile.gateway import reclaim
 from swiftstile.gateway import renewals
 from swiftstile.gateway import slotplan
 from swiftstile.gateway import speeds
 from swiftstile.gateway import succession
-from swiftstile.gateway import takeback
 from tests import gateway_builders as builders
 
 
 class Control(interfaces.UpstreamControl):
-    """Notes calls; `during` runs while the first grant is under way."""
+    """Records calls; `during` runs while a grant is in flight."""
 
     def __init__(self):
         self.grants: list[tuple] = []
-        # Those of the grants that keep a slot where it was.
+        # Grants that let an owner keep a slot that is leaving it.
         self.kept: list[tuple] = []
         self.releases: list[tuple] = []
-        # The same calls with all their keys.
+        # The same calls with their full key ranges.
         self.released: list[tuple] = []
         self.during = None
-        # Runs while a connection is being opened, before anything is sent.
+        # Runs while the connection opens, before anything is sent.
         self.before_send = None
         self.is_unreachable = False
-        self.is_silent = False
+        self.is_unresponsive = False
 
     async def grant(
         self, address, upstream, keys, fence, hold_s, token, on_send
@@ -44,12 +44,12 @@
             raise errors.PeerUnreachableError("refused", step="connect")
         on_send()
         self.grants.append((upstream, keys.first, fence))
-        if hold_s == takeback.KEEP_HOLD_S:
+        if hold_s == reclaim.KEEP_HOLD_S:
             self.kept.append((upstream, keys.first, fence, token))
         if self.during is not None:
             self.during()
-        if self.is_silent:
-            raise errors.PeerTimeoutError("silent", step="grant")
+        if self.is_unresponsive:
+            raise errors.PeerTimeoutError("timed out", step="grant")
         return interfaces.GrantResult.HELD
 
     async def release(self, address, upstream, keys, fence):
@@ -61,13 +61,13 @@
 
 
 class Parts:
-    """A keeper that leads two upstreams.
+    """The `KeyAssigner` of a leader, with two upstreams.
 
     Args:
-        vms: VMs that read its maps, its own included.
-        table: Its table; one in memory if there is none.
-        control: Its upstreams; they do as they are told if there is none.
-        most_ranges: Ranges of keys that the fleet can renew.
+        vms: Number of VMs that read its maps, its own included.
+        table: Its table; by default one in memory.
+        control: Its upstreams; by default they carry out all commands.
+        max_ranges: Ranges of keys that the fleet can renew.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         vms: int = 1,
         table: builders.MemoryTable | None = None,
         control: Control | None = None,
-        most_ranges: int = 32,
+        max_ranges: int = 32,
     ):
         self.table = table or builders.MemoryTable()
         self.maps = renewals.KeyMaps()
@@ -83,7 +83,7 @@
         self.book = builders.book(
             builders.upstream("u-1"), builders.upstream("u-2")
         )
-        self.leads = types.SimpleNamespace(
+        self.leader_state = types.SimpleNamespace(
             is_leader=True,
             condition=lambda: interfaces.Condition("leader", 0),
             version=1,
@@ -92,8 +92,8 @@
             led_since=0.0,
             row=None,
         )
-        self.right = types.SimpleNamespace(
-            is_able=lambda now: True,
+        self.authority = types.SimpleNamespace(
+            is_authorised=lambda now: True,
             may_renew=lambda service: True,
             quorum_since=0.0,
         )
@@ -103,59 +103,59 @@
             row = builders.node_row(f"vm-{number}")
             peers.apply(row, row.node, 0.0)
         meters = metrics.Meters()
-        self.renewing = renewals.Renewals(
-            self.maps, self.book, peers, self.control, self.right, meters
+        self.renewer = renewals.GrantRenewer(
+            self.maps, self.book, peers, self.control, self.authority, meters
         )
         follower = types.SimpleNamespace(failing_since=None, version=0)
-        self.heat = heat.HeatBook()
+        self.key_load = key_load.KeyLoadTable()
         self.speeds = speeds.SpeedBook()
         self.work_s: float | None = None
-        self.most_ranges = most_ranges
+        self.max_ranges = max_ranges
         self.plan = slotplan.SlotPlan(
             builders.LOOKUPS,
             self.book,
             self.speeds,
-            self.heat,
+            self.key_load,
             lambda service: self.work_s,
             0.0,
-            most_ranges=lambda: self.most_ranges,
+            max_ranges=lambda: self.max_ranges,
         )
-        self.keeper = keeper.MapKeeper(
+        self.assigner = key_assigner.KeyAssigner(
             builders.LOOKUPS,
             self.maps,
             self.book,
             self.plan,
             peers,
-            self.renewing,
-            self.leads,
-            succession.Succession(self.leads, self.maps),
+            self.renewer,
+            self.leader_state,
+            succession.Succession(self.leader_state, self.maps),
             self.table,
             follower,
             self.control,
-            self.right,
+            self.authority,
             65536,
             clocks.monotonic(),
             meters,
         )
 
     def start(self, leaving=(0, 1), started_ms=None) -> keymap.KeyMap:
-        """Writes a map of which u-1 owns all, some of it leaving."""
+        """Writes a map in which u-1 owns all slots and some are leaving."""
         owners = dict.fromkeys(range(slotplan.SLOT_COUNT), "u-1")
         empty = keymap.KeyMap.empty(slotplan.SLOT_COUNT)
-        made = empty.give({}, owners, started_ms)
+        made = empty.assign({}, owners, started_ms)
         made = made.mark_leaving(leaving)
-        key = keeper.MAP_PREFIX + builders.LOOKUPS
+        key = key_assigner.MAP_PREFIX + builders.LOOKUPS
         write = interfaces.Write(key, made.encode("x"))
         made.version = self.table.apply([], [write])
         self.maps.put(builders.LOOKUPS, made, 0.0)
         return made
 
     def release(self, current: keymap.KeyMap, is_fenced: bool = True):
-        source = takeback.Source(current.version, 0.0)
+        source = reclaim.Source(current.version, 0.0)
         source.is_fenced = is_fenced
         target = self.book.by_id["u-1"]
         asyncio.run(
-            self.keeper._take_back.release(
+            self.assigner._reclaimer.release(
                 current, target, source, [range(1, 2), range(1)]
             )
         )
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -1,9 +1,10 @@
-"""Nothing is sent to an upstream for longer than it may take after it said so.
+"""No requests are sent to a leaving upstream after its drain time.
 
-What users saw: lookups reached upstreams 2.74 s after these had said that they
-leave, where 2.5 s are allowed, while the leader was cut off from the store and
-so moved no keys away. Each VM ends its sends by a time of its own; the tests
-here are about ways in which that time came late or wasn't kept.
+These tests guard against lookups that reach upstreams 2.74 s after these
+announced that they are leaving, where 2.5 s are allowed. It was seen while the
+leader was partitioned from the store and so moved no keys. Each VM ends its
+sends at a time that it determines itself; the tests cover cases in which this
+time was too late or wasn't enforced.
 """
 
 import asyncio
@@ -18,8 +19,8 @@
 from swiftstile.gateway import arbiter as arbiter_lib
 from swiftstile.gateway import follow
 from swiftstile.gateway import gate as gate_lib
-from swiftstile.gateway import heat
 from swiftstile.gateway import interfaces
+from swiftstile.gateway import key_load
 from swiftstile.gateway import model
 from swiftstile.gateway import outcomes
 from swiftstile.gateway import owners
@@ -27,11 +28,11 @@
 from swiftstile.gateway import permits
 from swiftstile.gateway import registry
 from swiftstile.gateway import targets
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 _DRAIN_S = 2.5
-# A request that was sent is on its way, behind others on a narrow link.
+# Transfer time of a request that is queued behind others on a slow link.
 _ON_ITS_WAY_S = 0.1
 _KEY = 100
 
@@ -39,15 +40,15 @@
 class _Vm:
     """A VM whose keys all belong to an upstream of another domain.
 
-    The arbiter there permits whatever it is asked for, as one does that hasn't
-    heard yet that the upstream leaves.
+    The arbiter in that domain grants every request for a permit, like one that
+    hasn't learned yet that the upstream is leaving.
 
     Attributes:
-        asked: Questions that the arbiter got.
+        requested: Requests that the arbiter received.
     """
 
     def __init__(self):
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         meters = metrics.Meters()
         self.book = parts.book
         self._put(model.UpstreamState.READY, 0.0)
@@ -55,7 +56,7 @@
         row = builders.node_row("vm-9", domain=builders.AWAY)
         peer = builders.peer(row, builders.report(row), clocks.monotonic() + 60)
         parts.peers.by_node[row.node] = peer
-        self.asked: list[permit_messages.Ask] = []
+        self.requested: list[permit_messages.Ask] = []
         self._peers = parts.peers
         self._peers.send_permit = self._permit
         gate = gate_lib.Gate(
@@ -70,7 +71,11 @@
             self._peers, gate, arbiter, self.book, meters
         )
         self._owners = owners.KeyOwners(
-            parts.maps, self.book, heat.HeatBook(), self._peers, _DRAIN_S
+            parts.maps,
+            self.book,
+            key_load.KeyLoadTable(),
+            self._peers,
+            _DRAIN_S,
         )
 
     def _put(self, state: model.UpstreamState, at: float) -> None:
@@ -79,8 +84,8 @@
         )
         self.book.put(away, at)
 
-    def hear_leaving(self, since_s: float) -> None:
-        """Notes that the upstream has been leaving for some time."""
+    def learn_leaving(self, since_s: float) -> None:
+        """Records that the upstream has been leaving for some time."""
         at = clocks.monotonic() - since_s
         self._put(model.UpstreamState.DRAINING, at)
 
@@ -96,7 +101,7 @@
         message = msgspec.msgpack.decode(data, type=permit_messages.Message)
         if not isinstance(message, permit_messages.Ask):
             return
-        self.asked.append(message)
+        self.requested.append(message)
         decided = permit_messages.Decided(
             message.number, permit_messages.Verdict.GRANTED
         )
@@ -116,23 +121,23 @@
 def test_a_leaving_owner_still_takes_requests_for_a_while():
     async def scenario():
         vm = _Vm()
-        vm.hear_leaving(since_s=1.0)
+        vm.learn_leaving(since_s=1.0)
         assert (await _acquire(vm)).id == "u-1"
-        assert len(vm.asked) == 1
+        assert len(vm.requested) == 1
 
     asyncio.run(scenario())
 
 
-def test_an_arbiter_does_not_lengthen_the_time_of_a_leaving_owner():
-    # Cause: whether an owner still takes requests was left to its arbiter,
-    # which may have heard later that it leaves, or not at all. Evidence: a VM
-    # that had known of it for 2.4 s sent what the arbiter permitted.
+def test_an_arbiter_does_not_extend_the_time_of_a_leaving_owner():
+    # Only the arbiter checked whether an owner still accepts requests, and it
+    # may learn later that the owner is leaving, or not at all. A VM that had
+    # known it for 2.4 s was seen to send what the arbiter permitted.
     async def scenario():
         vm = _Vm()
-        vm.hear_leaving(since_s=_DRAIN_S - 0.1)
+        vm.learn_leaving(since_s=_DRAIN_S - 0.1)
         with pytest.raises(outcomes.RefusedError):
             await _acquire(vm)
-        assert not vm.asked
+        assert not vm.requested
 
     asyncio.run(scenario())
 
@@ -145,10 +150,11 @@
 
 
 class _Store(interfaces.StateTable):
-    """A table whose next answers a test gives.
+    """A table with predefined answers.
 
     Attributes:
-        answers: Seconds that each takes, and the rows in it; None if it fails.
+        answers: Duration of each call in seconds, and the rows in the answer;
+            None for a call that fails.
     """
 
     def __init__(self, clock: _Clock):
@@ -159,7 +165,7 @@
         took_s, rows = self.answers.pop(0)
         self._clock.now += took_s
         if rows is None:
-            raise errors.PlatformUnavailableError("silent", step="read")
+            raise errors.PlatformUnavailableError("timed out", step="read")
         return rows
 
     async def read_all(self):
@@ -192,10 +198,10 @@
     """A VM that follows the registrations, with one upstream in them.
 
     Attributes:
-        clock: The time; 100.0 when the table was last heard of.
+        clock: The time; 100.0 at the last contact with the table.
         store: Answers its calls.
         follower: Follows the table.
-        registry: Applies it.
+        registry: Applies the changes.
     """
 
     def __init__(self, monkeypatch, is_loaded: bool = True):
@@ -215,7 +221,7 @@
             self.step(0.01, _rows(1, _READY))
 
     def step(self, took_s: float, rows: interfaces.Snapshot | None) -> None:
-        """Has the store asked once; `rows` is None if it doesn't answer."""
+        """Makes one call to the store; `rows` is None if it doesn't answer."""
         self.store.answers.append((took_s, rows))
         sent = self.clock.now
         try:
@@ -229,78 +235,82 @@
         """Whether a request may be sent to the upstream at a time."""
         return self.book.by_id["u-1"].takes_requests(at, _DRAIN_S)
 
-    def assert_sends_end_in_time(self, said_at: float) -> None:
-        """Checks the last send to an upstream that said that it leaves."""
-        assert not self.is_sent_to(said_at + _DRAIN_S - _ON_ITS_WAY_S)
+    def assert_sends_end_in_time(self, announced_at: float) -> None:
+        """Checks that sends end in time after a leaving announcement."""
+        assert not self.is_sent_to(announced_at + _DRAIN_S - _ON_ITS_WAY_S)
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.3, 0.74, 1.2])
-def test_sends_end_in_time_though_a_peer_handed_the_news_over_late(
+def test_sends_end_in_time_if_a_peer_forwards_the_rows_late(
     monkeypatch, late_s
 ):
-    # Cause: the time was counted from when the rows came. Evidence: lines of 64
-    # VMs tell of rows of registrations that came 0.5 to 0.9 s after the word of
-    # them, and a reader pauses for 0.3 s and tells each 0.25 s at most, where
-    # sends end only 0.5 s early.
+    # The time was counted from the arrival of the rows. In logs of 64 VMs, rows
+    # of registrations arrived 0.5 to 0.9 s after the notice of them; a reader
+    # waits for 0.3 s and notifies every 0.25 s at most, while sends end only
+    # 0.5 s early.
     vm = _Following(monkeypatch)
-    said_at = 100.0
-    told_at = said_at + 0.5
-    vm.follower.note_told(2, told_at)
-    vm.clock.now = told_at + late_s
+    announced_at = 100.0
+    reported_at = announced_at + 0.5
+    vm.follower.note_told(2, reported_at)
+    vm.clock.now = reported_at + late_s
     vm.follower.accept(_rows(2, _LEAVING), False)
-    vm.assert_sends_end_in_time(said_at)
+    vm.assert_sends_end_in_time(announced_at)
 
 
-def test_sends_end_in_time_though_the_store_was_asked_after_a_pause(
+def test_sends_end_in_time_if_the_store_is_read_after_a_delay(
     monkeypatch,
 ):
     vm = _Following(monkeypatch)
-    said_at = vm.clock.now
+    announced_at = vm.clock.now
     vm.clock.now += 0.3
     vm.step(0.45, _rows(2, _LEAVING))
-    vm.assert_sends_end_in_time(said_at)
+    vm.assert_sends_end_in_time(announced_at)
 
 
-def test_sends_end_in_time_though_calls_failed_meanwhile(monkeypatch):
+def test_sends_end_in_time_if_calls_fail_meanwhile(monkeypatch):
     vm = _Following(monkeypatch)
-    said_at = vm.clock.now
+    announced_at = vm.clock.now
     for _ in range(3):
         vm.step(0.7, None)
     vm.step(0.01, _rows(2, _LEAVING))
-    vm.assert_sends_end_in_time(said_at)
+    vm.assert_sends_end_in_time(announced_at)
 
 
-def test_nothing_is_sent_to_one_that_left_before_the_first_read(monkeypatch):
+def test_nothing_is_sent_to_an_upstream_that_left_before_the_first_read(
+    monkeypatch,
+):
     vm = _Following(monkeypatch, is_loaded=False)
     vm.step(0.01, _rows(1, _LEAVING))
     assert not vm.is_sent_to(vm.clock.now)
 
 
-def test_news_that_were_waited_for_are_new(monkeypatch):
+def test_rows_returned_by_a_long_poll_are_new(monkeypatch):
     vm = _Following(monkeypatch)
     vm.step(3.0, _rows(2, _LEAVING))
-    said_at = vm.clock.now
-    assert vm.is_sent_to(said_at + _DRAIN_S - targets.LEAVING_MARGIN_S - 0.1)
-    vm.assert_sends_end_in_time(said_at)
+    announced_at = vm.clock.now
+    assert vm.is_sent_to(
+        announced_at + _DRAIN_S - targets.LEAVING_MARGIN_S - 0.1
+    )
+    vm.assert_sends_end_in_time(announced_at)
     vm.step(0.5, _rows(3, _READY))
     assert vm.is_sent_to(vm.clock.now + 60)
 
 
-def test_sends_end_in_time_though_a_registration_may_come_back(monkeypatch):
-    # Cause: after a call that failed, entries that are gone are kept for 2.2 s,
-    # since upstreams may register anew, and the time was counted from then.
-    # Evidence: lines of a VM that the store turned away, 2.3 to 2.7 s after the
-    # others knew that an upstream is gone.
+def test_sends_end_in_time_if_an_upstream_may_register_again(monkeypatch):
+    # After a failed call, removed entries are kept for 2.2 s, since upstreams
+    # may register again, and the time was counted from the end of that. It was
+    # seen in logs of a VM that the store refused, 2.3 to 2.7 s after the other
+    # VMs knew that an upstream had left.
     vm = _Following(monkeypatch)
     vm.step(0.7, None)
     vm.step(0.01, interfaces.Snapshot([], 1))
     vm.step(0.6, _rows(2, None))
-    said_at = vm.clock.now
-    vm.registry.tick(said_at + registry.RETURN_S + 0.1)
-    vm.assert_sends_end_in_time(said_at)
+    announced_at = vm.clock.now
+    vm.registry.tick(announced_at + registry.RETURN_S + 0.1)
+    vm.assert_sends_end_in_time(announced_at)
 
 
-def test_one_that_may_register_anew_after_an_outage_is_sent_to_meanwhile(
+def test_an_upstream_that_may_register_again_gets_requests_meanwhile(
     monkeypatch,
 ):
     vm = _Following(monkeypatch)
@@ -310,7 +320,7 @@
     assert vm.is_sent_to(vm.clock.now + registry.RETURN_S)
 
 
-def test_one_that_registers_anew_after_an_outage_is_sent_to(monkeypatch):
+def test_an_upstream_that_registers_again_gets_requests(monkeypatch):
     vm = _Following(monkeypatch)
     vm.step(0.7, None)
     vm.step(0.01, _rows(2, None))
--- a/tests/unit/test_gateway_evacuation.py
+++ b/tests/unit/test_gateway_evacuation.py
@@ -1,8 +1,8 @@
-"""What becomes of upstreams whose failure domain the operator evacuates.
+"""Upstreams in a failure domain that the operator evacuates.
 
-What was seen: the operator had a failure domain evacuated, and VMs went on
-sending there and left its upstreams their keys, as nothing took the operator's
-row in.
+These tests guard against VMs that continue to send requests to an evacuated
+domain and leave its upstreams their keys. It was seen when nothing applied the
+operator's row.
 """
 
 import asyncio
@@ -11,14 +11,14 @@
 
 from swiftstile import metrics
 from swiftstile.gateway import admission
-from swiftstile.gateway import heat
+from swiftstile.gateway import key_load
 from swiftstile.gateway import model
 from swiftstile.gateway import owners
 from swiftstile.gateway import registry
 from swiftstile.gateway import slotplan
 from swiftstile.gateway import targets
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 _KEY = 100
 _EVACUATED_AT = 50.0
@@ -52,31 +52,31 @@
     assert _staying(book) == {"u-1", "u-2", "u-3"}
 
 
-def test_one_that_registers_there_later_gets_nothing_either():
+def test_an_upstream_that_registers_there_later_gets_nothing():
     book = _book(builders.HOME)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     late = builders.upstream("u-9", failure_domain=builders.AWAY)
     target = book.put(late, _CLOSED_AT)
     assert not target.takes_requests(_CLOSED_AT, _DRAIN_S)
-    # Nor does one of there that registers anew.
+    # Nor does one that registers there again.
     assert book.put(late, _CLOSED_AT + 1).leaving_since == _EVACUATED_AT
 
 
-def test_an_evacuation_that_is_told_again_does_not_begin_again():
+def test_a_repeated_evacuation_does_not_start_again():
     book = _book(builders.AWAY)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     book.evacuate(builders.AWAY, _EVACUATED_AT + 1)
     assert book.by_id["u-1"].is_evacuated(_CLOSED_AT)
 
 
-def test_owners_are_asked_for_a_while_and_then_not_any_more():
+def test_evacuated_owners_get_requests_for_a_limited_time():
     target = _book(builders.AWAY).by_id["u-1"]
     target.set_evacuated(_EVACUATED_AT)
     assert target.takes_requests(_CLOSED_AT - 0.01, _DRAIN_S)
     assert not target.takes_requests(_CLOSED_AT, _DRAIN_S)
 
 
-def test_one_that_drains_stays_away_when_its_domain_is_taken_back():
+def test_a_draining_upstream_stays_away_when_its_domain_returns():
     book = _book(builders.AWAY)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     drains = builders.upstream(
@@ -89,7 +89,7 @@
     assert book.by_id["u-1"].leaving_since == _EVACUATED_AT + 1
 
 
-def test_one_that_is_gone_is_remembered_as_long_as_any_other():
+def test_an_upstream_that_left_is_remembered_as_long_as_any_other():
     book = _book(builders.AWAY)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     book.mark_gone("u-1", _EVACUATED_AT + 100)
@@ -97,24 +97,24 @@
     assert book.sweep(_EVACUATED_AT + 121, registry.REMEMBER_S) != []
 
 
-def test_waiting_requests_are_looked_at_when_it_changes():
-    looks = []
+def test_waiting_requests_are_checked_when_an_evacuation_changes():
+    checks = []
     book = _book(builders.AWAY)
     made = registry.Registry(
-        book, None, lambda: looks.append(1), metrics.Meters()
+        book, None, lambda: checks.append(1), metrics.Meters()
     )
     made.set_evacuated(builders.AWAY, False)
-    assert not looks
+    assert not checks
     made.set_evacuated(builders.AWAY, True)
     made.set_evacuated(builders.AWAY, True)
-    assert (len(looks), _staying(book)) == (1, set())
+    assert (len(checks), _staying(book)) == (1, set())
     made.set_evacuated(builders.AWAY, False)
-    assert (len(looks), _staying(book)) == (2, {"u-1"})
+    assert (len(checks), _staying(book)) == (2, {"u-1"})
 
 
 def test_requests_without_a_key_go_elsewhere_at_once():
     book = _book(builders.HOME, builders.AWAY)
-    # The one that stays is slow and full but for one place.
+    # The upstream that stays is slow and has one free slot.
     book.by_id["u-1"].slowness = 1.5
     builders.occupy(book.by_id["u-1"], 3)
     decisions = admission.Admission(book, builders.AWAY, _DRAIN_S)
@@ -133,10 +133,10 @@
 
 
 class _Keys:
-    """A keyed service, of which `u-1` owns all keys in one domain."""
+    """A keyed service whose keys are all owned by `u-1`, in one domain."""
 
     def __init__(self):
-        self.parts = keeper_parts.Parts()
+        self.parts = assigner_parts.Parts()
         self.book = self.parts.book
         for name, domain in (("u-1", builders.AWAY), ("u-2", builders.HOME)):
             self.book.put(builders.upstream(name, failure_domain=domain), 0.0)
@@ -144,7 +144,7 @@
         self.owners = owners.KeyOwners(
             self.parts.maps,
             self.book,
-            heat.HeatBook(),
+            key_load.KeyLoadTable(),
             self.parts.peers,
             _DRAIN_S,
         )
@@ -175,7 +175,7 @@
     assert offered is None
     keys.book.evacuate(builders.HOME, _CLOSED_AT)
     assert isinstance(keys.offer(_CLOSED_AT)[1], admission.Overload)
-    # Nor does one wait on that came before.
+    # An earlier request doesn't wait any longer either.
     _, refused = keys.decisions.pump(_CLOSED_AT)
     assert [entry for entry, _ in refused] == [waiter]
 
@@ -189,8 +189,8 @@
     async def tick() -> None:
         for _ in range(200):
             now[0] += 0.05
-            await parts.keeper.tick()
-            # Releases run beside it.
+            await parts.assigner.tick()
+            # Releases run concurrently.
             await asyncio.sleep(0)
 
     def owning() -> dict[str, int]:
@@ -210,7 +210,7 @@
         assert owning()["u-1"] > 0
 
     asyncio.run(play())
-    # Each key was released before another upstream got it.
+    # Each key was released before it was assigned to another upstream.
     released = {
         key
         for name, keys, _ in parts.control.released
@@ -221,15 +221,20 @@
 
 
 @pytest.mark.parametrize("domain", [builders.HOME, builders.AWAY])
-def test_new_keys_are_dealt_to_others(domain):
+def test_new_keys_are_assigned_to_others(domain):
     book = _book(builders.HOME, builders.AWAY)
     book.evacuate(domain, 0.0)
-    parts = keeper_parts.Parts()
+    parts = assigner_parts.Parts()
     plan = slotplan.SlotPlan(
-        builders.LOOKUPS, book, parts.speeds, parts.heat, lambda _: None, 0.0
+        builders.LOOKUPS,
+        book,
+        parts.speeds,
+        parts.key_load,
+        lambda _: None,
+        0.0,
     )
     weights = plan.weights(10.0)
-    dealt = plan.first_deal(weights, 20.0)
-    assert {book.by_id[name].upstream.failure_domain for name in dealt} == {
+    assigned = plan.initial_assignment(weights, 20.0)
+    assert {book.by_id[name].upstream.failure_domain for name in assigned} == {
         builders.HOME if domain == builders.AWAY else builders.AWAY
     }
--- a/tests/unit/test_gateway_leaving.py
+++ b/tests/unit/test_gateway_leaving.py
@@ -1,4 +1,4 @@
-"""A VM that stops in good order gives no more grants, and says so."""
+"""A VM that shuts down gracefully stops granting, and reports it."""
 
 import asyncio
 
@@ -6,12 +6,12 @@
 
 from swiftstile import errors
 from swiftstile.gateway import keymap
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 
-def _parts(with_others: bool) -> tuple[keeper_parts.Parts, keymap.KeyMap]:
-    parts = keeper_parts.Parts()
+def _parts(with_others: bool) -> tuple[assigner_parts.Parts, keymap.KeyMap]:
+    parts = assigner_parts.Parts()
     current = parts.start(leaving=())
     if with_others:
         row = builders.node_row("vm-2")
@@ -22,7 +22,7 @@
 
 
 def _grant(parts, current) -> None:
-    grant = parts.renewing.grant_counted(
+    grant = parts.renewer.grant_and_record(
         builders.LOOKUPS,
         parts.book.by_id["u-1"],
         range(0, 1),
@@ -40,35 +40,35 @@
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: 100.0)
 
 
-def test_while_it_grants_it_promises_nothing():
+def test_a_granting_vm_reports_no_end_of_its_grants():
     parts, current = _parts(with_others=True)
     _grant(parts, current)
-    assert parts.renewing.grants_end_s(100.0) is None
+    assert parts.renewer.grants_end_s(100.0) is None
 
 
-def test_once_it_stopped_it_tells_until_when_its_grants_hold():
+def test_a_stopped_vm_reports_when_its_grants_end():
     parts, current = _parts(with_others=True)
     _grant(parts, current)
-    assert parts.renewing.stop(100.0)
-    assert parts.renewing.grants_end_s(100.0) == pytest.approx(5.25)
-    assert parts.renewing.grants_end_s(103.0) == pytest.approx(2.25)
-    assert parts.renewing.grants_end_s(106.0) == 0.0
+    assert parts.renewer.stop(100.0)
+    assert parts.renewer.grants_end_s(100.0) == pytest.approx(5.25)
+    assert parts.renewer.grants_end_s(103.0) == pytest.approx(2.25)
+    assert parts.renewer.grants_end_s(106.0) == 0.0
     with pytest.raises(errors.PeerUnavailableError):
         _grant(parts, current)
     assert len(parts.control.grants) == 1
 
 
-def test_a_grant_without_answer_counts():
+def test_an_unanswered_grant_counts():
     parts, current = _parts(with_others=True)
-    parts.control.is_silent = True
+    parts.control.is_unresponsive = True
     with pytest.raises(errors.PeerTimeoutError):
         _grant(parts, current)
-    parts.renewing.stop(100.0)
-    assert parts.renewing.grants_end_s(100.0) == pytest.approx(5.25)
+    parts.renewer.stop(100.0)
+    assert parts.renewer.grants_end_s(100.0) == pytest.approx(5.25)
 
 
-def test_where_nobody_else_would_it_goes_on():
+def test_a_vm_without_substitutes_continues_to_grant():
     parts, current = _parts(with_others=False)
-    assert not parts.renewing.stop(100.0)
-    assert parts.renewing.grants_end_s(100.0) is None
+    assert not parts.renewer.stop(100.0)
+    assert parts.renewer.grants_end_s(100.0) is None
     _grant(parts, current)
--- a/tests/unit/test_gateway_owners.py
+++ b/tests/unit/test_gateway_owners.py
@@ -1,21 +1,21 @@
-"""Which owner a request is sent to, and when there is none."""
+"""Looking up the owner of a key for a request."""
 
 import pytest
 
-from swiftstile.gateway import heat
+from swiftstile.gateway import key_load
 from swiftstile.gateway import owners
+from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import keeper_parts
 
 _KEY = 100
 _NOW = 50.0
 
 
 class _Case:
-    """One upstream of another domain that owns all keys, and a VM there."""
+    """An upstream of another domain that owns all keys, and a VM there."""
 
     def __init__(self, heard_at: float):
-        parts = keeper_parts.Parts()
+        parts = assigner_parts.Parts()
         parts.book.put(
             builders.upstream("u-1", failure_domain=builders.AWAY), 0.0
         )
@@ -26,29 +26,33 @@
         )
         self.target = parts.book.by_id["u-1"]
         self.owners = owners.KeyOwners(
-            parts.maps, parts.book, heat.HeatBook(), parts.peers, drain_s=2.0
+            parts.maps,
+            parts.book,
+            key_load.KeyLoadTable(),
+            parts.peers,
+            drain_s=2.0,
         )
 
     def find(self):
         return self.owners.find(builders.LOOKUPS, _KEY, _NOW)
 
 
-def test_an_owner_that_fails_in_a_domain_that_is_cut_off_is_not_tried_again():
+def test_a_failing_owner_in_a_partitioned_domain_is_not_retried():
     case = _Case(heard_at=_NOW - 5)
     assert case.find() == (case.target, 0.0)
-    # A connection to it couldn't be opened; the penalty is over by now.
+    # A connection to it couldn't be opened, and the penalty has expired.
     case.target.note_failure(_NOW - 1)
-    assert case.find() == (None, owners.LOST_OWNER_S)
+    assert case.find() == (None, owners.FAILED_OWNER_S)
 
 
 @pytest.mark.parametrize("heard_at", [_NOW - 0.1, _NOW - 0.9])
-def test_one_that_fails_in_a_domain_that_is_heard_is_tried_again(heard_at):
+def test_a_failing_owner_in_a_responsive_domain_is_retried(heard_at):
     case = _Case(heard_at)
     case.target.note_failure(_NOW - 1)
     assert case.find() == (case.target, 0.0)
 
 
-def test_it_is_tried_again_once_its_domain_is_heard():
+def test_an_owner_is_retried_once_its_domain_responds():
     case = _Case(heard_at=_NOW - 5)
     case.target.note_failure(_NOW - 1)
     peer = case.owners._peers.by_node["vm-9"]
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -153,15 +153,14 @@
     _off(
         "keys beside a hot slot move away",
         "slotplan",
-        "                left[owner] = max(kept, left[owner] - share *"
-        " weights[owner])",
-        "                left[owner] = max(kept, left[owner])",
+        "minimum, remaining[owner] - share * weights[owner]",
+        "minimum, remaining[owner]",
     ),
     _off(
         "one slow owner of many is relieved",
         "keyplan",
-        "OVERLOAD = 0.4",
-        "OVERLOAD = 1e9",
+        "OVERLOAD_TOLERANCE = 0.4",
+        "OVERLOAD_TOLERANCE = 1e9",
     ),
     _off(
         "shares by measured speed",
@@ -227,7 +226,7 @@
     _off(
         "silent VMs aren't waited for",
         "moves",
-        "        stop = min(stopped_at, _silenced_at(peer, quorum_since))",
+        "        stop = min(stopped_at, _latest_stop_at(peer, quorum_since))",
         "        stop = stopped_at",
     ),
     _off(
