--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -1,8 +1,9 @@
-"""Which request may use which slot next, and which is refused at once.
+"""Admission control: which request gets which slot, and which is rejected.
 
-No network, task or clock of its own: callers pass the time. The load it
-answers: targets with few slots that several VMs share, more work than they
-can do, and callers that gain little from an answer after their objective.
+Pure decision code: it does no I/O, starts no tasks and takes the current time
+as an argument. It is designed for targets with few slots that are shared by
+several VMs and overloaded, and for callers to which a response after its
+latency objective is worth little.
 """
 
 import abc
@@ -26,60 +27,64 @@
     "crossing_s",
 ]
 
-# Requests sent to a target beyond its slots: hides the time that our view of
-# it lags behind (a round trip and a message of a peer, about 30 ms).
+# Requests sent to a target beyond its slots. Keeps its slots busy although this
+# VM's view of it is about 30 ms old (a round trip and a report of a peer).
 QUEUE_AHEAD = 1
-# A wait that uses more than this part of the slack before the objective is
-# refused instead: estimates are off by a third or so.
+# A request is rejected if its expected wait exceeds this fraction of the slack
+# before its objective. Estimates are off by about a third.
 SLACK_USED = 0.8
-# Least wait that is allowed, as a part of the objective: a request is never
-# refused for an estimate that is within the noise.
+# Waits up to this fraction of the objective are allowed in any case (unless the
+# deadline is nearer), so that no request is rejected for estimation noise.
 LEAST_WAIT = 0.25
-# A request counts as late unless it could also take so much more than the mean
-# work: work varies by half, so half of those that are just in time by the mean
-# are late, and take a slot from one that wouldn't be. Never more than the
-# latter part of the slack, so that a slow owner's requests aren't all late.
+# A request counts as late unless it would meet its objective even with this
+# fraction of the mean service time added. Service times vary by half, so half
+# of the requests that are just in time by the mean finish late, and use a slot
+# that another request could have used in time. The reserve is capped at the
+# second fraction of the slack, or else all requests of a slow owner would count
+# as late.
 LATE_RESERVE, RESERVED_SLACK = 0.6, 0.5
-# Where requests that can be in time have been waiting for the same for so long,
-# in objectives, late ones are refused. Later refusals serve no more.
+# Late requests are rejected once requests that can still be in time have waited
+# for the same targets for this long without a break, in objectives. Rejecting
+# them later than this doesn't serve more requests.
 CROWDED_AFTER = 0.5
-# A request that has less than this part of its expected time left is refused.
+# A request with less than this fraction of its expected service time left is
+# rejected.
 LEAST_TIME_LEFT = 0.6
-# What sending to another failure domain counts for, in objectives: bytes
-# between domains are dear, and an answer that comes a little later within its
+# Cost of sending to another failure domain, in objectives. Traffic between
+# domains is expensive, and a response that is slower but still within its
 # objective is worth the same.
 OTHER_DOMAIN = 0.2
-# The same for large bodies: such a request goes to another domain only where
-# it would miss its objective at home.
+# The same for large bodies, which leave the local domain only if they would
+# miss their objective there.
 OTHER_DOMAIN_LARGE = 0.75
-# Shortest time after which a caller is asked back, in objectives: about the
-# time in which a slot comes free.
+# Minimum Retry-After, in objectives: about the time until a slot becomes free.
 LEAST_RETRY_AFTER = 0.25
-# A service without any target: about two heartbeats of the upstreams.
+# Retry-After for a service without targets: about two upstream heartbeats.
 TARGETLESS_RETRY_AFTER_S = 1.0
-# Callers spread their return over this part of the time they are told.
+# Random fraction added to Retry-After, so that callers don't retry all at once.
 RETRY_SPREAD = 0.4
-# Up to so many VMs that share targets, each knows of all requests there within
-# a fraction of the time that these take.
+# Up to this many VMs, each learns of the others' requests at shared targets
+# within a fraction of their service time.
 FEW_VMS = 6
-# Targets that a VM compares where there are more VMs. By counts that are older
-# than the time between two requests, all would choose the same best one.
+# Number of random targets that a VM compares when there are more VMs. Their
+# counts are older than the time between two requests, so that all VMs would
+# otherwise choose the same target.
 SAMPLE = 2
 _FOREVER = float("inf")
 
-# What requests wait for: any upstream of a service, or the one that owns a key.
+# What a request queues for: any upstream of a service, or the owner of a key.
 Contest = tuple[ids.ServiceName, model.UpstreamId | None]
 
 
 class Overload(typing.NamedTuple):
-    """A refusal: when to come back, and what decided it.
+    """The rejection of a request, with its reason.
 
     Attributes:
-        retry_after_s: When to come back, in seconds.
-        wait_s: How long it would have waited, or did.
-        owner: The one upstream that could have served it; None without a key
-            or an owner.
-        is_ownerless: Whether its key has no owner that can be asked.
+        retry_after_s: When the caller should retry, in seconds from now.
+        wait_s: How long the request waited or would have had to wait.
+        owner: The only upstream that could have served it; None if it has no
+            key or its key has no owner.
+        is_ownerless: Whether its key has no reachable owner.
     """
 
     retry_after_s: float
@@ -89,62 +94,62 @@
 
 
 class _Group(typing.NamedTuple):
-    """Targets of a service, by where they are and whether they have room."""
+    """Targets of a service by failure domain and spare capacity."""
 
     home_open: list[targets.Target]
     home_full: list[targets.Target]
     far_open: list[targets.Target]
 
 
-# Groups that were found at one scan of the queue, by service and domain.
+# Groups computed during one scan of the queue, by service and domain.
 _Groups = dict[tuple[ids.ServiceName, ids.FailureDomain | None], _Group]
 
 
 class Assignment(typing.NamedTuple):
-    """A request that may be sent now, and where to."""
+    """A request that may be sent now, and its target."""
 
     waiter: "Waiter"
     target: targets.Target
 
 
 def crossing_s(route: model.Route) -> float:
-    """Returns what an answer of another failure domain counts for longer."""
+    """Returns the latency penalty for sending to another failure domain."""
     if route.repeatability is model.Repeatability.ONCE_LARGE:
         return OTHER_DOMAIN_LARGE * route.objective_s
     return OTHER_DOMAIN * route.objective_s
 
 
 class OwnerLookup(abc.ABC):
-    """Finds the owner of one key."""
+    """Looks up the owner of one key."""
 
     @abc.abstractmethod
     def target(self, now: float) -> targets.Target | None:
-        """Returns the owner, if it can be asked now."""
+        """Returns the owner, or None if it can't take requests now."""
 
     @abc.abstractmethod
     def ready_in_s(self, now: float) -> float:
-        """Returns when there is likely to be an owner, in seconds."""
+        """Returns the expected time until the key has an owner, in seconds."""
 
 
 class Waiter:
-    """A request that asks for a slot.
+    """A request that needs a slot.
 
     Attributes:
         route: Its route.
-        service: The service that was drawn for it.
-        owner: Finds the target that owns its key; None without a key.
-        arrived: When it came, on the steady clock.
-        end: When its answer is of no use any more.
-        expected_s: Time of a target of mean speed for it.
-        excluded: Targets that already refused or failed it.
-        awaited: The one target that it waits for, if its key has an owner.
+        service: The service selected by the route's traffic split.
+        owner: Looks up the target that owns its key; None without a key.
+        arrived: Arrival time, on the monotonic clock.
+        end: Deadline after which a response is useless.
+        expected_s: Expected service time at a target of mean speed.
+        excluded: Targets that already rejected it or failed.
+        awaited: The target that owns its key, if it waits for that one.
         occupied: Other requests at its target when it was sent there.
-        key: Its key, if it has one.
-        gives_up_at: When its caller stops waiting, if it said so.
-        domain: The failure domain whose upstreams alone it may use; all if
-            None. One VM decides for all requests that name a domain.
-        most_wait_s: Longest that it may wait for a slot, in seconds; as long as
-            it is of use if None.
+        key: Its key, if any.
+        gives_up_at: When its caller stops waiting, if the caller said so.
+        domain: The only failure domain whose upstreams it may use; None for
+            all. One VM decides for all requests with a domain.
+        most_wait_s: Maximum wait for a slot, in seconds; None for no limit
+            besides the deadline.
     """
 
     _sequence = itertools.count()
@@ -177,19 +182,19 @@
 
     @property
     def objective_at(self) -> float:
-        """Until when an answer is of full use."""
+        """Time by which a response meets the objective."""
         return self.arrived + self.route.objective_s
 
     @property
     def is_decided_for_all(self) -> bool:
-        """Whether one VM decides for all that wait for the same."""
+        """Whether one VM decides for all requests that compete with it."""
         return self.owner is not None or self.domain is not None
 
     @property
     def contest(self) -> Contest | None:
-        """What it waits for: any of a service, or the owner of its key.
+        """What it queues for: any target of a service, or its key's owner.
 
-        None if its key has no owner: nobody overtakes it there.
+        None if its key has no owner, as no other request can overtake it then.
         """
         if self.owner is None:
             return self.service, None
@@ -197,19 +202,19 @@
 
     @property
     def work_s(self) -> float:
-        """Time for it at the one target that it waits for, or at a mean one."""
+        """Expected service time at the awaited target, or at a mean one."""
         slowness = 1.0 if self.awaited is None else self.awaited.slowness
         return self.expected_s * slowness
 
     def is_late(self, now: float) -> bool:
-        """Whether an answer would likely come too late to be of full use."""
+        """Whether a response would probably miss the objective."""
         work_s = self.work_s
         slack_s = max(0.0, self.route.objective_s - work_s)
         reserve_s = min(LATE_RESERVE * work_s, RESERVED_SLACK * slack_s)
         return now + work_s + reserve_s > self.objective_at
 
     def rank(self, now: float) -> tuple[bool, int, float, int]:
-        """Returns its place in the queue; the least goes first."""
+        """Returns its sort key in the queue; the lowest goes first."""
         return (
             self.is_late(now),
             self.route.priority,
@@ -219,10 +224,10 @@
 
 
 class Admission:
-    """Shares the slots of targets out to the requests of one VM.
+    """Assigns slots of targets to the requests of one VM.
 
     Attributes:
-        vms: VMs that send to the same targets, this one included.
+        vms: Number of VMs that send to the same targets, including this one.
     """
 
     def __init__(
@@ -237,8 +242,8 @@
         self._drain_s = drain_s
         self._limits = limits
         self._waiters: dict[int, Waiter] = {}
-        # Since when requests that can be in time have been waiting for the
-        # same, without a break.
+        # Start of the current uninterrupted period in which requests that can
+        # still be in time have been waiting, by what they queue for.
         self._contested_since: dict[Contest, float] = {}
         self._returns = returns.Returns()
         self.vms = 1
@@ -249,11 +254,11 @@
     def offer(
         self, waiter: Waiter, now: float
     ) -> targets.Target | Overload | None:
-        """Decides on a request that just came, or came back from a target.
+        """Decides on a request that just arrived or that a target rejected.
 
         Returns:
-            A target, if it may be sent now; a refusal, if waiting is hopeless;
-            or None, if it has to wait and was put into the queue.
+            A target if the request may be sent now, a rejection if it couldn't
+            be served in time, or None if it was put into the queue.
         """
         if waiter.owner is not None:
             waiter.awaited = waiter.owner.target(now)
@@ -275,7 +280,7 @@
         return None
 
     def leave(self, waiter: Waiter) -> None:
-        """Takes a request out of the queue, if it is there."""
+        """Removes a request from the queue, if it is queued."""
         if self._waiters.pop(waiter.sequence, None) is None:
             return
         if not self._waiters:
@@ -287,15 +292,14 @@
     def pump(
         self, now: float, only: Contest | None = None
     ) -> tuple[list[Assignment], list[tuple[Waiter, Overload]]]:
-        """Returns waiting requests that may be sent, and those to refuse.
+        """Returns queued requests that may be sent, and those to reject.
 
         Args:
-            now: The time.
-            only: Looks at the requests that wait for this alone; all if left
-                out.
+            now: The current time.
+            only: Restricts the scan to the requests that queue for this.
         """
         assigned, refused = [], []
-        # For what requests wait that can be in time.
+        # What requests that can still be in time keep waiting for.
         contested: set[Contest] = set()
         groups: _Groups = {}
         looked_at = [
@@ -310,7 +314,8 @@
             target = self._pick(waiter, now, groups)
             if target is not None:
                 self.leave(waiter)
-                # Counted here, so that the next one sees the slot taken.
+                # Counted temporarily, so that later requests of this scan see
+                # the slot as taken.
                 target.own += 1
                 self._limits.note_sent(target, now)
                 groups.pop((waiter.service, waiter.domain), None)
@@ -332,7 +337,7 @@
 
     @staticmethod
     def _is_hopeless(waiter: Waiter, now: float) -> bool:
-        """Whether its key gets no owner within the time that it has left."""
+        """Whether its key won't have an owner before its deadline."""
         if waiter.owner is None or waiter.owner.target(now) is not None:
             return False
         return waiter.owner.ready_in_s(now) > waiter.end - now
@@ -340,7 +345,7 @@
     def _note_contested(
         self, contested: set[Contest], only: Contest | None, now: float
     ) -> None:
-        """Notes since when requests that can be in time wait for the same."""
+        """Updates the start times of periods of contention."""
         kept = {
             contest: since
             for contest, since in self._contested_since.items()
@@ -349,7 +354,7 @@
         self._contested_since = dict.fromkeys(contested, now) | kept
 
     def _turn_away(self, waiter: Waiter, now: float) -> Overload:
-        """Takes a request out of the queue that waited in vain."""
+        """Removes a queued request and returns its rejection."""
         overload = self._refusal(waiter, 0.0, now - waiter.arrived, now)
         self.leave(waiter)
         return overload
@@ -357,21 +362,21 @@
     def _is_starved(
         self, waiter: Waiter, contested: set[Contest], now: float
     ) -> bool:
-        """Whether a late request would wait in vain.
+        """Whether a late request would never get a slot.
 
-        Those that can be in time go first. Where some have been waiting for
-        long, more will come.
+        Requests that can be in time go first. Where these have been queueing
+        for a while, newer ones will keep overtaking it.
         """
         return waiter.contest in contested and self._is_crowded(waiter, now)
 
     def pick(self, waiter: Waiter, now: float) -> targets.Target | None:
-        """Returns the target with room that is expected to answer first."""
+        """Returns the available target with the earliest expected response."""
         return self._pick(waiter, now, {})
 
     def _pick(
         self, waiter: Waiter, now: float, groups: _Groups
     ) -> targets.Target | None:
-        """The same, by what is known of all that wait at the same moment."""
+        """Like `pick`, with target groups cached for one scan of the queue."""
         best, best_s = None, waiter.end - now
         best_full_s = _FOREVER
         for target in self._sample(waiter, now, groups):
@@ -386,22 +391,22 @@
                 best_full_s = min(best_full_s, took_s)
             elif waiter.owner is not None or took_s < best_s:
                 best, best_s = target, took_s
-        # One that is full now may still be the first to answer.
+        # Waiting for a full target may still give the earliest response.
         return best if best_s <= best_full_s else None
 
     @staticmethod
     def _room_beyond_slots(waiter: Waiter, now: float) -> int:
         """Returns how many requests a target may have beyond its slots.
 
-        One that is late anyway goes to an owner only when a slot is idle: what
-        it would gain by queueing there, the next one that can be in time loses.
+        A late request is sent to an owner only if a slot is idle. Queueing it
+        there would delay the next request that can still be in time.
         """
         if waiter.owner is not None and waiter.is_late(now):
             return 0
         return QUEUE_AHEAD
 
     def expected_wait_s(self, waiter: Waiter, now: float) -> float:
-        """Returns how long a request would wait for a slot, in seconds."""
+        """Returns the expected wait of a request for a slot, in seconds."""
         candidates = self._candidates(waiter, now)
         if not candidates:
             return self._no_candidate_for_s(waiter, now)
@@ -420,7 +425,7 @@
         return (ahead + elsewhere + above + 1) / rate
 
     def _no_candidate_for_s(self, waiter: Waiter, now: float) -> float:
-        """Returns how long there is likely to be nowhere to send to."""
+        """Returns the expected time until a target exists, in seconds."""
         if waiter.owner is None:
             return _FOREVER
         owner = waiter.owner.target(now)
@@ -433,25 +438,27 @@
     ) -> list[targets.Target]:
         """Returns the targets to compare for a request.
 
-        Where many VMs share the targets, what one knows of them is older than
-        the time in which the others send there. If all chose the best of all,
-        all would choose the same one, so each compares a few drawn at random.
+        With many VMs, the counts that one VM has of a target are older than the
+        interval between requests of the others. If each chose the best of all
+        targets, all would choose the same one, so each compares a small random
+        sample.
         """
         if waiter.domain is not None:
-            # This VM knows the requests of all VMs there.
+            # This VM decides on the requests of all VMs there.
             return self._group(waiter, now, groups).home_open
         if self.vms <= FEW_VMS:
             return self._open_candidates(waiter, now)
         group = self._group(waiter, now, groups)
         if group.home_open:
             return _some_of(group.home_open)
-        # A full one at home may still be the first to answer; it is waited for.
+        # Waiting for a full target at home may still give the earliest
+        # response.
         return _some_of(group.far_open) + _some_of(group.home_full)
 
     def _open_candidates(
         self, waiter: Waiter, now: float
     ) -> list[targets.Target]:
-        """Returns the candidates to which this VM may send at this moment."""
+        """Returns the candidates that this VM may send to right now."""
         return [
             target
             for target in self._candidates(waiter, now)
@@ -459,10 +466,10 @@
         ]
 
     def _group(self, waiter: Waiter, now: float, groups: _Groups) -> _Group:
-        """Returns the targets of a request, in groups.
+        """Returns the targets of a request, grouped.
 
-        Requests that wait for the same service share them: a queue looks often,
-        and would go through all targets for each request.
+        Requests for the same service share one group, as the queue is scanned
+        often and would otherwise iterate over all targets for each request.
         """
         is_shared = waiter.owner is None and not waiter.excluded
         name = waiter.service, waiter.domain
@@ -504,7 +511,7 @@
         return sound or usable
 
     def staying(self, waiter: Waiter, now: float) -> list[targets.Target]:
-        """Returns the targets of a request's service that it may be sent to."""
+        """Returns usable targets of a request's service that aren't leaving."""
         group = self._book.by_service.get(waiter.service, {})
         return [
             target
@@ -516,7 +523,7 @@
     def is_usable(
         self, target: targets.Target, waiter: Waiter, now: float
     ) -> bool:
-        """Whether a target may get a request, as far as this VM knows."""
+        """Whether a target may be sent a request, as far as this VM knows."""
         return target.id not in waiter.excluded and target.takes_requests(
             now, self._drain_s
         )
@@ -530,7 +537,7 @@
         return crossing_s(waiter.route)
 
     def _is_overtaking(self, waiter: Waiter, now: float) -> bool:
-        """Whether one that waits for the same target should go first."""
+        """Whether a competing request in the queue goes first."""
         rank = waiter.rank(now)
         return any(
             self._competes(other, waiter) and other.rank(now) < rank
@@ -554,9 +561,9 @@
     def _longest_wait_s(self, waiter: Waiter, now: float) -> float:
         possible_s = waiter.end - now - waiter.expected_s
         if waiter.is_decided_for_all and not self._is_crowded(waiter, now):
-            # It would be served late rather than not at all. Where no VM knows
-            # all that wait, late requests of one would go before those of
-            # another.
+            # A late response is better than none. Only allowed where one VM
+            # knows the whole queue: otherwise late requests of one VM would
+            # overtake requests of another that can still be in time.
             return possible_s
         slack_s = waiter.objective_at - now - waiter.work_s
         useful_s = max(
@@ -565,7 +572,7 @@
         return min(useful_s, possible_s)
 
     def _is_crowded(self, waiter: Waiter, now: float) -> bool:
-        """Whether requests that can be in time always wait for the same."""
+        """Whether requests that can be in time have long been competing."""
         since = self._contested_since.get(waiter.contest, now)
         return now - since >= CROWDED_AFTER * waiter.route.objective_s
 
--- a/src/swiftstile/gateway/arrivals.py
+++ b/src/swiftstile/gateway/arrivals.py
@@ -1,4 +1,4 @@
-"""Requests of callers as they were read, and who answers them."""
+"""Requests received from callers, and the interface of their handler."""
 
 import abc
 import asyncio
@@ -11,11 +11,11 @@
 
 
 class Arrival:
-    """A request as it was read.
+    """A received request.
 
     Attributes:
         request: The request.
-        arrived: When its head was read, on the steady clock.
+        arrived: When its head was read, on the monotonic clock.
     """
 
     def __init__(
@@ -29,48 +29,49 @@
         self._turn = turn
 
     async def turn(self) -> None:
-        """Returns once all requests ahead of it are answered.
+        """Waits until all earlier requests of the connection are answered.
 
-        An answer that is written piece by piece waits for this; all others are
-        written by the connection.
+        Must be awaited before a streamed response is written. Other responses
+        are written by the connection.
         """
         await self._turn()
 
 
 class Responder(abc.ABC):
-    """Answers the requests of callers.
+    """Handles the requests of callers.
 
     Attributes:
-        is_leaving: Connections end as soon as what was begun is answered.
+        is_leaving: Whether connections are closed once the requests in progress
+            have been answered.
     """
 
     is_leaving = False
 
     @abc.abstractmethod
     async def respond(self, arrival: Arrival) -> web_response.StreamResponse:
-        """Returns the response to a request, whatever happens."""
+        """Returns the response to a request, also in case of errors."""
 
     @abc.abstractmethod
     def respond_malformed(
         self, error: Exception
     ) -> web_response.StreamResponse:
-        """Returns the response to what can't be understood."""
+        """Returns the response to a request that can't be parsed."""
 
     @abc.abstractmethod
     def may_overlap(self, request: web_request.BaseRequest) -> bool:
-        """Whether a request may run beside those ahead of it."""
+        """Whether a request may run concurrently with earlier ones."""
 
 
 class Unanswered:
-    """A request of a connection that has no answer yet.
+    """A request of a connection that hasn't been answered yet.
 
     Attributes:
         request: The request.
-        arrived: When its head was read.
+        arrived: When its head was read, on the monotonic clock.
         payload: Its body.
-        error: Why it can't be understood, if so.
-        is_last: The connection ends with its answer.
-        task: Works on it, if it was begun ahead of its turn.
+        error: The parser's error, if it is malformed.
+        is_last: Whether the connection is closed after its response.
+        task: Handles it, if it was started before its turn.
     """
 
     __slots__ = (
@@ -95,7 +96,7 @@
         self._overlaps: bool | None = None
 
     def may_overlap(self, responder: Responder) -> bool:
-        """Whether it may be begun beside those ahead of it."""
+        """Whether it may run concurrently with earlier ones."""
         if self._overlaps is None:
             self._overlaps = self.error is None and responder.may_overlap(
                 self.request
@@ -103,7 +104,7 @@
         return self._overlaps
 
     def held_bytes(self) -> int:
-        """Returns the size of its answer, if that is ready."""
+        """Returns the size of its response, or 0 if that isn't ready."""
         task = self.task
         if task is None or not task.done() or task.cancelled():
             return 0
--- a/src/swiftstile/gateway/callers.py
+++ b/src/swiftstile/gateway/callers.py
@@ -1,10 +1,12 @@
-"""Connections of callers: requests overlap, answers keep their order.
+"""HTTP server connections with concurrent handling of pipelined requests.
 
-A caller may send further requests before the first is answered (pipelining).
-Those that may run more than once and have no body are begun as they arrive,
-so that a slow one doesn't hold up the work of those behind it; all others wait
-for their turn. Built upon the parser, the requests and the responses of
-`aiohttp`; its server connection takes one request at a time.
+A caller may send further requests before the first one is answered. Idempotent
+requests without a body are handled as they arrive, so that a slow one doesn't
+delay those behind it; all others wait for their turn. Responses are always sent
+in the order of the requests.
+
+Uses the parser, requests and responses of `aiohttp`, but not its server
+connection, which handles one request at a time.
 """
 
 import asyncio
@@ -26,26 +28,26 @@
 
 __all__ = ["CallerConnection"]
 
-# Requests of one connection that are worked on at the same time. A browser
-# sends about six; without a bound one caller could take all slots.
+# Maximum requests of one connection that are handled at the same time. A
+# browser sends about six. Without a limit one caller could take all slots.
 MAX_OVERLAPPING = 8
-# Answers that are ready and wait for those ahead of them hold this many bytes
-# at most; beyond it no further request of that connection is begun.
+# Maximum size of the finished responses of one connection that wait for earlier
+# ones. Above it, no further request of the connection is started.
 MAX_HELD_BYTES = 1 << 18
-# Requests that are read and not answered; beyond it nothing more is read.
+# Maximum unanswered requests of one connection. Reading pauses above it.
 MAX_UNANSWERED = 32
-# Longest line that the parser takes, in bytes; what the operator allows is
-# less and may change, so it is checked for each request.
+# Longest line that the parser accepts, in bytes. The operator's limit is lower
+# and may change, so it is checked for each request.
 MAX_LINE_BYTES = 65536
-# Part of a body that is kept in memory before the caller has to wait.
+# Bytes of a body that are buffered before reading pauses.
 _BODY_BUFFER_BYTES = 1 << 16
-# A body that is still under way when its request was answered is read on for
-# so long: a caller that still sends wouldn't read the answer otherwise.
+# How long the rest of a body is read and discarded after the response was sent:
+# a caller that is still sending might not read the response otherwise.
 DISCARD_S = 5.0
-# Idle connections are kept a little longer than the limit, so that a caller
-# that keeps to it never meets a closed one.
+# Idle connections are closed this much later than the limit, so that a caller
+# that respects the limit never uses a closed connection.
 _IDLE_SLACK_S = 0.5
-# Stands for what no request could be made of, so that it can be answered.
+# Placeholder for a request that can't be parsed, so that it can be answered.
 _UNREADABLE = http.RawRequestMessage(
     method="UNKNOWN",
     path="/",
@@ -65,13 +67,13 @@
 
     Args:
         loop: The event loop.
-        responder: Answers requests.
-        connections: Where it is listed while it is open.
+        responder: Handles requests.
+        connections: Set that contains this connection while it is open.
 
     Attributes:
-        last_at: When a request was last answered.
-        head_at: Since when an incomplete head is being read, if one is.
-        ssl_context, peername, sockname: What `aiohttp` asks of a connection.
+        last_at: When the last request was answered.
+        head_at: When reading an incomplete head started; None if there is none.
+        ssl_context, peername, sockname: Attributes that `aiohttp` requires.
     """
 
     def __init__(
@@ -110,13 +112,13 @@
 
     @property
     def active(self) -> int:
-        """Requests that were read and have no answer yet."""
+        """Number of requests that have been read but not answered."""
         return len(self._unanswered)
 
     def is_overdue(
         self, header_timeout_s: float, idle_timeout_s: float, now: float
     ) -> bool:
-        """Whether it was idle, or slow to send a head, beyond the limits."""
+        """Whether the connection exceeds the header or idle timeout."""
         if self._unanswered:
             return False
         if self.head_at is not None:
@@ -126,7 +128,7 @@
         return slack_s > _IDLE_SLACK_S
 
     def close(self) -> None:
-        """Closes it; requests that are being worked on are given up."""
+        """Closes the connection and cancels its requests."""
         self._is_ending = True
         if self.transport is not None:
             self.transport.close()
@@ -159,7 +161,7 @@
         now = clocks.monotonic()
         has_messages = False
         if self._is_full:
-            # Reading is paused; this was read before.
+            # Reading is paused; this data was received before that.
             self._unparsed += data
             return
         data, self._unparsed = self._unparsed + data, b""
@@ -174,10 +176,10 @@
         self._begin_ahead()
 
     def _read_one(self, data: bytes, now: float) -> bool:
-        """Reads on to the end of one request; whether a head was read.
+        """Parses up to the end of one request; returns whether a head was read.
 
-        The parser stops after each request and keeps the rest: what can't be
-        understood doesn't take those along that were sent ahead of it.
+        The parser stops after each request and keeps the remaining data, so
+        that a malformed request doesn't affect those sent before it.
         """
         try:
             messages, is_upgrade, _ = self._parser.feed_data(data)
@@ -189,20 +191,20 @@
         for message, payload in messages:
             self._take(message, payload, now)
         if is_upgrade and self._unanswered:
-            # What follows would be another protocol.
+            # Any further data would be of another protocol.
             self._unanswered[-1].is_last = True
             self._is_unreadable = True
         return bool(messages) and not self._is_unreadable
 
     def resume_reading(self, resume_parser: bool = True) -> None:
-        """See base class; called when a body's reader has room again."""
+        """See base class; called when a body's buffer has space again."""
         super().resume_reading(resume_parser)
         if self._is_full and self.transport is not None:
             self.transport.pause_reading()
 
     def _take(self, message, payload, now: float, error=None) -> None:
         if self._unanswered and self._unanswered[-1].is_last:
-            # Sent behind a request that asked to close the connection.
+            # Pipelined after a request that closes the connection.
             return
         request = web_request.BaseRequest(
             message,
@@ -227,7 +229,7 @@
             self.head_at = now
 
     def _begin_ahead(self) -> None:
-        """Begins requests behind the first one, as far as they may overlap."""
+        """Starts requests behind the first one that may run concurrently."""
         if len(self._unanswered) < 2 or self._responder.is_leaving:
             return
         held = 0
@@ -255,17 +257,17 @@
         return await self._responder.respond(arrival)
 
     async def _run(self) -> None:
-        """Answers requests in their order until the connection ends."""
+        """Sends responses in order until the connection ends."""
         try:
             while not self._is_ending:
                 pending = await self._next()
                 await self._answer(pending)
                 self._finish(pending)
         except ConnectionError as error:
-            # The caller left while its answer was written.
-            logs.logger.debug("answer not delivered", error=repr(error))
+            # The caller closed the connection during the response.
+            logs.logger.debug("response not delivered", error=repr(error))
         except Exception:
-            logs.logger.exception("connection of a caller failed")
+            logs.logger.exception("caller connection failed")
         finally:
             self._give_up_rest()
             if self.transport is not None:
@@ -293,10 +295,11 @@
         await self._discard_body(pending)
 
     def _ends_with(self, pending: arrivals.Unanswered) -> bool:
-        """Whether an answer is the last one on its connection.
+        """Whether a response is the last one on its connection.
 
-        While this VM leaves, all that was begun is answered first: whatever
-        stands behind an answer that closes was sent to nobody.
+        While this VM drains, all started requests are answered first, so that
+        requests behind the closing response are known not to have been sent to
+        any upstream.
         """
         is_leaving = self._responder.is_leaving
         return pending.is_last or (is_leaving and not self._has_begun_behind())
@@ -314,7 +317,7 @@
                 while not payload.is_eof():
                     await payload.readany()
         except (TimeoutError, aiohttp.ClientError, ConnectionError) as error:
-            logs.logger.debug("rest of a body not read", error=repr(error))
+            logs.logger.debug("request body not drained", error=repr(error))
             self._is_ending = True
 
     def _finish(self, pending: arrivals.Unanswered) -> None:
@@ -326,7 +329,7 @@
                 first.turn.set_result(None)
         if self._is_full and len(self._unanswered) <= MAX_UNANSWERED // 2:
             self._is_full = False
-            # The parser keeps what came behind the last request that it took.
+            # The parser has kept the data behind the last request it returned.
             self.resume_reading()
         self._begin_ahead()
 
--- a/src/swiftstile/gateway/causes.py
+++ b/src/swiftstile/gateway/causes.py
@@ -1,8 +1,9 @@
-"""Which requests are the cause of crashes: decisions only.
+"""Attributes crashes of upstreams to the requests that caused them.
 
-Several requests may be at an upstream when it falls. The last that was sent is
-the likeliest cause, as it just began. It errs where an ordinary request that
-never had an answer is sent right behind a cause several times in a row.
+Pure decision code without I/O. Several requests may be in progress at an
+upstream when it crashes. The most recently sent one is the likeliest cause, as
+it has just started. The heuristic is wrong if an ordinary request that was
+never answered is sent directly after a cause several times in a row.
 """
 
 import typing
@@ -13,31 +14,31 @@
 
 __all__ = ["CrashId", "crash_id", "find"]
 
-# Crashes after which a request may be taken for their cause.
+# Minimum crashes before a request can be regarded as their cause.
 LEAST_CRASHES = 3
-# Weight that its crashes must exceed together. One counts 1 for the last that
-# was sent, 1/2 for the one before, and so on.
+# Weight that the sum over its crashes must exceed. A crash counts 1 for the
+# most recently sent request, 1/2 for the one before, and so on.
 LEAST_WEIGHT = 2.5
-# It is taken for their cause after so many, whatever else was there.
+# After this many crashes it is regarded as their cause whatever the weight.
 MOST_CRASHES = 5
 
-# One crash of one life of an upstream.
+# Identifies the crash of one process of an upstream.
 CrashId = typing.NewType("CrashId", int)
 
-# How long before a crash a request was sent, in seconds, by request and crash.
+# Time from sending a request to a crash, in seconds, by request and crash.
 Sent = dict[fingerprint.Digest, dict[CrashId, float]]
 
 
 def crash_id(upstream: model.UpstreamId, started_ms: int) -> CrashId:
-    """Returns the name of the crash that ends a life of an upstream."""
+    """Returns the id of the crash of an upstream's current process."""
     return CrashId(zlib.crc32(f"{upstream}/{started_ms}".encode()))
 
 
 def find(sent: Sent) -> list[fingerprint.Digest]:
-    """Returns the requests that are taken for causes, the likeliest first.
+    """Returns the requests that are regarded as causes, likeliest first.
 
     Args:
-        sent: The suspects of several crashes.
+        sent: Suspects of several crashes.
     """
     found: list[fingerprint.Digest] = []
     while True:
@@ -50,7 +51,7 @@
 def _likeliest(
     sent: Sent, found: list[fingerprint.Digest]
 ) -> fingerprint.Digest | None:
-    """Returns the likeliest cause besides those that were found."""
+    """Returns the likeliest cause apart from those already found."""
     unexplained = {
         digest: {
             crash: sent_s
@@ -75,14 +76,14 @@
     sent: Sent,
     found: list[fingerprint.Digest],
 ) -> bool:
-    """Whether a known cause was sent there later than a request."""
+    """Whether a known cause was sent after the request, before the crash."""
     return any(
         crash in sent[cause] and sent[cause][crash] <= sent_s for cause in found
     )
 
 
 def _weights(sent: Sent) -> dict[fingerprint.Digest, float]:
-    """Returns what the crashes of each suspect count for, together."""
+    """Returns the total weight of the crashes of each suspect."""
     suspects_by_crash: dict[CrashId, list[fingerprint.Digest]] = {}
     for digest, crashes in sent.items():
         for crash in crashes:
--- a/src/swiftstile/gateway/connections.py
+++ b/src/swiftstile/gateway/connections.py
@@ -1,7 +1,8 @@
-"""Connections to upstreams: one request at a time on each.
+"""Pooled HTTP/1.1 connections to upstreams, without pipelining.
 
-A connection is only used again if nothing unexpected was ever read from it;
-one that was given up is reset, so that bytes still under way are lost.
+A connection is reused only if no unexpected data was ever read from it. An
+abandoned connection is closed with a TCP reset, which discards data that is
+still in transit.
 """
 
 import asyncio
@@ -25,23 +26,25 @@
     "reset_on_close",
 ]
 
-# A new connection that isn't up after this long is given up: two round trips
-# in a region are under 10 ms, a lost opening packet is sent again after 1 s.
+# Timeout for opening a connection. Two round trips within a region take less
+# than 10 ms; a lost SYN is retransmitted after 1 s only.
 CONNECT_TIMEOUT_S = 0.4
-# Bytes that nobody acknowledges for this long break a connection. Longer than
-# one retransmission on a lossy link, shorter than the shortest route timeout.
+# TCP_USER_TIMEOUT: a connection fails if sent data isn't acknowledged for this
+# long. Longer than one retransmission on a lossy link, shorter than the
+# shortest route timeout.
 UNACKNOWLEDGED_TIMEOUT_S = 1.5
-# An idle connection isn't used in the last part of the time that the server
-# keeps it, when a request may cross its close.
+# An idle connection isn't reused if the server may close it within this time,
+# as the request could cross the close.
 IDLE_MARGIN_S = 1.5
-# Used when a server doesn't say how long it keeps idle connections.
+# Assumed idle timeout of a server that doesn't announce one.
 DEFAULT_IDLE_S = 5.0
-# Idle connections kept to one upstream: its slots and some that queue.
+# Maximum idle connections to one upstream: its slots and some queued requests.
 MAX_IDLE = 6
-# After a kept connection turned out to be forgotten by its server, others that
-# rested longer than RESTED_S aren't used for what may run only once, for so
-# long: a reset doesn't say whether the request ran. Servers that forget do so
-# after 0.3 s or more, for some seconds.
+# After a reused connection broke before any response, connections that have
+# been idle for more than RESTED_S aren't used for non-idempotent requests for
+# DISTRUST_S: servers may have dropped them silently, and a reset doesn't tell
+# whether the request ran. Affected servers drop connections that were idle for
+# 0.3 s or more, over a period of some seconds.
 DISTRUST_S = 10.0
 RESTED_S = 0.2
 _LINGER_RESET = struct.pack("ii", 1, 0)
@@ -50,14 +53,14 @@
 
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
-    """Makes the end of a connection, of our process too, a reset."""
+    """Makes the socket send a TCP reset on close, even if the process dies."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
 
 
 class AnswerHead:
-    """Status and headers of an answer, and the stream of its body."""
+    """Status and headers of a response, and the stream of its body."""
 
     def __init__(self, message, payload: aiohttp.StreamReader):
         self.status: int = message.code
@@ -72,10 +75,10 @@
 
     Attributes:
         is_usable: Whether another request may be sent on it.
-        is_reused: Whether it was idle before the present request.
-        has_answered: Whether anything came back for the present request.
-        idle_since: When it became idle, on the steady clock.
-        idle_s: How long the server keeps it when idle.
+        is_reused: Whether it came from the pool for the current request.
+        has_answered: Whether any response to the current request was received.
+        idle_since: When it became idle, on the monotonic clock.
+        idle_s: Idle timeout of the server.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, peer: str):
@@ -91,7 +94,8 @@
         self._payload: aiohttp.StreamReader | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._error: BaseException | None = None
-        # Of the last exchange, while idle, and whether its answer has a body.
+        # Parser of the last exchange while idle, and whether responses to the
+        # current method have a body.
         self._idle_parser: http.HttpResponseParser | None = None
         self._has_body = True
 
@@ -111,7 +115,7 @@
         """See base class."""
         if self._parser is None:
             if data:
-                # Nothing was asked: whatever this is, it answers no request.
+                # Unsolicited data, as no request is in progress.
                 self.abort()
             return
         try:
@@ -151,7 +155,7 @@
             self._waiter.set_result(None)
 
     def start(self, method: str, data: bytes) -> None:
-        """Sends the head of a request and what there is of its body.
+        """Sends the head of a request and the available part of its body.
 
         Raises:
             PeerUnavailableError: The connection is closed; nothing was sent.
@@ -165,7 +169,8 @@
         self._payload = None
         has_body = method != "HEAD"
         if has_body and self._idle_parser is not None:
-            # It ended with a whole answer; making one costs much of a renewal.
+            # Reused after a complete response, as creating a parser is a large
+            # part of the cost of a renewal.
             self._parser = self._idle_parser
         else:
             self._parser = self._new_parser(has_body)
@@ -187,18 +192,18 @@
         )
 
     async def send_more(self, data: bytes) -> None:
-        """Sends more of a body, waiting for room."""
+        """Sends more of a body, waiting while the send buffer is full."""
         if self.transport is None:
             raise ConnectionResetError("closed while the body was sent")
         self.transport.write(data)
         await self._drain_helper()
 
     async def next_head(self) -> AnswerHead:
-        """Returns the next final answer's head.
+        """Returns the head of the next final response.
 
         Raises:
-            ConnectionError: It ended first.
-            HttpProcessingError: What came isn't HTTP.
+            ConnectionError: The connection ended first.
+            HttpProcessingError: The received data isn't valid HTTP.
         """
         while True:
             while self._heads:
@@ -214,7 +219,7 @@
                 self._waiter = None
 
     def finish(self, head: AnswerHead) -> None:
-        """Ends an exchange whose answer was read to its end."""
+        """Ends an exchange whose response was read completely."""
         unsent = self.transport and self.transport.get_write_buffer_size()
         if unsent or self._heads or head.closes or not self.is_usable:
             self.abort()
@@ -225,7 +230,7 @@
         self.idle_s = _keep_alive_s(head.headers)
 
     def can_reuse(self, now: float) -> bool:
-        """Whether a request sent now won't cross the server's close."""
+        """Whether it is open and the server isn't about to close it."""
         return (
             self.is_usable
             and self.transport is not None
@@ -234,12 +239,12 @@
         )
 
     def expire(self) -> None:
-        """Ends what waits for an answer, as its time is over."""
+        """Fails the current exchange with a timeout and aborts."""
         self._fail(TimeoutError("no answer in time"))
         self.abort()
 
     def abort(self) -> None:
-        """Resets the connection: what wasn't delivered yet is lost."""
+        """Resets the connection, discarding data that isn't delivered yet."""
         self.is_usable = False
         if self.transport is not None:
             self.transport.abort()
@@ -274,11 +279,12 @@
         """Returns an idle connection, or a new one.
 
         Args:
-            address: Where to.
-            is_repeatable: Whether what is to be sent may be sent once more.
+            address: Address of the upstream.
+            is_repeatable: Whether the request may be sent more than once.
 
         Raises:
-            PeerUnavailableError: It can't be opened; nothing was sent.
+            PeerUnavailableError: No connection could be opened; nothing was
+                sent.
         """
         now = clocks.monotonic()
         is_wary = not is_repeatable and now < self._distrusted_until
@@ -293,9 +299,9 @@
         return await self._open(address)
 
     async def is_refused(self, address: str) -> bool:
-        """Returns whether nothing listens at an address.
+        """Returns whether an address refuses connections.
 
-        False where it can't be told: the address may be cut off.
+        Returns False if this is unknown, as the address may be unreachable.
         """
         try:
             connection = await self._open(address)
@@ -320,12 +326,12 @@
         return connection
 
     def note_broken(self, connection: UpstreamConnection, now: float) -> None:
-        """A connection broke while an answer was waited for."""
+        """Records that a connection broke before its response was complete."""
         if connection.is_reused and not connection.has_answered:
             self._distrusted_until = now + DISTRUST_S
 
     def give_back(self, address: str, connection: UpstreamConnection) -> None:
-        """Keeps a connection whose exchange is finished, if it is usable."""
+        """Returns a connection to the pool if it can be reused."""
         if not connection.is_usable:
             return
         idle = self._idle_by_address.setdefault(address, collections.deque())
@@ -339,7 +345,7 @@
             connection.abort()
 
 
-# Errors of an exchange after which it isn't known whether the request ran.
+# Errors of an exchange that leave it unknown whether the request ran.
 EXCHANGE_ERRORS = (
     OSError,
     aiohttp.ClientError,
--- a/src/swiftstile/gateway/crash_watch.py
+++ b/src/swiftstile/gateway/crash_watch.py
@@ -1,7 +1,7 @@
-"""Keeps requests that crash upstreams away from them.
+"""Protects upstreams from requests that crash them.
 
-Finds out whether an upstream fell when an exchange broke, and applies what
-`suspects.py` decides by it.
+Detects whether an upstream crashed when an exchange broke, and applies the
+resulting decisions of `suspects.py`.
 """
 
 import asyncio
@@ -19,18 +19,19 @@
 
 __all__ = ["CrashWatch"]
 
-# Bodies up to this size are looked at each time, to know what was answered.
+# Requests with bodies up to this size are always hashed, to remember which ones
+# were answered.
 MOST_LOOKED_AT_BYTES = 1 << 14
 
 
 class CrashWatch:
-    """Watches for crashes, and refuses the requests that cause them.
+    """Detects crashes and rejects the requests that cause them.
 
     Args:
-        book: What all VMs know of suspects.
+        book: Suspects that are known to all VMs.
         peers: The other VMs.
         pool: Opens connections to upstreams.
-        meters: Counts suspects and refusals.
+        meters: Counts suspects and rejections.
     """
 
     def __init__(
@@ -52,21 +53,22 @@
         return len(self._book) > 0
 
     def remembers(self, body_bytes: int) -> bool:
-        """Whether it is worth its time to remember that one was answered.
+        """Whether it is worth the time to remember that a request was answered.
 
         Args:
-            body_bytes: Size of its body. Large ones seldom come again.
+            body_bytes: Size of its body. Requests with large bodies are rarely
+                repeated.
         """
         return self.has_suspects or body_bytes <= MOST_LOOKED_AT_BYTES
 
     def check(self, digest: fingerprint.Digest, now: float) -> bool:
-        """Lets a request pass or refuses it.
+        """Raises an error if a request must not be sent.
 
         Returns:
-            Whether it is sent to find out if it still crashes upstreams.
+            Whether it is a probe, sent to test if it still crashes upstreams.
 
         Raises:
-            CrashingRequestError: It isn't sent to any upstream.
+            CrashingRequestError: It must not be sent to any upstream.
         """
         verdict = self._book.verdict(digest, now, self._is_trier(digest))
         if verdict is suspects_lib.Verdict.REFUSE:
@@ -92,8 +94,8 @@
     async def fell(self, target: targets.Target) -> bool:
         """Returns whether an upstream whose connection broke has crashed.
 
-        A planned end is no crash. One whose address can't be reached at all
-        may be cut off; only a refused connection shows that nothing runs there.
+        A planned exit isn't a crash. An unreachable upstream may be partitioned
+        from this VM; only a refused connection shows that nothing runs there.
         """
         if target.leaving_since is not None:
             return False
@@ -114,7 +116,14 @@
         sent_s: float,
         now: float,
     ) -> None:
-        """An upstream fell while it had a request, sent so long before."""
+        """Records that an upstream crashed while it had a request.
+
+        Args:
+            digest: The request.
+            target: The upstream.
+            sent_s: Time from sending the request to the crash, in seconds.
+            now: The current time.
+        """
         upstream = target.upstream
         crash = causes.crash_id(upstream.id, upstream.started_ms)
         self._book.note_crash(digest, crash, sent_s, now)
@@ -128,17 +137,17 @@
         )
 
     def may_send_again(self, digest: fingerprint.Digest) -> bool:
-        """Whether a request whose upstream fell may be sent to another."""
+        """Whether a request whose upstream crashed may be sent to another."""
         return self._book.crashes(digest) < suspects_lib.CRASHES_TO_STOP
 
     def note_answer(self, digest: fingerprint.Digest, now: float) -> None:
-        """A request was answered by its upstream."""
+        """Records that an upstream answered a request."""
         if self._book.note_answer(digest, now):
             self._meters.crashes.add("cleared")
             logs.logger.info("suspect answered", request=digest.hex())
 
     def _is_trier(self, digest: fingerprint.Digest) -> bool:
-        """Whether this VM is the one that tries a request after long."""
+        """Whether this VM is the one that probes a request."""
         name = digest.hex()
         me = self._peers.me.node
         own = sharing.affinity(me, name)
--- a/src/swiftstile/gateway/decisions.py
+++ b/src/swiftstile/gateway/decisions.py
@@ -1,9 +1,9 @@
-"""Structured lines on standard output: one for each decision.
+"""Structured log on standard output with one line for each decision.
 
-The lines are bounded and never block: they are kept in memory, written a few
-times a second to a pipe that doesn't block, and dropped and counted when there
-are too many or nobody reads them. The lines of a request are kept together
-until it ends: one that ended badly goes before one that ended well.
+Logging is bounded and never blocks: lines are buffered in memory and written a
+few times a second to a non-blocking pipe. Lines are dropped and counted if
+there are too many or nobody reads them. The lines of a request are collected
+until it ends, as failed requests have priority over successful ones.
 """
 
 import collections
@@ -17,39 +17,39 @@
 
 __all__ = ["BoundedLines", "RequestDecision", "Story"]
 
-# Most lines a second: several times what one VM's share of the users' traffic
-# needs, and under 1% of a core.
+# Maximum lines per second: several times what one VM's share of the users'
+# traffic needs, and less than 1% of a core.
 MOST_PER_S = 400
-# Part of them that requests which ended well may take; the rest is left for
-# those that didn't, and for changes of state.
+# Fraction of these available to successful requests. The rest is reserved for
+# failed requests and state changes.
 WELL_ENDED_SHARE = 0.6
-# Most lines kept while nobody reads.
+# Maximum lines buffered while nobody reads.
 MOST_KEPT = 2000
 FLUSH_INTERVAL_S = 0.25
 MOST_PENDING_BYTES = 1 << 20
 
 
 class RequestDecision(msgspec.Struct, omit_defaults=True, kw_only=True):
-    """What was decided on a request, and what decided it.
+    """A decision on a request and the state that it was based on.
 
     Attributes:
         id: The caller's id of the attempt.
         vm: The VM that decided.
-        at_ms: When, in milliseconds since the Unix epoch.
+        at_ms: Time in milliseconds since the Unix epoch.
         event: `sent`, `answered`, `refused`, `failed` or `abandoned`.
         route: Name of the route.
-        service: The service that was drawn.
-        upstream: Where it was sent, or would have been.
-        status: Status of the answer.
-        reason: Why, in a word or two.
-        attempt: Number of the send, from 1.
-        waited_ms: Since the request came.
-        left_ms: Until its answer is of no use.
-        retry_after_ms: When the caller may come back.
+        service: The service selected by the route's traffic split.
+        upstream: The upstream that it was or would have been sent to.
+        status: HTTP status of the response.
+        reason: Short reason.
+        attempt: Number of the send, starting at 1.
+        waited_ms: Time since the request arrived.
+        left_ms: Time until its deadline.
+        retry_after_ms: Value of Retry-After; 0 for none.
         key: The request's key.
         config: Version of the configuration.
         key_map: Version of the key map.
-        store_age_ms: Age of what the store told last.
+        store_age_ms: Time since the last contact with the store.
         occupied: Requests at the upstream, as far as known.
         queued: Requests that wait at this VM.
     """
@@ -76,7 +76,7 @@
 
 
 class Story:
-    """The decisions on one request, written when it ends."""
+    """Trace of one request: its decisions, written when it ends."""
 
     def __init__(self, lines: "BoundedLines"):
         self._lines = lines
@@ -89,7 +89,11 @@
         self._decisions.append(decision)
 
     def end(self, is_well: bool) -> None:
-        """Writes all decisions, or drops all of them if there are too many."""
+        """Writes all decisions, or drops them all if over the limits.
+
+        Args:
+            is_well: Whether the request succeeded.
+        """
         self._lines.write_all(self._decisions, is_well)
         self._decisions = []
 
@@ -98,12 +102,12 @@
     """Writes lines to a file descriptor without ever blocking.
 
     Attributes:
-        vm: The VM that writes, for the lines of requests.
-        dropped: Lines that were dropped since the last line that says so.
+        vm: Name of this VM, added to the lines of requests.
+        dropped: Number of dropped lines that haven't been reported yet.
 
     Args:
-        fd: Where to; standard output if left out.
-        most_per_s: More lines in a second are dropped and counted.
+        fd: File descriptor; standard output by default.
+        most_per_s: Maximum lines per second; more are dropped and counted.
     """
 
     def __init__(self, fd: int | None = None, most_per_s: int = MOST_PER_S):
@@ -118,18 +122,18 @@
         self.dropped = 0
 
     def write_all(self, request: list[RequestDecision], is_well: bool) -> None:
-        """Keeps the lines of a request that ended, unless there are too many.
+        """Buffers the lines of a finished request, if within the limits.
 
         Args:
-            request: What was decided on it.
-            is_well: Whether it ended well.
+            request: The decisions on it.
+            is_well: Whether it succeeded.
         """
         share = WELL_ENDED_SHARE if is_well else 1.0
         if self._has_room(len(request), share):
             self._lines.extend(map(self._encoder.encode, request))
 
     def write(self, line: str) -> None:
-        """Keeps a line of text, unless there are too many."""
+        """Buffers a line of text, if within the limits."""
         if self._has_room(1, 1.0):
             self._lines.append(line.rstrip("\n").encode())
 
@@ -145,7 +149,7 @@
         return True
 
     async def run(self) -> None:
-        """Writes until cancelled, and what is left then."""
+        """Writes lines until cancelled, and flushes the rest then."""
         os.set_blocking(self._fd, False)
         try:
             while True:
@@ -155,7 +159,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Writes as much as is taken at once."""
+        """Writes as much as possible without blocking."""
         if self.dropped:
             line = {"event": "lines dropped", "count": self.dropped}
             self._lines.append(self._encoder.encode(line))
@@ -167,10 +171,11 @@
             try:
                 written = os.write(self._fd, self._rest)
             except BlockingIOError:
-                # Nobody reads: what is kept is bounded, the rest is counted.
+                # The pipe is full. The buffer is bounded, so that further lines
+                # are dropped and counted.
                 break
             except OSError:
-                # The reader is gone for good; there is nowhere to say so.
+                # The reader has closed the pipe, and this can't be logged.
                 self._rest = b""
                 break
             self._rest = self._rest[written:]
--- a/src/swiftstile/gateway/exchange.py
+++ b/src/swiftstile/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request to one upstream, and the check that the answer is its own."""
+"""Sends one request to one upstream and validates the response."""
 
 import asyncio
 import collections.abc
@@ -17,11 +17,11 @@
 
 __all__ = ["Answer", "Call", "Exchange"]
 
-# Answers up to this size are read whole before their head goes to the caller,
-# so that a broken one can be told from a whole one.
+# Responses up to this size are read completely before their head is sent to the
+# caller, so that a truncated one can still be reported as an error.
 WHOLE_BYTES = 1 << 20
-# How much longer to wait for an upstream that ends at the deadline it got: its
-# own word on what became of the request is worth more than ours.
+# Extra wait for the response of an upstream that stops at the deadline it was
+# given. Its own report of the outcome is more precise than a timeout here.
 DEADLINE_GRACE_S = 0.04
 
 
@@ -32,15 +32,15 @@
         method: HTTP method.
         target: Path and query, as received.
         headers: The caller's headers.
-        inbound: What they say.
-        body: The body; None if it is too long to keep.
-        stream: The body in pieces, where `body` is None. It can be read once.
-        length: Length of a streamed body, if the caller said.
-        end: When its answer is of no use any more, on the steady clock.
+        inbound: Values parsed from the headers.
+        body: The body; None if it is too long to buffer.
+        stream: Chunks of the body if `body` is None. It can be read once.
+        length: Length of a streamed body, if known.
+        end: Deadline after which a response is useless, on the monotonic clock.
         is_repeatable: Whether it may run more than once.
-        first_part: What was read of a streamed body before it is sent.
-        caller: Who sent it.
-        is_trial: Whether it is sent to find out if it still crashes upstreams.
+        first_part: Start of a streamed body that was read before sending.
+        caller: Identity or address of the caller.
+        is_trial: Whether it is sent to test if it still crashes upstreams.
     """
 
     method: str
@@ -57,7 +57,7 @@
     is_trial: bool = False
 
     def digest(self) -> fingerprint.Digest:
-        """Returns what tells it from other requests, when it comes again."""
+        """Returns a digest that recognises repetitions of the request."""
         return fingerprint.digest(
             self.method,
             self.headers.get("Host", ""),
@@ -74,15 +74,16 @@
 
 
 class Answer(msgspec.Struct):
-    """An upstream's answer.
+    """An upstream's response.
 
     Attributes:
         status: HTTP status.
         headers: Headers for the caller.
-        body: The whole body, or None if it is passed on as it comes.
-        rest: The stream of the body, where `body` is None.
-        verdict: What its head said.
-        finish: Ends the exchange once the rest was passed on.
+        body: The complete body, or None if it is streamed.
+        rest: The stream of the body if `body` is None.
+        verdict: Interpretation of its status and headers.
+        finish: Ends the exchange after streaming. Takes whether the body was
+            relayed completely.
     """
 
     status: int
@@ -105,13 +106,14 @@
         self._dialect = dialect
 
     async def send(self, call: Call, target: targets.Target) -> Answer:
-        """Sends a request and returns its answer.
+        """Sends a request and returns the response.
 
         Raises:
             UpstreamUnreachableError: Nothing was sent.
-            NotRunError: The upstream said that it didn't run it.
-            TimedOutError: No answer in time; it may have run.
-            UnknownOutcomeError: No whole answer of its own; it may have run.
+            NotRunError: The upstream reported that it didn't run the request.
+            TimedOutError: No response in time; the request may have run.
+            UnknownOutcomeError: No complete and valid response; the request may
+                have run.
         """
         address = target.upstream.address
         try:
@@ -163,7 +165,7 @@
         try:
             answer = await self._receive(call, target, connection)
             if not sender.done():
-                # The rest of the body would be due on this connection.
+                # Not reusable before the rest of the body was sent.
                 connection.is_usable = False
             return answer
         finally:
@@ -195,7 +197,7 @@
             wanted = call.inbound.attempt_id
             if verdict.attempt_id in ("", wanted):
                 break
-            # A late second answer to an earlier request.
+            # A late duplicate response to an earlier request.
             await head.payload.read()
         if verdict.attempt_id != wanted:
             raise outcomes.UnknownOutcomeError(
@@ -222,7 +224,7 @@
             connection.finish(head)
             self._pool.give_back(target.upstream.address, connection)
         except connections.EXCHANGE_ERRORS:
-            # The head was whole, and it says all there is to know.
+            # The head was complete, and only that is needed.
             connection.abort()
         error = kind(f"status {head.status}", step="send", peer=target.id)
         load = verdict.load
@@ -262,10 +264,10 @@
 async def relay(
     request: web_request.BaseRequest, answer: Answer
 ) -> web_response.StreamResponse:
-    """Passes a long answer on as it comes.
+    """Streams a long response to the caller.
 
-    A break on either side breaks the caller's connection, so that the answer
-    doesn't look whole.
+    If either side fails, the caller's connection is aborted, so that the
+    truncated response doesn't appear complete.
     """
     response = web_response.StreamResponse(status=answer.status)
     for name, value in answer.headers:
--- a/src/swiftstile/gateway/fingerprint.py
+++ b/src/swiftstile/gateway/fingerprint.py
@@ -1,11 +1,11 @@
-"""What tells a request that comes again from all others."""
+"""Digests that recognise repetitions of a request."""
 
 import hashlib
 import typing
 
 __all__ = ["Digest", "digest"]
 
-# Fixed size, whatever the request's. Says nothing of path or body.
+# Has a fixed size and doesn't reveal the path or body of the request.
 Digest = typing.NewType("Digest", bytes)
 
 _DIGEST_BYTES = 16
@@ -23,16 +23,16 @@
 
     Args:
         method: HTTP method.
-        host: Host that it is for.
+        host: Value of the Host header.
         target: Path and query, as received.
-        caller: Who sent it.
-        body: Its body, or the first part of one that is too long to keep.
-        length: Length of the whole body in that case, if the caller said.
+        caller: Identity or address of the caller.
+        body: Its body, or the first part of one that is too long to buffer.
+        length: Length of the whole body in that case, if known.
     """
     made = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     parts = (method, host.lower(), target, caller, str(length or len(body)))
     for part in parts:
-        # Lengths keep parts apart that together read alike.
+        # Length prefixes prevent collisions between different partitions.
         data = part.encode("utf-8", "surrogateescape")
         made.update(len(data).to_bytes(4, "big"))
         made.update(data)
--- a/src/swiftstile/gateway/front.py
+++ b/src/swiftstile/gateway/front.py
@@ -1,4 +1,4 @@
-"""The side of the gateway that faces callers and the platform's balancer."""
+"""HTTP servers for callers and for the platform's load balancer."""
 
 import asyncio
 
@@ -39,8 +39,9 @@
     """Serves callers over HTTP.
 
     Attributes:
-        is_leaving: Connections end as soon as what was begun is answered.
-        is_closed: New requests are turned away.
+        is_leaving: Whether connections are closed once the requests in progress
+            have been answered.
+        is_closed: Whether new requests are rejected.
     """
 
     def __init__(
@@ -59,14 +60,14 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that were read and have no answer yet."""
+        """Number of requests that have been read but not answered."""
         return sum(connection.active for connection in self._connections)
 
     async def start(self) -> None:
         """Starts to listen.
 
         Raises:
-            SettingsError: It can't, as when the port is taken.
+            SettingsError: Listening failed, for example as the port is in use.
         """
         loop = asyncio.get_running_loop()
         self._listener = await _listen(
@@ -76,17 +77,17 @@
         )
 
     def stop_listening(self) -> None:
-        """Takes no new connections."""
+        """Stops accepting connections."""
         self._listener.close()
 
     def close_idle(self) -> None:
-        """Closes connections on which no request is being served."""
+        """Closes connections without requests in progress."""
         for connection in list(self._connections):
             if not connection.active and connection.head_at is None:
                 connection.close()
 
     async def enforce_limits(self) -> None:
-        """Closes connections that are idle or slow beyond the limits."""
+        """Closes connections that exceed the idle or header timeout."""
         while True:
             await pacing.pause(_SWEEP_INTERVAL_S)
             config = self._handler.config
@@ -165,7 +166,7 @@
 
 
 class ReadyPage:
-    """Tells the balancer whether this VM should get new connections."""
+    """Readiness endpoint: whether this VM should get new connections."""
 
     def __init__(self, listen: str, is_ready):
         self._listen = listen
@@ -175,7 +176,7 @@
         """Starts to listen.
 
         Raises:
-            SettingsError: It can't, as when the port is taken.
+            SettingsError: Listening failed, for example as the port is in use.
         """
         server = web_server.Server(self._handle, access_log=None)
         await _listen(server, self._listen, "serve the ready page")
--- a/src/swiftstile/gateway/gate.py
+++ b/src/swiftstile/gateway/gate.py
@@ -1,4 +1,4 @@
-"""Waits for slots: the asynchronous side of admission."""
+"""Asynchronous interface to admission control: waiting for slots."""
 
 import asyncio
 import collections.abc
@@ -10,17 +10,17 @@
 
 __all__ = ["Gate", "refused"]
 
-# Between two looks at the queue without news: estimates of targets age.
+# Interval of queue scans without other events, as estimates change over time.
 PUMP_INTERVAL_S = 0.02
 
 
 class Gate:
-    """Hands slots to waiting requests as targets get room.
+    """Assigns slots to waiting requests as they become free.
 
     Args:
-        decisions: Decides who gets which slot.
-        note_demand: Called once with each request for the owner of a key that
-            is decided on here.
+        decisions: Decides which request gets which slot.
+        note_demand: Called once for each request for a key's owner that this
+            gate decides on.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self._has_waiting = asyncio.Event()
 
     async def acquire(self, waiter: admission.Waiter) -> targets.Target:
-        """Returns a target that has room, with the request counted there.
+        """Waits for a target with a free slot and counts the request there.
 
         Raises:
             RefusedError: No slot in time.
@@ -53,11 +53,11 @@
     def begin(
         self, waiter: admission.Waiter
     ) -> targets.Target | admission.Overload | asyncio.Future[targets.Target]:
-        """Returns a target with the request counted there, if there is one.
+        """Starts to acquire a slot, without waiting.
 
         Returns:
-            A target, a refusal, or what tells of either later. Whoever doesn't
-            wait for that any more calls `give_up`.
+            A target that counts the request already, a rejection, or a future
+            with either. Call `give_up` to stop waiting for the future.
         """
         now = clocks.monotonic()
         if waiter.owner is not None:
@@ -80,30 +80,34 @@
     def give_up(
         self, waiter: admission.Waiter, future: asyncio.Future[targets.Target]
     ) -> None:
-        """Nobody waits any more for what `begin` promised."""
+        """Cancels a wait for the future that `begin` returned."""
         self._waiting.pop(waiter.sequence, None)
         self.decisions.leave(waiter)
         if future.done() and not future.cancelled() and not future.exception():
-            # It got a slot while its caller left.
+            # It was assigned a slot while its caller stopped waiting.
             self.release(waiter, future.result())
 
     def release(self, waiter: admission.Waiter, target: targets.Target) -> None:
-        """The request is no longer at the target."""
+        """Releases the slot of a request that has left its target."""
         target.note_ended(waiter.sequence)
         is_owner = waiter.owner is not None
         self.pump((waiter.service, target.id if is_owner else None))
 
     def note_report(self) -> None:
-        """A peer told how busy targets are by its requests.
+        """Scans the queue after a peer reported its load on targets.
 
-        Many VMs tell a hundred times a second: the next regular look is soon
-        enough, and each one costs as much as a request.
+        With many VMs there are about a hundred reports a second and each scan
+        costs as much as a request, so the next regular scan has to do.
         """
         if self.decisions.vms <= admission.FEW_VMS:
             self.pump()
 
     def pump(self, only: admission.Contest | None = None) -> None:
-        """Gives free slots to those that wait, for something alone if told."""
+        """Assigns free slots to waiting requests.
+
+        Args:
+            only: Restricts the scan to the requests that queue for this.
+        """
         if not self._waiting:
             return
         now = clocks.monotonic()
@@ -126,9 +130,9 @@
             future.set_result(target)
 
     async def run(self) -> None:
-        """Looks at the queue again and again until cancelled."""
+        """Scans the queue periodically until cancelled."""
         while True:
-            # Without requests that wait there is nothing to wake up for.
+            # Avoids wake-ups while the queue is empty.
             await self._has_waiting.wait()
             await asyncio.sleep(PUMP_INTERVAL_S)
             self.pump()
@@ -137,7 +141,7 @@
 
 
 def refused(overload: admission.Overload) -> outcomes.RefusedError:
-    """Returns the error that tells a caller of a refusal."""
+    """Returns the error that reports a rejection to the caller."""
     wanted = "owner of the key" if overload.is_ownerless else "slot"
     error = outcomes.RefusedError(
         f"no {wanted} within {overload.wait_s:.3f} s",
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its answer."""
+"""Handles one request from its arrival to its response."""
 
 import asyncio
 import random
@@ -29,19 +29,22 @@
 
 __all__ = ["Handler"]
 
-# Bodies up to this size are read whole, so that they can be sent again.
+# Bodies up to this size are buffered, so that they can be sent again.
 WHOLE_BODY_BYTES = 1 << 20
-# Sends that owners turned away because a key was on the move. They run
-# nothing, and the key's next owner is the only place to go.
+# Maximum sends that upstreams may reject as misdirected because the key is
+# being moved. Such a send runs nothing, and only the key's next owner can serve
+# the request.
 MAX_MISDIRECTED = 3
-# Upstreams that are tried though no connection to them can be opened.
+# Maximum upstreams that are tried when connections to them fail.
 MAX_UNREACHABLE = 4
-# A shedding target is left alone for as long as a slot takes to come free.
+# Pause before a target that rejected a request for lack of slots gets another:
+# about the time until a slot becomes free.
 SHED_PAUSE_S = 0.1
-# When to come back after upstreams refused for lack of room.
+# Retry-After when upstreams rejected the request for lack of slots.
 SHED_RETRY_AFTER_S = 0.2
-# The same where they had room, in objectives: another try may well be taken,
-# and can still be in time. Soon, but not all at the same moment.
+# The same where they had free slots, in objectives: a retry is likely to
+# succeed and can still be in time, so it should be soon. The range spreads
+# retries over time.
 ROOM_RETRY_AFTER = (0.05, 0.15)
 _FIRST_FAILURE = 400
 _READ_ERRORS = (
@@ -53,7 +56,7 @@
 
 
 class _Progress:
-    """What became of the sends of one request so far."""
+    """State of the sends of one request so far."""
 
     def __init__(self):
         self.sends = 0
@@ -63,11 +66,12 @@
 
 
 class Handler:
-    """Answers requests by the configuration in force.
+    """Handles requests according to the current configuration.
 
     Attributes:
-        config: The configuration; None until one is known.
-        is_config_unread: The operator wrote a newer one that can't be used.
+        config: The configuration; None until one was received.
+        is_config_unread: Whether the operator published a newer one that is
+            invalid.
     """
 
     def __init__(
@@ -103,13 +107,13 @@
         self._shares = shares.ShareDealer()
 
     def may_overlap(self, request: web_request.BaseRequest) -> bool:
-        """Whether a request may run beside those ahead on its connection."""
+        """Whether it may run concurrently with earlier ones of a connection."""
         if request.body_exists:
             return False
         try:
             route, _ = self._route(request)
         except outcomes.GatewayError:
-            # Its failure is found when it is its turn.
+            # The error is reported when its turn comes.
             return False
         return route.repeatability is model.Repeatability.IDEMPOTENT
 
@@ -119,7 +123,7 @@
         """Returns the response for a caller.
 
         Raises:
-            GatewayError: There is no upstream's answer.
+            GatewayError: No upstream responded to the request.
         """
         request, arrived = arrival.request, arrival.arrived
         inbound = self._dialect.read_request(request.headers)
@@ -149,7 +153,7 @@
             story.end(is_well)
 
     def work_s(self, service: ids.ServiceName) -> float | None:
-        """Returns the mean work of a service's requests, once measured."""
+        """Returns the mean service time of a service, or None if unmeasured."""
         return self._times.of_service(service)
 
     def _route(self, request) -> tuple[model.Route, model.Config]:
@@ -177,10 +181,10 @@
     def _not_allowed(
         self, error: outcomes.GatewayError
     ) -> outcomes.GatewayError:
-        """Returns what is said of a request that the configuration bars.
+        """Returns the error for a request that the configuration disallows.
 
-        A newer one may allow it, so a final answer is given only by one that is
-        known to be current.
+        Unless the configuration is known to be current, a newer one may allow
+        the request, so the caller gets a retryable error instead.
         """
         is_current = self._operations.is_current(clocks.monotonic())
         if is_current and not self.is_config_unread:
@@ -285,7 +289,8 @@
             except outcomes.RefusedError as error:
                 raise self._final(error, waiter, progress) from error
             if self._crashes.has_suspects and not call.is_trial:
-                # It may have been found to crash upstreams while it waited.
+                # It may have been identified as a cause of crashes while it
+                # was waiting for a slot.
                 try:
                     self._crashes.check(call.digest(), clocks.monotonic())
                 except outcomes.CrashingRequestError as error:
@@ -314,9 +319,9 @@
                 self._permits.release(waiter, target)
 
     async def _look_for_crash(self, error, call, target, sent_s: float) -> bool:
-        """Returns whether a request may go to another upstream after all.
+        """Returns whether a request may be sent to another upstream.
 
-        It may not if it is likely that this one fell because of it.
+        It may not if it probably crashed the last one.
         """
         is_broken = getattr(error, "is_broken", False)
         if not is_broken or not await self._crashes.fell(target):
@@ -327,7 +332,7 @@
         return self._crashes.may_send_again(digest)
 
     def _learn(self, error, waiter, target, progress, call, now) -> None:
-        """Takes from a failure what it says of the target."""
+        """Updates the state of the target after a failed send."""
         self._meters.sends.add(error.reason)
         if isinstance(error, outcomes.MisdirectedError):
             progress.misdirected += 1
@@ -357,7 +362,7 @@
         if not call.can_repeat or now + waiter.expected_s > call.end:
             return False
         if isinstance(error, outcomes.UpstreamUnreachableError):
-            # Nothing was sent, so it counts neither as a send nor as a repeat.
+            # Nothing was sent, so this counts neither as a send nor as a retry.
             progress.sends -= 1
             progress.unreachable += 1
             return progress.unreachable < MAX_UNREACHABLE
@@ -377,7 +382,11 @@
         return True
 
     def _final(self, error, waiter, progress) -> outcomes.GatewayError:
-        """Returns what the caller is told; an earlier send may have run."""
+        """Returns the error for the caller.
+
+        If an earlier send may have run, the outcome is unknown, even if the
+        last send certainly didn't run.
+        """
         if progress.may_have_run and isinstance(
             error, (outcomes.NotRunError, outcomes.RefusedError)
         ):
@@ -465,7 +474,7 @@
 
 
 def _check_head(request: web_request.BaseRequest, limit: int) -> None:
-    # Each header line has a colon, a space and its end besides.
+    # Adds the colon, the space and the line end of each header line.
     size = sum(len(k) + len(v) + 4 for k, v in request.raw_headers)
     if size > limit:
         raise outcomes.HeaderTooLargeError(
@@ -482,15 +491,15 @@
 
 
 async def _invite_body(request: web_request.BaseRequest) -> None:
-    """Tells a caller that waits for it to send the body."""
+    """Sends 100 Continue if the caller expects it."""
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        # The final answer's head isn't written yet.
+        # aiohttp must not take the interim response for the final head.
         request.writer.output_size = 0
 
 
 def _did_not_wait(waiter, target, answer) -> bool:
-    """Whether the time of an answer was its work, as far as can be told."""
+    """Whether the response time was service time only, without queueing."""
     load = answer.verdict.load
     if load is not None and load.waiting:
         return False
@@ -498,9 +507,10 @@
 
 
 def _slowdown(answer) -> float:
-    """Returns how long work took at an upstream for the moment, over the usual.
+    """Returns the momentary slowdown that an upstream reported, or 1.
 
-    Its lasting speed decides on its share of the keys, not a moment's.
+    It is divided out of measured speeds, as the share of keys of an upstream
+    depends on its long-term speed.
     """
     load = answer.verdict.load
     if load is None or not load.slowdown:
--- a/src/swiftstile/gateway/outcomes.py
+++ b/src/swiftstile/gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request can end without an upstream's answer."""
+"""Errors of requests that end without a response of an upstream."""
 
 import typing
 
@@ -24,13 +24,13 @@
 
 
 class GatewayError(errors.SwiftstileError):
-    """A request ends without an upstream's answer.
+    """A request ended without a response of an upstream.
 
     Attributes:
-        status: HTTP status. 503 promises that the request never ran and never
-            will; 502 and 504 promise nothing.
+        status: HTTP status. 503 guarantees that the request never ran and never
+            will; 502 and 504 guarantee nothing.
         reason: Short name for logs and counters.
-        retry_after_s: When the caller may come back; None for no advice.
+        retry_after_s: Value of Retry-After; None to omit the header.
     """
 
     status: typing.ClassVar[int] = 500
@@ -39,7 +39,7 @@
 
 
 class BadRequestError(GatewayError):
-    """The request can't be understood."""
+    """The request is malformed."""
 
     status = 400
     reason = "bad-request"
@@ -53,21 +53,21 @@
 
 
 class BodyTooLargeError(GatewayError):
-    """The body is longer than the configuration allows."""
+    """The body exceeds the configured limit."""
 
     status = 413
     reason = "body-too-large"
 
 
 class HeaderTooLargeError(GatewayError):
-    """The headers are longer than the configuration allows."""
+    """The headers exceed the configured limit."""
 
     status = 431
     reason = "header-too-large"
 
 
 class NotReadyError(GatewayError):
-    """This VM knows no configuration yet, or is about to stop."""
+    """This VM has no configuration yet, or is shutting down."""
 
     status = 503
     reason = "not-ready"
@@ -75,11 +75,11 @@
 
 
 class StaleConfigError(GatewayError):
-    """The configuration bars the request, and may not be the newest.
+    """The configuration disallows the request, but may be outdated.
 
-    404, 413 and 431 are final for a caller, so they are kept for configurations
-    that are known to be current. Another VM may know a newer one already, and
-    this one has the news within tenths of a second unless the store is away.
+    Callers treat 404, 413 and 431 as final, so these are only returned if the
+    configuration is known to be current. Another VM may have a newer one, which
+    this VM gets within tenths of a second unless the store is unavailable.
     """
 
     status = 503
@@ -88,10 +88,10 @@
 
 
 class RefusedError(GatewayError):
-    """It can't be served in time; it was sent to nobody that ran it.
+    """The request can't be served in time, and no upstream ran it.
 
     Attributes:
-        overload: What decided it.
+        overload: The decision that led to it.
     """
 
     status = 503
@@ -100,16 +100,16 @@
 
 
 class CrashingRequestError(RefusedError):
-    """Upstreams fell while they had this request; it goes to no other one."""
+    """Upstreams crashed while they had this request; it isn't sent again."""
 
     reason = "crashes-upstreams"
 
 
 class UnknownOutcomeError(GatewayError):
-    """It was sent, and no whole answer came.
+    """The request was sent and no complete, valid response was received.
 
     Attributes:
-        is_broken: Its connection ended.
+        is_broken: Whether its connection broke before any response.
     """
 
     status = 502
@@ -118,17 +118,18 @@
 
 
 class TimedOutError(GatewayError):
-    """It was sent, and no answer came in time."""
+    """The request was sent and no response was received in time."""
 
     status = 504
     reason = "timeout"
 
 
 class NotRunError(GatewayError):
-    """An upstream said that it didn't run the request.
+    """An upstream reported that it didn't run the request.
 
     Attributes:
-        had_room: It said that it had a free slot: not for lack of room.
+        had_room: Whether it reported a free slot, so that it rejected the
+            request for another reason than lack of slots.
     """
 
     status = 503
@@ -143,7 +144,7 @@
 
 
 class ReplacedError(NotRunError):
-    """Another server runs at that address; the one that was meant has ended."""
+    """Another server runs at the address; the intended one has ended."""
 
     reason = "replaced"
 
--- a/src/swiftstile/gateway/suspects.py
+++ b/src/swiftstile/gateway/suspects.py
@@ -1,13 +1,13 @@
-"""Which requests crash the upstreams that run them: decisions only.
+"""Identifies requests that crash the upstreams that run them.
 
-A request is a suspect of a crash if it was being worked on there when the
-upstream fell. It is no longer one as soon as any upstream answers it. One that
-was there in several crashes and never got an answer is taken for their cause,
-unless another one explains them as well (causes.py).
+Pure decision code without I/O. A request is a suspect of a crash if it was in
+progress at the upstream when that crashed. It is cleared as soon as any
+upstream answers it. A suspect of several crashes that was never answered is
+regarded as their cause, unless another request explains them (causes.py).
 
-Assumed: a request that was ever answered crashes nothing. Each VM remembers
-what it answered lately, so one that comes often is cleared by whichever VM
-answered it.
+This assumes that a request that was ever answered doesn't crash upstreams. Each
+VM remembers the requests that it answered recently, so that a frequent request
+is cleared by any VM that answered it.
 """
 
 import enum
@@ -20,30 +20,32 @@
 
 __all__ = ["Suspects", "Suspicion", "Verdict"]
 
-# A suspect of so many crashes isn't sent again by us in the same attempt.
+# A suspect of this many crashes isn't resent within the same attempt.
 CRASHES_TO_STOP = 2
-# A cause is refused from so long after it was found: a VM that answered it
-# lately has told so by then. After the most crashes nobody is waited for.
+# A cause is rejected only this long after it was identified, so that a VM that
+# answered it recently has time to report this. There is no such delay after
+# causes.MOST_CRASHES.
 CONTRADICTED_WITHIN_S = 1.2
-# No upstream gets it for so long after its last crash; then one VM tries it. By
-# the least crashes it may yet be an ordinary one.
+# A cause isn't sent to any upstream for this long after its last crash; then
+# one VM probes it. The first value applies up to causes.LEAST_CRASHES, when it
+# may still be an ordinary request.
 FIRST_QUARANTINE_S, QUARANTINE_S = 20.0, 300.0
-# At most so often, and until it is forgotten.
+# Minimum interval of probes, and when an unchanged suspect is dropped.
 TRIAL_EVERY_S = 60.0
 FORGOTTEN_AFTER_S = 1800.0
-# A suspect of a single crash, or an answered one, is forgotten sooner.
+# When a suspect of a single crash, or one that was answered, is dropped.
 WEAK_LIFE_S = 60.0
-# Answered requests that are remembered, the newest.
+# Maximum answered requests that are remembered.
 MOST_ANSWERED = 4096
-# Suspects that are kept; those of the fewest crashes go first.
+# Maximum suspects; those of the fewest crashes are dropped first.
 MOST_KEPT = 512
-# Crashes that are kept of one request.
+# Maximum crashes that are stored for one suspect.
 MOST_CRASHES_KEPT = 8
-# News of a suspect are told in each report for so long.
+# How long a change of a suspect is included in every report.
 NEWS_S = 3.0
-# Told by several VMs, the time of one answer differs by less than this.
+# Maximum difference of the times that several VMs report for one response.
 _SAME_ANSWER_S = 1.0
-# Suspects in one report: the newest, and some of the others in turn.
+# Maximum suspects in one report: recently changed ones, and others in rotation.
 MOST_NEWS, MOST_OTHERS = 8, 2
 
 
@@ -51,21 +53,21 @@
     """What to do with a request."""
 
     PASS = "pass"
-    # Sent, but not once more by us.
+    # Sent once, without retries by the gateway.
     PASS_ONCE = "pass-once"
     REFUSE = "refuse"
-    # It was refused for long; one VM may find out whether it still crashes.
+    # Sent after a quarantine, to test whether it still crashes upstreams.
     TRY = "try"
 
 
 class Suspicion(msgspec.Struct, array_like=True):
-    """What a VM tells of a suspect.
+    """A VM's report on a suspect.
 
     Attributes:
         digest: The request.
-        crashes: How long ago each of its crashes was, and how long before that
-            it was sent, in milliseconds.
-        answered_ms: How long ago it was answered; None if it wasn't.
+        crashes: Age of each of its crashes, and the time from sending it to the
+            crash, in milliseconds.
+        answered_ms: Age of its last response; None if it wasn't answered.
     """
 
     digest: fingerprint.Digest
@@ -74,11 +76,11 @@
 
 
 class _Crash(typing.NamedTuple):
-    """A crash at which a request was there.
+    """A crash during which a request was in progress.
 
     Attributes:
-        at: When it was, on the steady clock.
-        sent_s: How long before that the request was sent.
+        at: Time of the crash, on the monotonic clock.
+        sent_s: Time from sending the request to the crash, in seconds.
     """
 
     at: float
@@ -86,7 +88,7 @@
 
 
 class _Suspect:
-    """What is known of one request."""
+    """State of one suspected request."""
 
     __slots__ = (
         "answered_at",
@@ -100,44 +102,45 @@
     def __init__(self, now: float):
         self.by_crash: dict[causes.CrashId, _Crash] = {}
         self.answered_at = float("-inf")
-        # Since when it is taken for a cause; None if it isn't.
+        # When it was identified as a cause; None if it isn't one.
         self.cause_since: float | None = None
-        # Most crashes that it was ever a suspect of, also before an answer.
+        # Highest number of crashes it was a suspect of, including crashes that
+        # a response has cleared since.
         self.most_crashes = 0
         self.news_at = now
         self.tried_at = float("-inf")
 
     @property
     def last_at(self) -> float:
-        """When anything was last known to happen to it."""
+        """Time of its last crash or response."""
         times = [crash.at for crash in self.by_crash.values()]
         return max([*times, self.answered_at])
 
     @property
     def is_serious(self) -> bool:
-        """Whether it was a suspect of several crashes, ever."""
+        """Whether it was ever a suspect of several crashes."""
         return self.most_crashes >= CRASHES_TO_STOP
 
     @property
     def matters(self) -> bool:
-        """Whether other VMs decide otherwise for knowing of it."""
+        """Whether it influences decisions of other VMs."""
         return self.is_serious or bool(self.by_crash)
 
     @property
     def quarantined_until(self) -> float:
-        """Until when no upstream gets it."""
+        """Time until which it isn't sent to any upstream."""
         is_new = len(self.by_crash) <= causes.LEAST_CRASHES
         return self.last_at + (FIRST_QUARANTINE_S if is_new else QUARANTINE_S)
 
     def is_surely_cause(self, now: float) -> bool:
-        """Whether it is taken for a cause, and nobody contradicted."""
+        """Whether it is a cause and the time to contradict is over."""
         if self.cause_since is None:
             return False
         is_plain = len(self.by_crash) >= causes.MOST_CRASHES
         return is_plain or now - self.cause_since >= CONTRADICTED_WITHIN_S
 
     def add(self, name: causes.CrashId, crash: _Crash) -> bool:
-        """Takes in a crash; returns whether it is news."""
+        """Adds a crash; returns whether that changed anything."""
         if crash.at <= self.answered_at or name in self.by_crash:
             return False
         if len(self.by_crash) >= MOST_CRASHES_KEPT:
@@ -148,7 +151,7 @@
         return True
 
     def answer(self, at: float) -> bool:
-        """Takes in an answer; returns whether it is news."""
+        """Records a response; returns whether that changed anything."""
         later = {
             name: crash
             for name, crash in self.by_crash.items()
@@ -163,11 +166,11 @@
 
 
 class Suspects:
-    """Finds the requests that crash upstreams, by what all VMs saw."""
+    """Identifies requests that crash upstreams, from reports of all VMs."""
 
     def __init__(self):
         self._by_digest: dict[fingerprint.Digest, _Suspect] = {}
-        # In the order of the last answer.
+        # Ordered by the time of the last response.
         self._answered: dict[fingerprint.Digest, None] = {}
         self._turn = 0
 
@@ -175,12 +178,12 @@
         return len(self._by_digest)
 
     def crashes(self, digest: fingerprint.Digest) -> int:
-        """Returns the crashes of which a request is a suspect."""
+        """Returns the number of crashes that a request is a suspect of."""
         known = self._by_digest.get(digest)
         return 0 if known is None else len(known.by_crash)
 
     def blamed(self) -> list[fingerprint.Digest]:
-        """Returns the requests that are taken for causes."""
+        """Returns the requests identified as causes of crashes."""
         return [
             digest
             for digest, known in self._by_digest.items()
@@ -194,13 +197,13 @@
         sent_s: float,
         now: float,
     ) -> None:
-        """An upstream fell while it had a request.
+        """Records that an upstream crashed while it had a request.
 
         Args:
             digest: The request.
             crash: The crash.
-            sent_s: How long before it the request was sent, in seconds.
-            now: The time.
+            sent_s: Time from sending the request to the crash, in seconds.
+            now: The current time.
         """
         if digest in self._answered:
             return
@@ -212,7 +215,7 @@
             self._judge(now)
 
     def note_answer(self, digest: fingerprint.Digest, now: float) -> bool:
-        """A request was answered; returns whether it was a suspect."""
+        """Records a response to a request; returns whether it was suspected."""
         self._answered.pop(digest, None)
         self._answered[digest] = None
         if len(self._answered) > MOST_ANSWERED:
@@ -220,7 +223,7 @@
         return self._clear(digest, now)
 
     def forget(self, digest: fingerprint.Digest, now: float) -> bool:
-        """An operator clears a request; returns whether it was a suspect."""
+        """Clears a request manually; returns whether it was suspected."""
         return self._clear(digest, now)
 
     def _clear(self, digest: fingerprint.Digest, now: float) -> bool:
@@ -238,12 +241,13 @@
         now: float,
         is_trier: bool = False,
     ) -> Verdict:
-        """Returns what to do with a request that came.
+        """Returns what to do with a request.
 
         Args:
             digest: The request.
-            now: The time.
-            is_trier: Whether this VM is the one that tries it after long.
+            now: The current time.
+            is_trier: Whether this VM is the one that probes it after its
+                quarantine.
         """
         known = self._by_digest.get(digest)
         if known is None or not known.by_crash:
@@ -266,19 +270,19 @@
         return Verdict.TRY
 
     def refused_for_s(self, digest: fingerprint.Digest, now: float) -> float:
-        """Returns how much longer a request is refused, in seconds."""
+        """Returns how much longer a request is rejected, in seconds."""
         known = self._by_digest.get(digest)
         if known is None:
             return 0.0
         return max(FIRST_QUARANTINE_S, known.quarantined_until - now)
 
     def tell(self, now: float) -> list[Suspicion]:
-        """Returns what to tell other VMs now."""
+        """Returns the suspects to report to other VMs now."""
         if not self._by_digest:
             return []
         self._forget_old(now)
-        # Those of several crashes first: word of the others changes little, and
-        # that one of them was answered changes nothing.
+        # Suspects of several crashes go first. Reports on others have little
+        # effect, and reports that these were answered have none.
         by_weight = sorted(
             (entry for entry in self._by_digest.items() if entry[1].matters),
             key=lambda entry: (entry[1].most_crashes, entry[1].news_at),
@@ -297,7 +301,7 @@
         return [_told(digest, known, now) for digest, known in told]
 
     def hear(self, told: list[Suspicion], now: float) -> None:
-        """Takes in what another VM tells."""
+        """Applies the report of another VM."""
         is_news = False
         for one in told:
             known = self._by_digest.get(one.digest)
@@ -310,7 +314,7 @@
                 crash = _Crash(now - age_ms / 1000, sent_ms / 1000)
                 changed |= known.add(name, crash)
             if known.by_crash and one.digest in self._answered:
-                # Others don't know that it was answered.
+                # The other VMs don't know that it was answered here.
                 changed |= known.answer(now)
             if changed:
                 known.news_at = now
@@ -319,7 +323,7 @@
             self._judge(now)
 
     def _judge(self, now: float) -> None:
-        """Finds anew which requests are causes."""
+        """Recomputes which requests are causes."""
         self._forget_old(now)
         self._bound()
         found = causes.find(
@@ -347,7 +351,7 @@
             del self._by_digest[digest]
 
     def _bound(self) -> None:
-        """Drops the weakest suspects, the least recent first."""
+        """Drops surplus suspects: those of fewest crashes, oldest first."""
         surplus = len(self._by_digest) - MOST_KEPT
         if surplus <= 0:
             return
--- a/tests/crash_player.py
+++ b/tests/crash_player.py
@@ -1,7 +1,7 @@
-"""Plays requests that crash upstreams, beside ordinary ones, in many VMs.
+"""Simulates crashing and ordinary requests at many VMs.
 
-No network and no clock: events in the order of time. VMs tell each other what
-they saw with delays and losses.
+A discrete event simulation without network or real time. Reports between VMs
+are delayed and lost at random.
 """
 
 import dataclasses
@@ -20,26 +20,26 @@
 _DOWN_S = 2.0
 _RETRIES = 2
 _LENGTH_S = 12.0
-# All VMs may know by then that one of them answered a suspect.
+# Time until all VMs should know that one of them answered a suspect.
 _KNOWN_AFTER_S = 2.0
-# Ordinary requests come alone for so long.
+# Initial period with ordinary requests only.
 _CALM_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
 class History:
-    """What a history is made of.
+    """Parameters of a simulation.
 
     Attributes:
-        seed: Of all that is random.
-        vms: VMs that route.
-        upstreams: Upstreams of one service.
-        crashers: Requests that crash whatever runs them.
-        ordinary: Ordinary requests; each comes again and again.
-        per_s: Ordinary arrivals a second.
-        falls_per_s: Crashes a second of each upstream that no request causes.
-        lost: Part of what is told that never comes.
-        owners: Whether each request has one upstream at a time.
+        seed: Random seed.
+        vms: Number of gateway VMs.
+        upstreams: Number of upstreams of one service.
+        crashers: Number of requests that crash any upstream.
+        ordinary: Number of distinct ordinary requests, which are repeated.
+        per_s: Ordinary arrivals per second.
+        falls_per_s: Unrelated crashes per second of each upstream.
+        lost: Fraction of reports that are lost.
+        owners: Whether each request has one owning upstream at a time.
     """
 
     seed: int = 1
@@ -59,21 +59,21 @@
         self.id = model.UpstreamId(f"u-{number}")
         self.life = 1
         self.is_up = True
-        # By try: request, VM, retries, whether the VM may send it again, when
-        # it was sent.
+        # By number of the send: request, VM, retries, whether the VM may resend
+        # it, and when it was sent.
         self.working: dict[
             int, tuple[fingerprint.Digest, int, int, bool, float]
         ] = {}
 
 
 class Player:
-    """Plays one history.
+    """Runs one simulation.
 
     Attributes:
-        refused: Ordinary requests that were refused though some VM had
-            answered them, seconds before at least.
-        refused_unknown: The same, where none had.
-        crashed_at: When each request crashed an upstream.
+        refused: Rejected ordinary requests that some VM had answered at least
+            two seconds before.
+        refused_unknown: Other rejected ordinary requests.
+        crashed_at: Times at which each request crashed an upstream.
     """
 
     def __init__(self, history: History):
@@ -91,7 +91,7 @@
         self.crashed_at: dict[fingerprint.Digest, list[float]] = {}
 
     def play(self) -> None:
-        """Plays to the end."""
+        """Runs the simulation to its end."""
         history = self._history
         for digest in self._crashers:
             first = _CALM_S + self._random.random()
@@ -104,7 +104,11 @@
         self._clock.run()
 
     def later_than(self, bound_s: float) -> int:
-        """Returns the most tries of a crasher after its third crash and so."""
+        """Returns the most crashes of a request later than its time limit.
+
+        Args:
+            bound_s: Time limit, counted from the request's third crash.
+        """
         counts = [0]
         for times in self.crashed_at.values():
             if len(times) >= causes.LEAST_CRASHES:
@@ -122,7 +126,7 @@
     def _ordinary_comes(self, now: float) -> None:
         if now > _LENGTH_S:
             return
-        # Half of all are about the same few things.
+        # Half of all arrivals are for three requests.
         few = self._ordinary[:3]
         pool = few if self._random.random() < 0.5 else self._ordinary
         self._arrive(now, self._random.choice(pool), _RETRIES)
--- a/tests/integration/test_crashing_requests.py
+++ b/tests/integration/test_crashing_requests.py
@@ -1,8 +1,8 @@
-"""Requests that crash the servers which run them, at real gateways.
+"""Tests real gateways with requests that crash the servers that run them.
 
-Each of several callers sends one such request again and again, at any VM,
-beside ordinary load. Nothing that isn't such a request may be refused for it,
-and each of them reaches few servers once three fell.
+Several callers each repeat one such request at random VMs, beside ordinary
+load. No ordinary request may be rejected as crashing, and after a crashing
+request has crashed three servers, it may reach only few others.
 """
 
 import asyncio
@@ -14,11 +14,11 @@
 
 from tests.integration import gateways
 
-# VMs are told of a crash within this: the platform's least bound.
+# Time within which all VMs learn of a crash: the platform's minimum bound.
 _STABLE_WINDOW_S = 3.0
 _CRASHES = 3
 _MOST_LATER = 3
-# Crashes after which a request is refused whatever else was there.
+# Crashes after which a request is rejected whatever other requests were there.
 _SURE_AFTER = 5
 _CALLERS = 5
 _AGAIN_S = 0.4
@@ -30,7 +30,7 @@
 
     Attributes:
         path: Path of its request.
-        reasons: Why it was turned away, one entry a try.
+        reasons: Reason of the error response to each attempt; empty if none.
     """
 
     def __init__(self, site: gateways.Site, number: int, kind: str):
@@ -72,7 +72,7 @@
 
 
 async def _suffer(site: gateways.Site, kind: str, seconds: float, disturb):
-    """Plays callers that crash servers beside ordinary ones."""
+    """Runs callers that crash servers beside ordinary ones."""
     crashers = [_Crasher(site, number, kind) for number in range(_CALLERS)]
     site.world.crashing_paths = {one.path for one in crashers}
     over = asyncio.Event()
@@ -91,7 +91,10 @@
 def _arrivals_after_the_bound(
     site: gateways.Site, end: float
 ) -> dict[str, int]:
-    """Returns them by path, for requests whose bound is over."""
+    """Returns crashes after the time limit, by path.
+
+    Contains only requests whose time limit has passed.
+    """
     later = {}
     for path, times in site.world.crashes_by_path.items():
         if len(times) >= _CRASHES:
@@ -106,7 +109,7 @@
     assert later, "no request crashed three servers"
     assert max(later.values()) <= _MOST_LATER, site.world.crashes_by_path
     for one in crashers:
-        # One that was never alone at a crash may be sent on until its fifth.
+        # A request that was never alone at a crash may be sent until its fifth.
         times = site.world.crashes_by_path.get(one.path, ())[_SURE_AFTER - 1 :]
         if times and times[0] + _STABLE_WINDOW_S < end:
             assert one.reasons[-1] == "crashes-upstreams", one.reasons
--- a/tests/integration/test_gateway_callers.py
+++ b/tests/integration/test_gateway_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send further requests before the first is answered."""
+"""Tests connections of callers that pipeline requests."""
 
 import asyncio
 import contextlib
@@ -11,16 +11,18 @@
 from swiftstile.gateway import arrivals
 from swiftstile.gateway import callers
 
-# Long enough that an order that isn't kept shows.
+# Long enough to reveal responses in the wrong order.
 _SLOW_S = 0.05
 
 
 class _Scripted(arrivals.Responder):
-    """Answers by the path: `/NAME/DELAY_MS/BYTES`, `/x...` on its own only.
+    """Responds as given by the path, `/NAME/DELAY_MS/BYTES`.
+
+    Requests for `/x...` may not run concurrently with others.
 
     Attributes:
-        begun: Paths in the order in which they were begun.
-        cancelled: Paths that were given up.
+        begun: Paths in the order in which their handling started.
+        cancelled: Paths whose handling was cancelled.
         arrivals: Times of arrival by path.
     """
 
@@ -85,7 +87,7 @@
         self.writer.write(data.encode())
 
     async def answer(self) -> tuple[int, str, bool]:
-        """Returns status, body and whether the connection ends with it."""
+        """Returns status, body and whether the connection will be closed."""
         head = (await self._reader.readuntil(b"\r\n\r\n")).decode().lower()
         status = int(head.split()[1])
         length = int(head.split("content-length: ")[1].split("\r\n")[0])
@@ -150,7 +152,7 @@
         gate = _gate(responder, "/x1/0/0")
         caller.send("/x1/0/0", "/a/0/0", "/x2/0/0", "/b/0/0")
         await _until(lambda: responder.begun == ["/x1/0/0"])
-        # One that may overlap doesn't begin beside one that may not, either.
+        # A request that may overlap doesn't start beside one that may not.
         await asyncio.sleep(0)
         assert responder.begun == ["/x1/0/0"]
         gate.set()
@@ -198,7 +200,7 @@
         assert await caller.answer() == (200, "/slow/0/00", False)
         assert await caller.answer() == (200, "/a/0/00", True)
         assert await caller.has_ended()
-        # Behind the answer that closes: to be taken as not read.
+        # Requests behind the closing response were not handled.
         assert responder.begun == ["/slow/0/0", "/a/0/0"]
 
     _run(scenario)
@@ -261,7 +263,7 @@
         await asyncio.sleep(_SLOW_S)
         caller.send(*paths[1:])
         await asyncio.sleep(_SLOW_S)
-        # One answer fills the room: none of the others is begun.
+        # One response fills the buffer, so that no other request is started.
         assert responder.begun == ["/slow/0/0", paths[0]]
         gate.set()
         assert (await caller.answer())[1] == "/slow/0/00"
--- a/tests/integration/test_gateway_exchange.py
+++ b/tests/integration/test_gateway_exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges with servers that answer late, twice, early, in part or not."""
+"""Tests exchanges with servers that respond late, twice, early or partially."""
 
 import asyncio
 import contextlib
@@ -26,10 +26,11 @@
 
 
 class _Server:
-    """A scripted server: one function handles each request.
+    """A server that handles each request with a function.
 
     Attributes:
-        requests: Heads of all requests, in order.
+        requests: Heads and bodies of all requests, in order.
+        connections: Number of accepted connections.
     """
 
     def __init__(self, script):
@@ -281,8 +282,9 @@
 def test_after_a_forgotten_connection_rested_ones_carry_nothing_unsafe(
     monkeypatch,
 ):
-    # Servers that forget idle connections reset what is sent next on them; a
-    # request that may run once is lost then, as the reset doesn't say enough.
+    # Servers that silently dropped an idle connection reset it on the next
+    # request. The reset doesn't tell whether that request ran, so that a
+    # non-idempotent one can't be retried.
     monkeypatch.setattr(connections, "RESTED_S", -1.0)
 
     async def script(number, writer):
@@ -297,7 +299,7 @@
             await sender.send(_call("a2", "POST"), target)
         for number in (3, 4):
             await sender.send(_call(f"a{number}", "POST"), target)
-        # One for a1 and a2, and one for each that followed.
+        # One connection for a1 and a2, and one each for a3 and a4.
         assert server.connections == 3
 
     _run(script, scenario)
@@ -319,7 +321,7 @@
         call = _call("a1", "POST", b"x" * (16 << 20))
         answer = await sender.send(call, targets.Target(upstream, 0.0))
         assert answer.body == b"early"
-        # What is left of the body is due on that connection: it isn't kept.
+        # The rest of the body wasn't sent, so that the connection isn't reused.
         connection = await pool.take(upstream.address, True)
         assert pool.opened == 2
         connection.abort()
--- a/tests/keyed_load.py
+++ b/tests/keyed_load.py
@@ -1,10 +1,10 @@
-"""Plays lookups of keys that each have one owner, on a clock of its own.
+"""Simulates lookups of keys that each have one owner.
 
-An arbiter decides for all VMs, as `permits.py` has it: a question and its
-answer, the request and its answer, and the word of its end each take the time
-between failure domains. Owners work on `slots` requests at a time, each at its
-own speed, and queue the rest in order. Callers that are refused come back once
-at the time that they were told. Nothing is random but what the seed draws.
+An arbiter decides for all VMs, as in `permits.py`. Permit requests and
+responses, the lookups themselves and reports of their end take the latency
+between failure domains. Owners run `slots` requests concurrently, each owner at
+its own speed, and queue others in order. Rejected callers retry once at the
+time they were given. A simulation is determined by its seed.
 """
 
 import collections
@@ -18,22 +18,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class KeyedLoad:
-    """What is played.
+    """Parameters of a simulation.
 
     Attributes:
         speeds: Speed of each owner.
-        shares: Each owner's part of the requests, in any unit; by speed if
-            left out.
+        shares: Relative load of each owner; proportional to speed if empty.
         per_s: Requests/s of all callers together.
-        hot_per_s: Requests/s besides that are all for the first owner.
-        hot_from_s, hot_until_s: When those come.
-        work_s: Mean work of a request at an owner of speed 1.
-        objective_s: Time within which an answer is of full use.
+        hot_per_s: Additional requests/s for the first owner.
+        hot_from_s, hot_until_s: Period of the additional requests.
+        work_s: Mean service time of a request at an owner of speed 1.
+        objective_s: Latency objective.
         wait_s: How long a caller waits.
-        way_s: One way between two VMs, or a VM and an owner.
-        slots: Requests that an owner works on at a time.
-        length_s: How long callers come.
-        seed: Draws arrivals and work.
+        way_s: One-way latency between two VMs, or a VM and an owner.
+        slots: Concurrent requests of an owner.
+        length_s: Duration of arrivals.
+        seed: Random seed of arrivals and service times.
     """
 
     speeds: tuple[float, ...] = (0.5, 1.0, 1.0, 1.5)
@@ -53,13 +52,14 @@
 
 @dataclasses.dataclass
 class Result:
-    """What callers got.
+    """Results of callers.
 
     Attributes:
-        in_time: Answers within the objective, counted from the first try.
-        late: Later ones.
-        refused: Callers that were refused twice, or too late to come back.
-        held_s: Times that refused ones waited before they were told.
+        in_time: Responses within the objective, counted from the first attempt.
+        late: Later responses.
+        refused: Callers that were rejected twice, or too late to retry.
+        returned: Callers that retried after a rejection.
+        held_s: Times that rejected requests waited for their rejection.
     """
 
     in_time: int = 0
@@ -73,7 +73,7 @@
         return self.in_time + self.late + self.refused
 
     def worth(self, late_worth: float = 0.5) -> float:
-        """Returns what callers got of what they could have got."""
+        """Returns the value of the responses, relative to the maximum."""
         return (self.in_time + late_worth * self.late) / self.asked
 
 
@@ -87,7 +87,7 @@
 
 @dataclasses.dataclass
 class _Caller:
-    """One caller's request; its times count from its first try."""
+    """One caller's request, with times relative to its first attempt."""
 
     owner: str
     first_at: float
@@ -97,7 +97,7 @@
 
 
 class KeyedPlayer:
-    """Plays one load."""
+    """Runs one simulation."""
 
     def __init__(self, load: KeyedLoad):
         self._load = load
@@ -140,7 +140,7 @@
         )
 
     def _caller(self, owner: str, now: float, key: int) -> _Caller:
-        # Callers' patience differs by some 15%.
+        # Timeouts of callers differ by up to 15%.
         wait_s = self._load.wait_s * self._random.uniform(0.85, 1.0)
         return _Caller(owner, now, key, wait_s)
 
@@ -156,7 +156,7 @@
         )
 
     def _look(self, now: float) -> None:
-        """The regular look at the queue; estimates age."""
+        """Scans the queue periodically, as estimates change over time."""
         if now < self._load.length_s + self._load.wait_s:
             self._clock.at(now + 0.02, self._look)
         self._pump(now)
@@ -201,7 +201,8 @@
 
     def _reach(self, now: float, waiter, target) -> None:
         owner = self._owners[target.id]
-        # Gamma of shape 4: a spread of 0.5 of the mean, as the users' work.
+        # Gamma distribution of shape 4: the standard deviation is half of the
+        # mean, as for the users' requests.
         work_s = self._random.gammavariate(4, self._load.work_s / 4)
         owner.queue.append((waiter, target, work_s))
         self._start(now, owner)
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -1,8 +1,8 @@
-"""Plays a load on the decision code of many VMs, on a clock of its own.
+"""Simulates the admission code of many VMs under load.
 
-VMs share upstreams and tell each other their counts now and then. Upstreams
-work on `slots` requests at a time, each at its own speed, and queue the rest
-in order. Nothing is random but what the seed draws, so a run repeats.
+VMs share upstreams and periodically exchange their counts. Upstreams run three
+requests concurrently, each upstream at its own speed, and queue others in
+order. A simulation is determined by its seed, so that it is reproducible.
 """
 
 import collections
@@ -18,24 +18,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """What is played.
+    """Parameters of a simulation.
 
     Attributes:
-        vms: VMs of one domain.
-        upstreams: Upstreams that they share.
+        vms: Number of VMs in one failure domain.
+        upstreams: Number of upstreams that they share.
         per_s: Requests/s of all callers together.
-        work_s: Mean work of a request at an upstream of speed 1.
-        objective_s: Time within which an answer is of full use.
-        exchange_s: Between two tellings of counts.
-        speeds: Speeds of upstreams, in turn.
-        length_s: How long callers come.
-        cold_per_s: Requests/s that a cold upstream bears; 0 for no limit.
-        cold_s: How long upstreams are cold, from the start on.
-        cold_upstreams: So many of them are.
-        has_arbiter: Whether one VM decides for all, as `permits.py` has it.
-        way_s: One way between a VM and the arbiter.
-        queue_room: Requests that an upstream queues; it doesn't answer others.
-        seed: Draws arrivals and work.
+        work_s: Mean service time of a request at an upstream of speed 1.
+        objective_s: Latency objective.
+        exchange_s: Interval at which VMs exchange counts.
+        speeds: Speeds of upstreams, repeated cyclically.
+        length_s: Duration of arrivals.
+        cold_per_s: Requests/s that a cold upstream can take; 0 for no limit.
+        cold_s: How long upstreams are cold after the start.
+        cold_upstreams: Number of upstreams that start cold.
+        has_arbiter: Whether one VM decides for all, as in `permits.py`.
+        way_s: One-way latency between a VM and the arbiter.
+        queue_room: Queue length of an upstream; it doesn't answer requests
+            beyond that.
+        seed: Random seed of arrivals and service times.
     """
 
     vms: int = 25
@@ -57,7 +58,7 @@
 
 @dataclasses.dataclass
 class Result:
-    """What callers got."""
+    """Results of callers."""
 
     in_time: int = 0
     late: int = 0
@@ -69,7 +70,7 @@
     )
 
     def most_in_a_second(self, upstream: str, until: float) -> int:
-        """Returns the most sends to an upstream within any second."""
+        """Returns the maximum number of sends to an upstream in one second."""
         sends = [at for at in self.sends_by_upstream[upstream] if at < until]
         return max(
             (
@@ -89,7 +90,7 @@
 
     @property
     def mean_queued_s(self) -> float:
-        """Mean time that requests waited at upstreams, in seconds."""
+        """Mean time that requests were queued at upstreams, in seconds."""
         return sum(self.waits) / len(self.waits)
 
 
@@ -123,7 +124,7 @@
 
 
 class Player:
-    """Plays one load."""
+    """Runs one simulation."""
 
     def __init__(self, load: Load):
         self._load = load
@@ -203,7 +204,8 @@
             self.result.unanswered += 1
             self._clock.at(waiter.end, self._free, vm, waiter, target)
             return
-        # Gamma of shape 4: a spread of 0.5 of the mean, as the users' work.
+        # Gamma distribution of shape 4: the standard deviation is half of the
+        # mean, as for the users' requests.
         work_s = self._random.gammavariate(4, self._load.work_s / 4)
         upstream.queue.append((vm, waiter, target, work_s, now))
         self._start(now, upstream)
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -1,4 +1,4 @@
-"""Who gets a slot, who waits, who is refused."""
+"""Tests of admission: which requests get slots, wait or are rejected."""
 
 import asyncio
 import random
@@ -44,14 +44,14 @@
     builders.occupy(book.by_id["u-2"], 4)
     large = model.Repeatability.ONCE_LARGE
     assert decisions.offer(builders.waiter(repeatability=large), 0.0) is None
-    # A queue at home that costs more than the way is not.
+    # A longer queue at home costs more than leaving the domain.
     builders.occupy(book.by_id["u-2"], 9)
     assigned, _ = decisions.pump(0.0)
     assert [entry.target.id for entry in assigned] == ["u-1"]
 
 
 def _queue_of_eight(seed: int):
-    """Returns a queue of many VMs, and what waits there, in order."""
+    """Returns an admission queue with 20 VMs, and its requests in order."""
     drawn = random.Random(seed)
     book = builders.book(
         *(
@@ -82,8 +82,8 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_those_that_wait_together_are_placed_as_one_by_one(seed):
-    # A look at the queue goes through the targets once for all that wait; each
-    # slot that it gives has to be seen by those that come after.
+    # One scan groups the targets once for all queued requests. Each slot that
+    # it assigns must be visible to the requests that follow.
     decisions, waiting = _queue_of_eight(seed)
     random.seed(seed)
     assigned, _ = decisions.pump(0.0)
@@ -102,8 +102,8 @@
 
 
 def test_of_many_vms_too_a_large_body_waits_at_home():
-    # Found on the grown hbrt-gw: uploads left their domain as soon as all of
-    # its targets were full, at 0.2 GB between domains.
+    # On the enlarged site hbrt-gw, uploads left their domain as soon as all of
+    # its targets were full, which sent 0.2 GB between domains.
     book = builders.book(
         *(
             builders.upstream(
@@ -157,7 +157,7 @@
     assert isinstance(refused, admission.Overload)
     least_s = admission.LEAST_RETRY_AFTER * builders.route().objective_s
     assert refused.retry_after_s >= least_s
-    # Its wait would have been beyond what the objective leaves.
+    # Its wait would have exceeded the slack before the objective.
     assert refused.wait_s > 0.25 * builders.route().objective_s
 
 
@@ -187,7 +187,7 @@
 
 
 def _crowded() -> tuple[admission.Admission, admission.Waiter]:
-    """Returns a full target and a request that waits and is late by 100.1."""
+    """Returns admission to a full target, and a request late from 100.1 on."""
     book = builders.book(builders.upstream())
     builders.occupy(book.by_id["u-1"], 4, 100.0)
     decisions = _admission(book)
@@ -201,7 +201,7 @@
     decisions, late = _crowded()
     now, last, refused = 100.1, None, []
     while not refused:
-        # One that can be in time waits at each look.
+        # At each scan, a request that can be in time is waiting.
         fresh = builders.waiter(now)
         assert decisions.offer(fresh, now) is None
         if last is not None:
@@ -210,7 +210,8 @@
         _, refused = decisions.pump(now)
         now += 0.05
     assert [waiter for waiter, _ in refused] == [late]
-    # Others waited for that long without a break; and far before its end.
+    # Rejected once others had waited this long without a break, long before its
+    # deadline.
     contested_s = admission.CROWDED_AFTER * builders.route().objective_s
     assert 100.1 + contested_s <= now < 100.2 + contested_s < late.end
 
@@ -222,7 +223,7 @@
         fresh = builders.waiter(now)
         assert decisions.offer(fresh, now) is None
         assert decisions.pump(now) == ([], [])
-        # The fresh one is served, so that none waits for a moment.
+        # The fresh one is served, which interrupts the contention.
         decisions.leave(fresh)
         assert decisions.pump(now + 0.01) == ([], [])
     assert now > 100.1 + builders.route().objective_s
@@ -301,7 +302,7 @@
 
 
 def _crowded_owner():
-    """Returns an owner for which lookups that can be in time always wait."""
+    """Returns an owner for which lookups that can be in time keep waiting."""
     book = builders.book(builders.upstream())
     target = book.by_id["u-1"]
     decisions = _admission(book)
@@ -353,7 +354,8 @@
     waiter = builders.waiter()
     left_s = waiter.route.objective_s - waiter.expected_s
     assert waiter.is_late(left_s - 0.05)
-    # On an owner that takes nearly all of the objective, none is late at once.
+    # Where the service time is nearly the objective, requests aren't late at
+    # once.
     waiter.expected_s = 0.95 * waiter.route.objective_s
     assert not waiter.is_late(0.0)
 
@@ -396,7 +398,7 @@
     target = book.by_id["u-1"]
     target.slowness = 2.0
     target.note_sent(1, 0.0, 0.2)
-    # Twice its usual time: one request was ahead of it.
+    # Twice its usual time is normal if it queued behind one request.
     assert target.slow_factor(0.8) == 2.0
     assert target.slow_factor(2.0) > 6.0
 
@@ -404,7 +406,7 @@
 def test_a_refusal_names_the_owner_that_was_too_busy():
     book = builders.book(builders.upstream())
     target = book.by_id["u-1"]
-    # More work than its caller waits for.
+    # The queue is longer than the caller waits.
     builders.occupy(target, 40)
     waiter = builders.waiter(owner=builders.FixedOwner(target))
     refused = _admission(book).offer(waiter, 0.0)
@@ -445,7 +447,7 @@
     book.put(builders.upstream("u-2", address="127.0.0.1:1"), 1.5)
     assert book.by_id["u-1"].is_replaced
     assert not book.by_id["u-1"].takes_requests(1.5, drain_s=2.0)
-    # Its registration may lag: it doesn't come back to life by that.
+    # A delayed registration must not reactivate it.
     book.put(builders.upstream("u-1", address="127.0.0.1:1"), 1.6)
     assert book.by_id["u-1"].leaving_since is not None
 
@@ -460,7 +462,7 @@
         repeats.spend(builders.LOOKUPS, 1.0)
         spent += 1
     assert 0 < spent <= budget.SAFETY * (0.2 * 100 + 5)
-    # The window slides.
+    # The sliding window has moved on.
     assert repeats.can_spend(builders.LOOKUPS, 11.5)
 
 
@@ -508,7 +510,7 @@
 
 
 class _Looks(admission.Admission):
-    """Counts how often the queue is looked at."""
+    """Counts scans of the queue."""
 
     def __init__(self, book, vms: int):
         super().__init__(book, builders.HOME, 2.0)
@@ -533,7 +535,7 @@
             await asyncio.sleep(0)
         for _ in range(5):
             made.note_report()
-        # A slot that comes free is looked at however many VMs there are.
+        # A free slot triggers a scan whatever the number of VMs.
         book.by_id["u-1"].note_ended(-1)
         made.pump()
         assert (await waiting).id == "u-1"
--- a/tests/unit/test_gateway_crash_check.py
+++ b/tests/unit/test_gateway_crash_check.py
@@ -1,12 +1,9 @@
-"""Requests that crash upstreams are stopped also after they waited for a slot.
-
-What operators saw: a request that crashes its upstreams reached four of them
-later than the bound after its third crash; three are the most.
-Order of events: few upstreams are left after the crashes, so the request waits
-for a slot; meanwhile this VM hears of its last crashes; then it gets the slot.
-Cause: whether a request is a cause of crashes was asked when it arrived, and
-not when it was about to be sent.
-Evidence: the first test here without the mend.
+"""Tests that crashing requests are also rejected after waiting for a slot.
+
+If few upstreams are left, a crashing request waits for a slot. Meanwhile the VM
+may receive reports of its last crashes. When requests were checked on arrival
+only, such a request was still sent and reached four upstreams after the time
+limit that follows its third crash; three are allowed.
 """
 
 import asyncio
@@ -22,7 +19,7 @@
 
 
 class _Permits:
-    """Grants a slot, while other VMs' reports are heard."""
+    """Grants a slot after receiving reports of other VMs."""
 
     def __init__(self, during_wait):
         self._during_wait = during_wait
@@ -38,7 +35,7 @@
 
 
 class _Crashes:
-    """Knows of one request that is refused."""
+    """Rejects every request."""
 
     def __init__(self):
         self.has_suspects = False
--- a/tests/unit/test_gateway_keyed_load.py
+++ b/tests/unit/test_gateway_keyed_load.py
@@ -1,7 +1,7 @@
-"""What lookups earn that each have one owner, by the load that is played.
+"""Simulates lookups of owned keys under load and checks their total value.
 
-The floors are 0.02 below what three seeds gave in the mean. Each decision that
-gains something is taken out as well, which has to earn less by a margin.
+The lower bounds are 0.02 below the mean of three seeds. Decision rules are also
+disabled one by one, which must reduce the value by a margin.
 """
 
 import functools
@@ -15,12 +15,12 @@
 from tests import keyed_load
 
 _SEEDS = (1, 2, 3)
-# Two owners of the usual speed, a slow and a fast one: 133 lookups/s in all.
+# Two owners of mean speed, a slow and a fast one: 133 lookups/s in total.
 _CAPACITY_PER_S = 400 / 3
 
 
 def _results(part: float, **changes) -> list[keyed_load.Result]:
-    """Plays a part of the capacity, for less time where queues are long."""
+    """Simulates a fraction of the capacity; shorter when overloaded."""
     length_s = 20.0 if part < 2.0 else 12.0 / part
     return [
         keyed_load.KeyedPlayer(
@@ -37,7 +37,7 @@
 
 @functools.cache
 def _present(part: float) -> list[keyed_load.Result]:
-    """Returns what the decisions as they are give; played once."""
+    """Returns cached results of the unmodified decisions."""
     return _results(part)
 
 
@@ -46,7 +46,7 @@
 
 
 def _in_time(part: float) -> float:
-    """Returns the answers within their objective, over those of capacity."""
+    """Returns responses within the objective, relative to the capacity."""
     results = _present(part)
     offered = sum(result.asked for result in results) / part
     return sum(result.in_time for result in results) / offered
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("part", [2.0, 5.0])
 def test_what_is_in_time_under_overload_stays_near_that_at_capacity(part):
-    # With the mean work as the measure of what is late, 0.91 and 0.81 of it.
+    # With lateness judged by the mean service time: 0.91 and 0.81.
     assert _in_time(part) >= 0.9 * _in_time(1.0)
 
 
@@ -81,17 +81,18 @@
 @pytest.mark.parametrize(
     ("part", "owner", "name", "old", "margin"),
     [
-        # Refused rather than served late, though slots are idle now and then.
+        # Requests are rejected instead of served late, while slots are idle at
+        # times.
         (0.7, admission.Admission, "_is_crowded", _always, 0.008),
-        # Late ones wait on, whoever else does.
+        # Late requests keep waiting despite contention.
         (2.0, admission.Admission, "_is_crowded", _never, 0.015),
-        # Requests go on counting as in time until the mean work is too long.
+        # Requests are late only if the mean service time exceeds the slack.
         (2.0, admission.Waiter, "is_late", _mean_is_late, 0.03),
-        # Late ones aren't known.
+        # No request counts as late.
         (1.3, admission.Waiter, "is_late", _never, 0.04),
-        # Callers that come back count as new ones.
+        # Retries of callers count as new requests.
         (2.0, returns.Returns, "recognise", lambda *_: None, 0.04),
-        # A request that takes somewhat longer makes its owner slow.
+        # A slightly longer service time makes an owner count as slow.
         (2.0, targets, "OVERDUE", 1.4, 0.015),
     ],
 )
--- a/tests/unit/test_gateway_load.py
+++ b/tests/unit/test_gateway_load.py
@@ -1,4 +1,4 @@
-"""What callers get under load, played on the decision code of many VMs."""
+"""Simulates the admission code of many VMs under load."""
 
 import dataclasses
 
@@ -7,8 +7,8 @@
 from swiftstile.gateway import admission
 from tests import load_player
 
-# One domain of the grown hbrt-gw: 25 VMs, 17 certifiers of 3 slots, which do
-# 160 requests/s.
+# One failure domain of the enlarged site hbrt-gw: 25 VMs and 17 certifiers with
+# 3 slots, with a capacity of 160 requests/s.
 _CALM, _BUSY, _TOO_MUCH = 106.0, 145.0, 200.0
 
 
@@ -28,7 +28,8 @@
     ("per_s", "most"), [(_CALM, 0.9), (_BUSY, 0.7), (_TOO_MUCH, 0.45)]
 )
 def test_without_a_sample_they_do(per_s, most, monkeypatch):
-    # As it was: each VM chose the best of all, by counts 0.25 s old.
+    # Without sampling, each VM chooses the best of all upstreams by counts that
+    # are 0.25 s old.
     monkeypatch.setattr(admission, "FEW_VMS", 1000)
     assert _share_in_time(per_s) < most
 
@@ -42,7 +43,7 @@
 
 
 def test_it_sends_nothing_that_upstreams_can_not_queue():
-    # Upstreams that don't answer what they can't queue hold their callers.
+    # Upstreams that don't answer requests beyond their queue make callers wait.
     load = load_player.Load(per_s=_BUSY, length_s=12.0, queue_room=2)
     assert load_player.Player(load).play().unanswered > 100
     load = dataclasses.replace(load, has_arbiter=True)
--- a/tests/unit/test_gateway_suspects.py
+++ b/tests/unit/test_gateway_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are taken for the cause of crashes."""
+"""Tests which requests are identified as causes of crashes."""
 
 import hypothesis
 from hypothesis import strategies
@@ -31,7 +31,7 @@
 
 
 def _book(crashes: dict[str, list[int]]) -> suspects.Suspects:
-    """Returns a book of requests that were there in numbered crashes."""
+    """Returns suspects, given the crash numbers of each request."""
     made = suspects.Suspects()
     order = sorted({one for numbers in crashes.values() for one in numbers})
     for number in order:
@@ -130,7 +130,7 @@
 def test_two_causes_that_share_a_crash_are_both_found():
     book = _book({"bad-1": [0, 1, 2], "bad-2": [2, 3, 4]})
     assert _verdict(book, "bad-1") is _REFUSE
-    # The first one explains one of its three.
+    # The first one explains one of its three crashes.
     assert _verdict(book, "bad-2") is _ONCE
     book.note_crash(_digest("bad-2"), _crash(5), 0.1, _NOW + 5)
     assert _verdict(book, "bad-2") is _REFUSE
@@ -226,7 +226,7 @@
     first.note_answer(_digest("bad"), _NOW + 8)
     second.hear(first.tell(_NOW + 8.5), _NOW + 8.5)
     assert _verdict(second, "bad") is _PASS
-    # Word of before the answer comes late.
+    # A report from before the response arrives late.
     second.hear(told, _NOW + 5.1)
     assert _verdict(second, "bad") is _PASS
 
@@ -257,7 +257,7 @@
 
 @pytest.mark.parametrize("vms", [12, 80, 200])
 def test_all_vms_know_within_the_bound(vms):
-    """One that leads hears all and tells all, each third of a second."""
+    """The leader relays all reports, every third of a second."""
     books = [suspects.Suspects() for _ in range(vms)]
     for number in range(3):
         books[(number * 37) % vms].note_crash(
@@ -300,10 +300,11 @@
 
 
 def _refused(count: int = 40) -> tuple[int, int]:
-    """Returns histories in which ordinary requests are refused.
+    """Returns how many histories reject ordinary requests.
 
-    Upstreams fall all the time. Counted are those in which one was refused that
-    some VM had answered before, and those in which one was that nobody had.
+    Upstreams crash all the time. Counts the histories in which a request was
+    rejected although some VM had answered it, and those in which a request was
+    rejected that no VM had answered.
     """
     known = unknown = 0
     for seed in range(count):
