--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -18,65 +18,65 @@
 from swiftstile.gateway import targets
 
 __all__ = [
-    "Admission",
+    "AdmissionController",
     "Assignment",
-    "Contest",
-    "Overload",
     "OwnerLookup",
+    "QueueKey",
+    "Rejection",
     "Waiter",
-    "crossing_s",
+    "cross_domain_penalty_s",
 ]
 
 # Requests sent to a target beyond its slots. Keeps its slots busy although this
 # VM's view of it is about 30 ms old (a round trip and a report of a peer).
-QUEUE_AHEAD = 1
+MAX_QUEUED_AT_TARGET = 1
 # A request is rejected if its expected wait exceeds this fraction of the slack
 # before its objective. Estimates are off by about a third.
-SLACK_USED = 0.8
+MAX_SLACK_FRACTION = 0.8
 # Waits up to this fraction of the objective are allowed in any case (unless the
 # deadline is nearer), so that no request is rejected for estimation noise.
-LEAST_WAIT = 0.25
+MIN_WAIT_FRACTION = 0.25
 # A request counts as late unless it would meet its objective even with this
 # fraction of the mean service time added. Service times vary by half, so half
 # of the requests that are just in time by the mean finish late, and use a slot
 # that another request could have used in time. The reserve is capped at the
 # second fraction of the slack, or else all requests of a slow owner would count
 # as late.
-LATE_RESERVE, RESERVED_SLACK = 0.6, 0.5
+LATENESS_MARGIN, MAX_MARGIN_OF_SLACK = 0.6, 0.5
 # Late requests are rejected once requests that can still be in time have waited
 # for the same targets for this long without a break, in objectives. Rejecting
 # them later than this doesn't serve more requests.
-CROWDED_AFTER = 0.5
+CONTENTION_PERIOD = 0.5
 # A request with less than this fraction of its expected service time left is
 # rejected.
-LEAST_TIME_LEFT = 0.6
+MIN_TIME_LEFT_FRACTION = 0.6
 # Cost of sending to another failure domain, in objectives. Traffic between
 # domains is expensive, and a response that is slower but still within its
 # objective is worth the same.
-OTHER_DOMAIN = 0.2
+CROSS_DOMAIN_COST = 0.2
 # The same for large bodies, which leave the local domain only if they would
 # miss their objective there.
-OTHER_DOMAIN_LARGE = 0.75
+CROSS_DOMAIN_COST_LARGE = 0.75
 # Minimum Retry-After, in objectives: about the time until a slot becomes free.
-LEAST_RETRY_AFTER = 0.25
+MIN_RETRY_AFTER = 0.25
 # Retry-After for a service without targets: about two upstream heartbeats.
-TARGETLESS_RETRY_AFTER_S = 1.0
+NO_TARGET_RETRY_AFTER_S = 1.0
 # Random fraction added to Retry-After, so that callers don't retry all at once.
-RETRY_SPREAD = 0.4
+RETRY_JITTER = 0.4
 # Up to this many VMs, each learns of the others' requests at shared targets
 # within a fraction of their service time.
-FEW_VMS = 6
+MAX_VMS_WITHOUT_SAMPLING = 6
 # Number of random targets that a VM compares when there are more VMs. Their
 # counts are older than the time between two requests, so that all VMs would
 # otherwise choose the same target.
-SAMPLE = 2
-_FOREVER = float("inf")
+SAMPLE_SIZE = 2
+_INFINITY = float("inf")
 
 # What a request queues for: any upstream of a service, or the owner of a key.
-Contest = tuple[ids.ServiceName, model.UpstreamId | None]
+QueueKey = tuple[ids.ServiceName, model.UpstreamId | None]
 
 
-class Overload(typing.NamedTuple):
+class Rejection(typing.NamedTuple):
     """The rejection of a request, with its reason.
 
     Attributes:
@@ -96,9 +96,9 @@
 class _Group(typing.NamedTuple):
     """Targets of a service by failure domain and spare capacity."""
 
-    home_open: list[targets.Target]
+    home_available: list[targets.Target]
     home_full: list[targets.Target]
-    far_open: list[targets.Target]
+    remote_available: list[targets.Target]
 
 
 # Groups computed during one scan of the queue, by service and domain.
@@ -112,11 +112,11 @@
     target: targets.Target
 
 
-def crossing_s(route: model.Route) -> float:
+def cross_domain_penalty_s(route: model.Route) -> float:
     """Returns the latency penalty for sending to another failure domain."""
     if route.repeatability is model.Repeatability.ONCE_LARGE:
-        return OTHER_DOMAIN_LARGE * route.objective_s
-    return OTHER_DOMAIN * route.objective_s
+        return CROSS_DOMAIN_COST_LARGE * route.objective_s
+    return CROSS_DOMAIN_COST * route.objective_s
 
 
 class OwnerLookup(abc.ABC):
@@ -139,7 +139,7 @@
         service: The service selected by the route's traffic split.
         owner: Looks up the target that owns its key; None without a key.
         arrived: Arrival time, on the monotonic clock.
-        end: Deadline after which a response is useless.
+        deadline: Time after which a response is useless.
         expected_s: Expected service time at a target of mean speed.
         excluded: Targets that already rejected it or failed.
         awaited: The target that owns its key, if it waits for that one.
@@ -148,7 +148,7 @@
         gives_up_at: When its caller stops waiting, if the caller said so.
         domain: The only failure domain whose upstreams it may use; None for
             all. One VM decides for all requests with a domain.
-        most_wait_s: Maximum wait for a slot, in seconds; None for no limit
+        max_wait_s: Maximum wait for a slot, in seconds; None for no limit
             besides the deadline.
     """
 
@@ -160,7 +160,7 @@
         service: ids.ServiceName,
         owner: "OwnerLookup | None",
         arrived: float,
-        end: float,
+        deadline: float,
         expected_s: float,
         key: int | None = None,
         gives_up_at: float | None = None,
@@ -169,7 +169,7 @@
         self.service = service
         self.owner = owner
         self.arrived = arrived
-        self.end = end
+        self.deadline = deadline
         self.expected_s = expected_s
         self.excluded: set[model.UpstreamId] = set()
         self.awaited: targets.Target | None = None
@@ -177,7 +177,7 @@
         self.key = key
         self.gives_up_at = gives_up_at
         self.domain: ids.FailureDomain | None = None
-        self.most_wait_s: float | None = None
+        self.max_wait_s: float | None = None
         self.sequence = next(self._sequence)
 
     @property
@@ -186,12 +186,12 @@
         return self.arrived + self.route.objective_s
 
     @property
-    def is_decided_for_all(self) -> bool:
+    def is_centrally_decided(self) -> bool:
         """Whether one VM decides for all requests that compete with it."""
         return self.owner is not None or self.domain is not None
 
     @property
-    def contest(self) -> Contest | None:
+    def queue_key(self) -> QueueKey | None:
         """What it queues for: any target of a service, or its key's owner.
 
         None if its key has no owner, as no other request can overtake it then.
@@ -201,16 +201,16 @@
         return None if self.awaited is None else (self.service, self.awaited.id)
 
     @property
-    def work_s(self) -> float:
+    def service_time_s(self) -> float:
         """Expected service time at the awaited target, or at a mean one."""
         slowness = 1.0 if self.awaited is None else self.awaited.slowness
         return self.expected_s * slowness
 
     def is_late(self, now: float) -> bool:
         """Whether a response would probably miss the objective."""
-        work_s = self.work_s
+        work_s = self.service_time_s
         slack_s = max(0.0, self.route.objective_s - work_s)
-        reserve_s = min(LATE_RESERVE * work_s, RESERVED_SLACK * slack_s)
+        reserve_s = min(LATENESS_MARGIN * work_s, MAX_MARGIN_OF_SLACK * slack_s)
         return now + work_s + reserve_s > self.objective_at
 
     def rank(self, now: float) -> tuple[bool, int, float, int]:
@@ -223,7 +223,7 @@
         )
 
 
-class Admission:
+class AdmissionController:
     """Assigns slots of targets to the requests of one VM.
 
     Attributes:
@@ -232,28 +232,28 @@
 
     def __init__(
         self,
-        book: targets.TargetBook,
+        target_table: targets.TargetBook,
         domain: ids.FailureDomain,
         drain_s: float,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
     ):
-        self._book = book
+        self._targets = target_table
         self._domain = domain
         self._drain_s = drain_s
         self._limits = limits
         self._waiters: dict[int, Waiter] = {}
         # Start of the current uninterrupted period in which requests that can
         # still be in time have been waiting, by what they queue for.
-        self._contested_since: dict[Contest, float] = {}
+        self._contention_started: dict[QueueKey, float] = {}
         self._returns = returns.Returns()
-        self.vms = 1
+        self.vm_count = 1
 
     def __len__(self) -> int:
         return len(self._waiters)
 
     def offer(
         self, waiter: Waiter, now: float
-    ) -> targets.Target | Overload | None:
+    ) -> targets.Target | Rejection | None:
         """Decides on a request that just arrived or that a target rejected.
 
         Returns:
@@ -263,57 +263,60 @@
         if waiter.owner is not None:
             waiter.awaited = waiter.owner.target(now)
         self._returns.recognise(waiter, now)
-        if not self._is_overtaking(waiter, now):
-            target = self.pick(waiter, now)
+        if not self._is_preceded(waiter, now):
+            target = self.select_target(waiter, now)
             if target is not None:
                 self._limits.note_sent(target, now)
                 return target
         wait_s = self.expected_wait_s(waiter, now)
-        limit_s = self._longest_wait_s(waiter, now)
-        if waiter.most_wait_s is not None:
-            limit_s = min(limit_s, waiter.most_wait_s)
+        limit_s = self._max_wait_s(waiter, now)
+        if waiter.max_wait_s is not None:
+            limit_s = min(limit_s, waiter.max_wait_s)
         if wait_s > limit_s:
-            return self._refusal(waiter, wait_s - limit_s, wait_s, now)
+            return self._rejection(waiter, wait_s - limit_s, wait_s, now)
         self._waiters[waiter.sequence] = waiter
         if waiter.awaited is not None:
             waiter.awaited.waiting += 1
         return None
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove(self, waiter: Waiter) -> None:
         """Removes a request from the queue, if it is queued."""
         if self._waiters.pop(waiter.sequence, None) is None:
             return
         if not self._waiters:
-            self._contested_since.clear()
+            self._contention_started.clear()
         if waiter.awaited is not None:
             waiter.awaited.waiting -= 1
             waiter.awaited = None
 
-    def pump(
-        self, now: float, only: Contest | None = None
-    ) -> tuple[list[Assignment], list[tuple[Waiter, Overload]]]:
+    def dispatch(
+        self, now: float, only: QueueKey | None = None
+    ) -> tuple[list[Assignment], list[tuple[Waiter, Rejection]]]:
         """Returns queued requests that may be sent, and those to reject.
 
         Args:
             now: The current time.
             only: Restricts the scan to the requests that queue for this.
         """
-        assigned, refused = [], []
+        assigned, rejected = [], []
         # What requests that can still be in time keep waiting for.
-        contested: set[Contest] = set()
+        contested: set[QueueKey] = set()
         groups: _Groups = {}
-        looked_at = [
+        scanned = [
             waiter
             for waiter in self._waiters.values()
-            if only is None or waiter.contest == only
+            if only is None or waiter.queue_key == only
         ]
-        for waiter in sorted(looked_at, key=lambda entry: entry.rank(now)):
-            if waiter.end - now < LEAST_TIME_LEFT * waiter.expected_s:
-                refused.append((waiter, self._turn_away(waiter, now)))
+        for waiter in sorted(scanned, key=lambda entry: entry.rank(now)):
+            if (
+                waiter.deadline - now
+                < MIN_TIME_LEFT_FRACTION * waiter.expected_s
+            ):
+                rejected.append((waiter, self._reject_queued(waiter, now)))
                 continue
-            target = self._pick(waiter, now, groups)
+            target = self._select_target(waiter, now, groups)
             if target is not None:
-                self.leave(waiter)
+                self.remove(waiter)
                 # Counted temporarily, so that later requests of this scan see
                 # the slot as taken.
                 target.own += 1
@@ -321,73 +324,75 @@
                 groups.pop((waiter.service, waiter.domain), None)
                 assigned.append(Assignment(waiter, target))
                 continue
-            if self._is_hopeless(waiter, now):
-                refused.append((waiter, self._turn_away(waiter, now)))
+            if self._has_no_owner_in_time(waiter, now):
+                rejected.append((waiter, self._reject_queued(waiter, now)))
                 continue
-            if waiter.contest is None:
+            if waiter.queue_key is None:
                 continue
             if not waiter.is_late(now):
-                contested.add(waiter.contest)
+                contested.add(waiter.queue_key)
             elif self._is_starved(waiter, contested, now):
-                refused.append((waiter, self._turn_away(waiter, now)))
-        self._note_contested(contested, only, now)
+                rejected.append((waiter, self._reject_queued(waiter, now)))
+        self._update_contention(contested, only, now)
         for assignment in assigned:
             assignment.target.own -= 1
-        return assigned, refused
+        return assigned, rejected
 
     @staticmethod
-    def _is_hopeless(waiter: Waiter, now: float) -> bool:
+    def _has_no_owner_in_time(waiter: Waiter, now: float) -> bool:
         """Whether its key won't have an owner before its deadline."""
         if waiter.owner is None or waiter.owner.target(now) is not None:
             return False
-        return waiter.owner.ready_in_s(now) > waiter.end - now
+        return waiter.owner.ready_in_s(now) > waiter.deadline - now
 
-    def _note_contested(
-        self, contested: set[Contest], only: Contest | None, now: float
+    def _update_contention(
+        self, contested: set[QueueKey], only: QueueKey | None, now: float
     ) -> None:
         """Updates the start times of periods of contention."""
         kept = {
-            contest: since
-            for contest, since in self._contested_since.items()
-            if contest in contested or (only is not None and contest != only)
+            key: since
+            for key, since in self._contention_started.items()
+            if key in contested or (only is not None and key != only)
         }
-        self._contested_since = dict.fromkeys(contested, now) | kept
+        self._contention_started = dict.fromkeys(contested, now) | kept
 
-    def _turn_away(self, waiter: Waiter, now: float) -> Overload:
+    def _reject_queued(self, waiter: Waiter, now: float) -> Rejection:
         """Removes a queued request and returns its rejection."""
-        overload = self._refusal(waiter, 0.0, now - waiter.arrived, now)
-        self.leave(waiter)
-        return overload
+        rejection = self._rejection(waiter, 0.0, now - waiter.arrived, now)
+        self.remove(waiter)
+        return rejection
 
     def _is_starved(
-        self, waiter: Waiter, contested: set[Contest], now: float
+        self, waiter: Waiter, contested: set[QueueKey], now: float
     ) -> bool:
         """Whether a late request would never get a slot.
 
         Requests that can be in time go first. Where these have been queueing
         for a while, newer ones will keep overtaking it.
         """
-        return waiter.contest in contested and self._is_crowded(waiter, now)
+        return waiter.queue_key in contested and self._is_contended(waiter, now)
 
-    def pick(self, waiter: Waiter, now: float) -> targets.Target | None:
+    def select_target(
+        self, waiter: Waiter, now: float
+    ) -> targets.Target | None:
         """Returns the available target with the earliest expected response."""
-        return self._pick(waiter, now, {})
+        return self._select_target(waiter, now, {})
 
-    def _pick(
+    def _select_target(
         self, waiter: Waiter, now: float, groups: _Groups
     ) -> targets.Target | None:
         """Like `pick`, with target groups cached for one scan of the queue."""
-        best, best_s = None, waiter.end - now
-        best_full_s = _FOREVER
+        best, best_s = None, waiter.deadline - now
+        best_full_s = _INFINITY
         for target in self._sample(waiter, now, groups):
             slots = target.upstream.slots
             ahead = target.occupied(now) - slots
             work_s = waiter.expected_s * target.slow_factor(now)
             took_s = work_s * (1 + max(0, ahead + 1) / slots)
-            took_s += self._distance_s(waiter, target)
+            took_s += self._domain_penalty_s(waiter, target)
             if target.is_penalised(now):
                 took_s += waiter.expected_s
-            if ahead >= self._room_beyond_slots(waiter, now):
+            if ahead >= self._max_beyond_slots(waiter, now):
                 best_full_s = min(best_full_s, took_s)
             elif waiter.owner is not None or took_s < best_s:
                 best, best_s = target, took_s
@@ -395,7 +400,7 @@
         return best if best_s <= best_full_s else None
 
     @staticmethod
-    def _room_beyond_slots(waiter: Waiter, now: float) -> int:
+    def _max_beyond_slots(waiter: Waiter, now: float) -> int:
         """Returns how many requests a target may have beyond its slots.
 
         A late request is sent to an owner only if a slot is idle. Queueing it
@@ -403,13 +408,13 @@
         """
         if waiter.owner is not None and waiter.is_late(now):
             return 0
-        return QUEUE_AHEAD
+        return MAX_QUEUED_AT_TARGET
 
     def expected_wait_s(self, waiter: Waiter, now: float) -> float:
         """Returns the expected wait of a request for a slot, in seconds."""
         candidates = self._candidates(waiter, now)
         if not candidates:
-            return self._no_candidate_for_s(waiter, now)
+            return self._candidate_ready_in_s(waiter, now)
         rate, elsewhere, above = 0.0, 0, 0
         for target in candidates:
             slots = target.upstream.slots
@@ -419,15 +424,15 @@
             )
             elsewhere += target.waiting_elsewhere(now)
             above += max(0, target.occupied(now) - slots)
-        ahead = self._ahead(waiter, now)
-        if not waiter.is_decided_for_all:
-            ahead *= self.vms
+        ahead = self._count_ahead(waiter, now)
+        if not waiter.is_centrally_decided:
+            ahead *= self.vm_count
         return (ahead + elsewhere + above + 1) / rate
 
-    def _no_candidate_for_s(self, waiter: Waiter, now: float) -> float:
+    def _candidate_ready_in_s(self, waiter: Waiter, now: float) -> float:
         """Returns the expected time until a target exists, in seconds."""
         if waiter.owner is None:
-            return _FOREVER
+            return _INFINITY
         owner = waiter.owner.target(now)
         if owner is not None and self._limits.is_barred(owner, now):
             return owner.cold_until - now
@@ -445,15 +450,17 @@
         """
         if waiter.domain is not None:
             # This VM decides on the requests of all VMs there.
-            return self._group(waiter, now, groups).home_open
-        if self.vms <= FEW_VMS:
+            return self._group(waiter, now, groups).home_available
+        if self.vm_count <= MAX_VMS_WITHOUT_SAMPLING:
             return self._open_candidates(waiter, now)
         group = self._group(waiter, now, groups)
-        if group.home_open:
-            return _some_of(group.home_open)
+        if group.home_available:
+            return _random_sample(group.home_available)
         # Waiting for a full target at home may still give the earliest
         # response.
-        return _some_of(group.far_open) + _some_of(group.home_full)
+        return _random_sample(group.remote_available) + _random_sample(
+            group.home_full
+        )
 
     def _open_candidates(
         self, waiter: Waiter, now: float
@@ -479,10 +486,10 @@
         for target in self._open_candidates(waiter, now):
             ahead = target.occupied(now) - target.upstream.slots
             if target.upstream.failure_domain != self._domain:
-                if ahead < QUEUE_AHEAD:
-                    group.far_open.append(target)
-            elif ahead < QUEUE_AHEAD:
-                group.home_open.append(target)
+                if ahead < MAX_QUEUED_AT_TARGET:
+                    group.remote_available.append(target)
+            elif ahead < MAX_QUEUED_AT_TARGET:
+                group.home_available.append(target)
             else:
                 group.home_full.append(target)
         if is_shared:
@@ -494,7 +501,7 @@
             owner = waiter.owner.target(now)
             found = [] if owner is None else [owner]
         else:
-            group = self._book.by_service.get(waiter.service, {})
+            group = self._targets.by_service.get(waiter.service, {})
             found = [
                 target
                 for target in group.values()
@@ -510,9 +517,11 @@
         sound = [entry for entry in usable if not entry.is_penalised(now)]
         return sound or usable
 
-    def staying(self, waiter: Waiter, now: float) -> list[targets.Target]:
+    def usable_targets(
+        self, waiter: Waiter, now: float
+    ) -> list[targets.Target]:
         """Returns usable targets of a request's service that aren't leaving."""
-        group = self._book.by_service.get(waiter.service, {})
+        group = self._targets.by_service.get(waiter.service, {})
         return [
             target
             for target in group.values()
@@ -531,12 +540,12 @@
     def _is_barred(self, target: targets.Target, now: float) -> bool:
         return now < target.cold_until and self._limits.is_barred(target, now)
 
-    def _distance_s(self, waiter, target) -> float:
+    def _domain_penalty_s(self, waiter, target) -> float:
         if target.upstream.failure_domain == self._domain:
             return 0.0
-        return crossing_s(waiter.route)
+        return cross_domain_penalty_s(waiter.route)
 
-    def _is_overtaking(self, waiter: Waiter, now: float) -> bool:
+    def _is_preceded(self, waiter: Waiter, now: float) -> bool:
         """Whether a competing request in the queue goes first."""
         rank = waiter.rank(now)
         return any(
@@ -544,7 +553,7 @@
             for other in self._waiters.values()
         )
 
-    def _ahead(self, waiter: Waiter, now: float) -> int:
+    def _count_ahead(self, waiter: Waiter, now: float) -> int:
         rank = waiter.rank(now)
         return sum(
             self._competes(other, waiter) and other.rank(now) < rank
@@ -558,37 +567,38 @@
             return other.owner is None and waiter.owner is None
         return other.awaited is waiter.awaited
 
-    def _longest_wait_s(self, waiter: Waiter, now: float) -> float:
-        possible_s = waiter.end - now - waiter.expected_s
-        if waiter.is_decided_for_all and not self._is_crowded(waiter, now):
+    def _max_wait_s(self, waiter: Waiter, now: float) -> float:
+        possible_s = waiter.deadline - now - waiter.expected_s
+        if waiter.is_centrally_decided and not self._is_contended(waiter, now):
             # A late response is better than none. Only allowed where one VM
             # knows the whole queue: otherwise late requests of one VM would
             # overtake requests of another that can still be in time.
             return possible_s
-        slack_s = waiter.objective_at - now - waiter.work_s
+        slack_s = waiter.objective_at - now - waiter.service_time_s
         useful_s = max(
-            SLACK_USED * slack_s, LEAST_WAIT * waiter.route.objective_s
+            MAX_SLACK_FRACTION * slack_s,
+            MIN_WAIT_FRACTION * waiter.route.objective_s,
         )
         return min(useful_s, possible_s)
 
-    def _is_crowded(self, waiter: Waiter, now: float) -> bool:
+    def _is_contended(self, waiter: Waiter, now: float) -> bool:
         """Whether requests that can be in time have long been competing."""
-        since = self._contested_since.get(waiter.contest, now)
-        return now - since >= CROWDED_AFTER * waiter.route.objective_s
+        since = self._contention_started.get(waiter.queue_key, now)
+        return now - since >= CONTENTION_PERIOD * waiter.route.objective_s
 
-    def _refusal(
+    def _rejection(
         self, waiter, excess_s: float, wait_s: float, now: float
-    ) -> Overload:
-        if excess_s == _FOREVER:
-            excess_s = TARGETLESS_RETRY_AFTER_S
-        base_s = max(LEAST_RETRY_AFTER * waiter.route.objective_s, excess_s)
-        spread = 1 + random.uniform(0, RETRY_SPREAD)
+    ) -> Rejection:
+        if excess_s == _INFINITY:
+            excess_s = NO_TARGET_RETRY_AFTER_S
+        base_s = max(MIN_RETRY_AFTER * waiter.route.objective_s, excess_s)
+        spread = 1 + random.uniform(0, RETRY_JITTER)
         owner = None if waiter.awaited is None else waiter.awaited.id
-        if waiter.most_wait_s is None:
+        if waiter.max_wait_s is None:
             self._returns.expect(waiter, now + base_s * spread)
         is_ownerless = waiter.owner is not None and owner is None
-        return Overload(base_s * spread, wait_s, owner, is_ownerless)
+        return Rejection(base_s * spread, wait_s, owner, is_ownerless)
 
 
-def _some_of(pool: list[targets.Target]) -> list[targets.Target]:
-    return random.sample(pool, min(SAMPLE, len(pool)))
+def _random_sample(pool: list[targets.Target]) -> list[targets.Target]:
+    return random.sample(pool, min(SAMPLE_SIZE, len(pool)))
--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -41,7 +41,7 @@
         self.waiter = waiter
         self.target: targets.Target | None = None
         self.waiting: asyncio.Future | None = None
-        self.lapses_at = waiter.end + LAPSE_S
+        self.lapses_at = waiter.deadline + LAPSE_S
 
 
 class _Wanted(admission.OwnerLookup):
@@ -132,7 +132,7 @@
         waiter.domain = self._peers.me.domain
         waiter.excluded = set(ask.excluded)
         if ask.most_wait_ms is not None:
-            waiter.most_wait_s = ask.most_wait_ms / 1000
+            waiter.max_wait_s = ask.most_wait_ms / 1000
         return waiter
 
     def _begin(
@@ -142,8 +142,8 @@
         waiter: admission.Waiter,
     ) -> None:
         name = (ask.run, ask.number)
-        decided = self._gate.begin(waiter)
-        if isinstance(decided, admission.Overload):
+        decided = self._gate.start_acquire(waiter)
+        if isinstance(decided, admission.Rejection):
             self._tell_refused(peer, ask.number, decided)
             return
         permit = self._permits[name] = _Permit(waiter)
@@ -179,7 +179,7 @@
         if permit is None:
             return
         if permit.waiting is not None and permit.target is None:
-            self._gate.give_up(permit.waiter, permit.waiting)
+            self._gate.cancel_wait(permit.waiter, permit.waiting)
             permit.waiting.cancel()
         else:
             self._gate.release(permit.waiter, permit.target)
@@ -191,7 +191,7 @@
         error = future.exception()
         if error is not None:
             del self._permits[name]
-            self._tell_refused(peer, name[1], error.overload)
+            self._tell_refused(peer, name[1], error.rejection)
             return
         permit.target = future.result()
         self._tell_state(peer, name[1], permit)
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -247,7 +247,7 @@
             self._speeds.hear(node, peer.report.speeds, now)
         if peer.report.suspicions:
             self._suspects.hear(peer.report.suspicions, peer.heard_at)
-        self._gate.note_report()
+        self._gate.on_peer_report()
 
     def _note_counts(
         self, peer: reports.Peer, counts: reports.Counts, now: float
@@ -274,7 +274,9 @@
                     target.slowness = ratios.get(
                         target.id, speeds.UNKNOWN_RATIO
                     )
-            self._gate.decisions.vms = self._peers.circulation.near_heard(now)
+            self._gate.admission.vm_count = self._peers.circulation.near_heard(
+                now
+            )
             self._budget.set_vms(len(self._peers.by_node) + 1)
 
     async def _lead(self) -> None:
--- a/src/swiftstile/gateway/detours.py
+++ b/src/swiftstile/gateway/detours.py
@@ -72,7 +72,9 @@
             last = Stop(self._home, None)
             if not open_stops:
                 return [last]
-            first = Stop(self._home, admission.crossing_s(waiter.route))
+            first = Stop(
+                self._home, admission.cross_domain_penalty_s(waiter.route)
+            )
             return [first, *open_stops, last]
         return open_stops + [Stop(domain, None) for domain in others[:1]]
 
--- a/src/swiftstile/gateway/exchange.py
+++ b/src/swiftstile/gateway/exchange.py
@@ -145,7 +145,7 @@
             unknown = outcomes.UnknownOutcomeError(
                 repr(error), step="read answer", peer=target.id
             )
-            unknown.is_broken = not connection.has_answered
+            unknown.is_connection_broken = not connection.has_answered
             raise unknown from error
         finally:
             if not is_kept:
@@ -228,7 +228,7 @@
             connection.abort()
         error = kind(f"status {head.status}", step="send", peer=target.id)
         load = verdict.load
-        error.had_room = load is not None and load.running < load.slots
+        error.had_free_slot = load is not None and load.running < load.slots
         raise error
 
     async def _body(self, head, verdict, target, connection) -> Answer:
--- a/src/swiftstile/gateway/gate.py
+++ b/src/swiftstile/gateway/gate.py
@@ -8,81 +8,81 @@
 from swiftstile.gateway import outcomes
 from swiftstile.gateway import targets
 
-__all__ = ["Gate", "refused"]
+__all__ = ["Gate", "rejected_error"]
 
 # Interval of queue scans without other events, as estimates change over time.
-PUMP_INTERVAL_S = 0.02
+SCAN_INTERVAL_S = 0.02
 
 
 class Gate:
     """Assigns slots to waiting requests as they become free.
 
     Args:
-        decisions: Decides which request gets which slot.
-        note_demand: Called once for each request for a key's owner that this
+        admission_controller: Decides which request gets which slot.
+        record_demand: Called once for each request for a key's owner that this
             gate decides on.
     """
 
     def __init__(
         self,
-        decisions: admission.Admission,
-        note_demand: collections.abc.Callable[[admission.Waiter], None],
+        admission_controller: admission.AdmissionController,
+        record_demand: collections.abc.Callable[[admission.Waiter], None],
     ):
-        self.decisions = decisions
-        self._note_demand = note_demand
-        self._waiting: dict[int, asyncio.Future[targets.Target]] = {}
+        self.admission = admission_controller
+        self._record_demand = record_demand
+        self._futures: dict[int, asyncio.Future[targets.Target]] = {}
         self._has_waiting = asyncio.Event()
 
     async def acquire(self, waiter: admission.Waiter) -> targets.Target:
         """Waits for a target with a free slot and counts the request there.
 
         Raises:
-            RefusedError: No slot in time.
+            RejectedError: No slot in time.
         """
-        decided = self.begin(waiter)
-        if isinstance(decided, admission.Overload):
-            raise refused(decided)
+        decided = self.start_acquire(waiter)
+        if isinstance(decided, admission.Rejection):
+            raise rejected_error(decided)
         if isinstance(decided, targets.Target):
             return decided
         try:
             return await decided
         except asyncio.CancelledError:
-            self.give_up(waiter, decided)
+            self.cancel_wait(waiter, decided)
             raise
 
-    def begin(
+    def start_acquire(
         self, waiter: admission.Waiter
-    ) -> targets.Target | admission.Overload | asyncio.Future[targets.Target]:
+    ) -> targets.Target | admission.Rejection | asyncio.Future[targets.Target]:
         """Starts to acquire a slot, without waiting.
 
         Returns:
             A target that counts the request already, a rejection, or a future
-            with either. Call `give_up` to stop waiting for the future.
+            with either. Call `cancel_wait` to stop waiting for the future.
         """
         now = clocks.monotonic()
         if waiter.owner is not None:
-            self._note_demand(waiter)
-        decided = self.decisions.offer(waiter, now)
+            self._record_demand(waiter)
+        decided = self.admission.offer(waiter, now)
         if decided is None:
             future = asyncio.get_running_loop().create_future()
-            self._waiting[waiter.sequence] = future
+            self._futures[waiter.sequence] = future
             self._has_waiting.set()
             return future
         if isinstance(decided, targets.Target):
-            self._count(waiter, decided, now)
+            self._occupy(waiter, decided, now)
         return decided
 
     @staticmethod
-    def _count(waiter, target: targets.Target, now: float) -> None:
+    def _occupy(waiter, target: targets.Target, now: float) -> None:
         waiter.occupied = target.occupied(now)
         target.note_sent(waiter.sequence, now, waiter.expected_s)
 
-    def give_up(
+    def cancel_wait(
         self, waiter: admission.Waiter, future: asyncio.Future[targets.Target]
     ) -> None:
-        """Cancels a wait for the future that `begin` returned."""
-        self._waiting.pop(waiter.sequence, None)
-        self.decisions.leave(waiter)
+        """Cancels a wait for the future that `start_acquire` returned."""
+        self._futures.pop(waiter.sequence, None)
+        self.admission.remove(waiter)
         if future.done() and not future.cancelled() and not future.exception():
             # It was assigned a slot while its caller stopped waiting.
             self.release(waiter, future.result())
@@ -91,35 +91,35 @@
         """Releases the slot of a request that has left its target."""
         target.note_ended(waiter.sequence)
         is_owner = waiter.owner is not None
-        self.pump((waiter.service, target.id if is_owner else None))
+        self.dispatch((waiter.service, target.id if is_owner else None))
 
-    def note_report(self) -> None:
+    def on_peer_report(self) -> None:
         """Scans the queue after a peer reported its load on targets.
 
         With many VMs there are about a hundred reports a second and each scan
         costs as much as a request, so the next regular scan has to do.
         """
-        if self.decisions.vms <= admission.FEW_VMS:
-            self.pump()
+        if self.admission.vm_count <= admission.MAX_VMS_WITHOUT_SAMPLING:
+            self.dispatch()
 
-    def pump(self, only: admission.Contest | None = None) -> None:
+    def dispatch(self, only: admission.QueueKey | None = None) -> None:
         """Assigns free slots to waiting requests.
 
         Args:
             only: Restricts the scan to the requests that queue for this.
         """
-        if not self._waiting:
+        if not self._futures:
             return
         now = clocks.monotonic()
-        assigned, turned_away = self.decisions.pump(now, only)
+        assigned, rejected = self.admission.dispatch(now, only)
         for waiter, target in assigned:
-            self._count(waiter, target, now)
-            self._settle(waiter, target, None)
-        for waiter, overload in turned_away:
-            self._settle(waiter, None, refused(overload))
+            self._occupy(waiter, target, now)
+            self._resolve(waiter, target, None)
+        for waiter, rejection in rejected:
+            self._resolve(waiter, None, rejected_error(rejection))
 
-    def _settle(self, waiter, target, error) -> None:
-        future = self._waiting.pop(waiter.sequence, None)
+    def _resolve(self, waiter, target, error) -> None:
+        future = self._futures.pop(waiter.sequence, None)
         if future is None or future.done():
             if target is not None:
                 target.note_ended(waiter.sequence)
@@ -134,22 +134,22 @@
         while True:
             # Avoids wake-ups while the queue is empty.
             await self._has_waiting.wait()
-            await asyncio.sleep(PUMP_INTERVAL_S)
-            self.pump()
-            if not self._waiting:
+            await asyncio.sleep(SCAN_INTERVAL_S)
+            self.dispatch()
+            if not self._futures:
                 self._has_waiting.clear()
 
 
-def refused(overload: admission.Overload) -> outcomes.RefusedError:
+def rejected_error(rejection: admission.Rejection) -> outcomes.RejectedError:
     """Returns the error that reports a rejection to the caller."""
-    wanted = "owner of the key" if overload.is_ownerless else "slot"
-    error = outcomes.RefusedError(
-        f"no {wanted} within {overload.wait_s:.3f} s",
+    wanted = "owner of the key" if rejection.is_ownerless else "slot"
+    error = outcomes.RejectedError(
+        f"no {wanted} within {rejection.wait_s:.3f} s",
         step="wait for an owner"
-        if overload.is_ownerless
+        if rejection.is_ownerless
         else "wait for a slot",
-        peer=overload.owner or "",
+        peer=rejection.owner or "",
     )
-    error.retry_after_s = overload.retry_after_s
-    error.overload = overload
+    error.retry_after_s = rejection.retry_after_s
+    error.rejection = rejection
     return error
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -286,7 +286,7 @@
         while True:
             try:
                 target = await self._permits.acquire(waiter)
-            except outcomes.RefusedError as error:
+            except outcomes.RejectedError as error:
                 raise self._final(error, waiter, progress) from error
             if self._crashes.has_suspects and not call.is_trial:
                 # It may have been identified as a cause of crashes while it
@@ -323,7 +323,7 @@
 
         It may not if it probably crashed the last one.
         """
-        is_broken = getattr(error, "is_broken", False)
+        is_broken = getattr(error, "is_connection_broken", False)
         if not is_broken or not await self._crashes.fell(target):
             return True
         digest = call.digest()
@@ -348,7 +348,7 @@
         elif isinstance(error, outcomes.UpstreamUnreachableError):
             target.note_failure(now)
         elif isinstance(error, outcomes.NotRunError):
-            if not error.had_room:
+            if not error.had_free_slot:
                 target.note_shed(now, SHED_PAUSE_S)
             if waiter.owner is None:
                 waiter.excluded.add(target.id)
@@ -388,7 +388,7 @@
         last send certainly didn't run.
         """
         if progress.may_have_run and isinstance(
-            error, (outcomes.NotRunError, outcomes.RefusedError)
+            error, (outcomes.NotRunError, outcomes.RejectedError)
         ):
             return outcomes.UnknownOutcomeError(
                 f"an earlier send may have run; {error}",
@@ -397,7 +397,7 @@
             )
         if isinstance(error, outcomes.NotRunError):
             error.retry_after_s = SHED_RETRY_AFTER_S
-            if error.had_room:
+            if error.had_free_slot:
                 part = random.uniform(*ROOM_RETRY_AFTER)
                 error.retry_after_s = part * waiter.route.objective_s
         return error
--- a/src/swiftstile/gateway/outcomes.py
+++ b/src/swiftstile/gateway/outcomes.py
@@ -14,7 +14,7 @@
     "NoRouteError",
     "NotReadyError",
     "NotRunError",
-    "RefusedError",
+    "RejectedError",
     "ReplacedError",
     "StaleConfigError",
     "TimedOutError",
@@ -87,19 +87,19 @@
     retry_after_s = 0.3
 
 
-class RefusedError(GatewayError):
+class RejectedError(GatewayError):
     """The request can't be served in time, and no upstream ran it.
 
     Attributes:
-        overload: The decision that led to it.
+        rejection: The decision that led to it.
     """
 
     status = 503
     reason = "overloaded"
-    overload = None
+    rejection = None
 
 
-class CrashingRequestError(RefusedError):
+class CrashingRequestError(RejectedError):
     """Upstreams crashed while they had this request; it isn't sent again."""
 
     reason = "crashes-upstreams"
@@ -109,12 +109,12 @@
     """The request was sent and no complete, valid response was received.
 
     Attributes:
-        is_broken: Whether its connection broke before any response.
+        is_connection_broken: Whether its connection broke before any response.
     """
 
     status = 502
     reason = "no-whole-answer"
-    is_broken = False
+    is_connection_broken = False
 
 
 class TimedOutError(GatewayError):
@@ -128,13 +128,13 @@
     """An upstream reported that it didn't run the request.
 
     Attributes:
-        had_room: Whether it reported a free slot, so that it rejected the
+        had_free_slot: Whether it reported a free slot, so that it rejected the
             request for another reason than lack of slots.
     """
 
     status = 503
     reason = "shed"
-    had_room = False
+    had_free_slot = False
 
 
 class MisdirectedError(NotRunError):
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -138,11 +138,11 @@
         """Returns a target that has room, with the request counted there.
 
         Raises:
-            RefusedError: No slot in time.
+            RejectedError: No slot in time.
         """
         if waiter.owner is not None:
             return await self._acquire_owner(waiter)
-        if self._gate.decisions.vms > admission.FEW_VMS:
+        if self._gate.admission.vm_count > admission.MAX_VMS_WITHOUT_SAMPLING:
             return await self._acquire_any(waiter)
         return await self._gate.acquire(waiter)
 
@@ -164,14 +164,14 @@
     async def _acquire_any(self, waiter: admission.Waiter) -> targets.Target:
         """Gets a slot of any upstream, from the domain that gives one first."""
         now = clocks.monotonic()
-        group = self._gate.decisions.staying(waiter, now)
-        refusal: outcomes.RefusedError | None = None
+        group = self._gate.admission.usable_targets(waiter, now)
+        refusal: outcomes.RejectedError | None = None
         for stop in self._detours.plan(waiter, group, now):
             waiter.domain = stop.domain
-            waiter.most_wait_s = stop.most_wait_s
+            waiter.max_wait_s = stop.most_wait_s
             try:
                 target = await self._acquire_in(waiter, stop.domain)
-            except outcomes.RefusedError as error:
+            except outcomes.RejectedError as error:
                 refusal = error
                 self._detours.note_refused(
                     waiter.service, stop, clocks.monotonic()
@@ -182,7 +182,7 @@
             refusal = None
         if refusal is not None:
             raise refusal
-        waiter.domain = waiter.most_wait_s = None
+        waiter.domain = waiter.max_wait_s = None
         return await self._gate.acquire(waiter)
 
     async def _acquire_in(
@@ -217,7 +217,7 @@
     @property
     def queued(self) -> int:
         """Requests that wait at this VM for a slot that it hands out."""
-        return len(self._gate.decisions)
+        return len(self._gate.admission)
 
     async def _ask(
         self,
@@ -233,7 +233,7 @@
             arbiter: Who is asked.
 
         Raises:
-            RefusedError: The arbiter refused it.
+            RejectedError: The arbiter refused it.
         """
         number = next(self._numbers)
         asked = self._asked[number] = _Asked()
@@ -271,7 +271,7 @@
         if target is not None:
             return target if waiter.owner.target(now) is target else None
         granted = self._book.by_id.get(decided.upstream)
-        if granted is None or not self._gate.decisions.is_usable(
+        if granted is None or not self._gate.admission.is_usable(
             granted, waiter, now
         ):
             # This VM knows better, or heard of it earlier, that it leaves.
@@ -317,7 +317,7 @@
             number,
             "" if target is None else target.id,
             clocks.milliseconds(now - waiter.arrived),
-            clocks.milliseconds(waiter.end - now),
+            clocks.milliseconds(waiter.deadline - now),
             clocks.milliseconds(waiter.expected_s),
             clocks.milliseconds(waiter.route.objective_s),
             waiter.route.priority,
@@ -330,8 +330,8 @@
         if target is None:
             ask.service = waiter.service
             ask.excluded = sorted(waiter.excluded)
-            if waiter.most_wait_s is not None:
-                ask.most_wait_ms = clocks.milliseconds(waiter.most_wait_s)
+            if waiter.max_wait_s is not None:
+                ask.most_wait_ms = clocks.milliseconds(waiter.max_wait_s)
         self._peers.send_permit(arbiter, self._encoder.encode(ask))
         self._meters.permits.add("asked")
 
@@ -390,10 +390,10 @@
 
 def _refused(
     decided: permit_messages.Decided, target: targets.Target | None
-) -> outcomes.RefusedError:
-    overload = admission.Overload(
+) -> outcomes.RejectedError:
+    overload = admission.Rejection(
         decided.retry_after_ms / 1000,
         decided.wait_ms / 1000,
         None if target is None else target.id,
     )
-    return gate_lib.refused(overload)
+    return gate_lib.rejected_error(overload)
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -197,13 +197,13 @@
             self._drain_s,
         )
         gate = gate_lib.Gate(
-            admission.Admission(
+            admission.AdmissionController(
                 self._book, self._node.domain, self._drain_s, self._cold_limits
             ),
             key_owners.note_demand,
         )
         self._registry = registry = registry_lib.Registry(
-            self._book, adapters.decode_upstream, gate.pump, self._meters
+            self._book, adapters.decode_upstream, gate.dispatch, self._meters
         )
         registrations = follow.TableFollower(
             "registrations",
--- a/tests/keyed_load.py
+++ b/tests/keyed_load.py
@@ -114,7 +114,9 @@
         for spec, speed in zip(specs, load.speeds, strict=True):
             self._owners[spec.id] = _Owner(speed, load.slots)
             self._book.by_id[spec.id].slowness = 1.0 / speed
-        self._decisions = admission.Admission(self._book, builders.HOME, 2.0)
+        self._decisions = admission.AdmissionController(
+            self._book, builders.HOME, 2.0
+        )
         self._callers: dict[int, _Caller] = {}
         self.result = Result()
 
@@ -177,17 +179,17 @@
         self._callers[waiter.sequence] = caller
         self._pump(now)
         decided = self._decisions.offer(waiter, now)
-        if isinstance(decided, admission.Overload):
+        if isinstance(decided, admission.Rejection):
             self._refuse(now, waiter, decided)
         elif decided is not None:
             self._grant(now, waiter, decided)
 
-    def _refuse(self, now: float, waiter, overload) -> None:
+    def _refuse(self, now: float, waiter, rejection) -> None:
         load = self._load
         caller = self._callers.pop(waiter.sequence)
         self.result.held_s.append(now - waiter.arrived)
         left_s = caller.first_at + caller.wait_s - now
-        back_s = min(overload.retry_after_s, left_s / 3)
+        back_s = min(rejection.retry_after_s, left_s / 3)
         if caller.returns or left_s < 0.05:
             self.result.refused += 1
             return
@@ -232,8 +234,8 @@
         self._pump(now)
 
     def _pump(self, now: float) -> None:
-        assigned, refused = self._decisions.pump(now)
+        assigned, refused = self._decisions.dispatch(now)
         for waiter, target in assigned:
             self._grant(now, waiter, target)
-        for waiter, overload in refused:
-            self._refuse(now, waiter, overload)
+        for waiter, rejection in refused:
+            self._refuse(now, waiter, rejection)
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -117,10 +117,10 @@
         limits.set_services(
             {builders.LOOKUPS: builders.service(cold_per_s=load.cold_per_s)}
         )
-        self.decisions = admission.Admission(
+        self.decisions = admission.AdmissionController(
             self.book, builders.HOME, 2.0, limits
         )
-        self.decisions.vms = load.vms
+        self.decisions.vm_count = load.vms
 
 
 class Player:
@@ -183,7 +183,7 @@
 
     def _offer(self, now: float, vm, waiter) -> None:
         decided = vm.decisions.offer(waiter, now)
-        if isinstance(decided, admission.Overload):
+        if isinstance(decided, admission.Rejection):
             self.result.refused += 1
         elif decided is not None:
             self._send(now, vm, waiter, decided)
@@ -202,7 +202,7 @@
         upstream = self._upstreams[target.id]
         if len(upstream.queue) >= self._load.queue_room and not upstream.free:
             self.result.unanswered += 1
-            self._clock.at(waiter.end, self._free, vm, waiter, target)
+            self._clock.at(waiter.deadline, self._free, vm, waiter, target)
             return
         # Gamma distribution of shape 4: the standard deviation is half of the
         # mean, as for the users' requests.
@@ -237,7 +237,7 @@
         self._pump(now, vm)
 
     def _pump(self, now: float, vm) -> None:
-        assigned, refused = vm.decisions.pump(now)
+        assigned, refused = vm.decisions.dispatch(now)
         self.result.refused += len(refused)
         for waiter, target in assigned:
             self._send(now, vm, waiter, target)
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -14,8 +14,8 @@
 from tests import gateway_builders as builders
 
 
-def _admission(book) -> admission.Admission:
-    return admission.Admission(book, builders.HOME, 2.0)
+def _admission(book) -> admission.AdmissionController:
+    return admission.AdmissionController(book, builders.HOME, 2.0)
 
 
 def test_a_free_target_is_given_at_once():
@@ -46,7 +46,7 @@
     assert decisions.offer(builders.waiter(repeatability=large), 0.0) is None
     # A longer queue at home costs more than leaving the domain.
     builders.occupy(book.by_id["u-2"], 9)
-    assigned, _ = decisions.pump(0.0)
+    assigned, _ = decisions.dispatch(0.0)
     assert [entry.target.id for entry in assigned] == ["u-1"]
 
 
@@ -64,7 +64,7 @@
         )
     )
     decisions = _admission(book)
-    decisions.vms = 20
+    decisions.vm_count = 20
     for target in book.by_id.values():
         builders.occupy(target, 5)
     waiting = []
@@ -86,7 +86,7 @@
     # it assigns must be visible to the requests that follow.
     decisions, waiting = _queue_of_eight(seed)
     random.seed(seed)
-    assigned, _ = decisions.pump(0.0)
+    assigned, _ = decisions.dispatch(0.0)
     together = {
         waiting.index(entry.waiter): entry.target.id for entry in assigned
     }
@@ -94,7 +94,7 @@
     random.seed(seed)
     one_by_one = {}
     for number, waiter in enumerate(waiting):
-        target = decisions.pick(waiter, 0.0)
+        target = decisions.select_target(waiter, 0.0)
         if target is not None:
             target.own += 1
             one_by_one[number] = target.id
@@ -120,7 +120,7 @@
     large = model.Repeatability.ONCE_LARGE
     for _ in range(20):
         decisions = _admission(book)
-        decisions.vms = 25
+        decisions.vm_count = 25
         waiter = builders.waiter(repeatability=large)
         assert decisions.offer(waiter, 0.0) is None
 
@@ -154,8 +154,8 @@
         refused = decisions.offer(builders.waiter(), 0.0)
         if refused is not None:
             break
-    assert isinstance(refused, admission.Overload)
-    least_s = admission.LEAST_RETRY_AFTER * builders.route().objective_s
+    assert isinstance(refused, admission.Rejection)
+    least_s = admission.MIN_RETRY_AFTER * builders.route().objective_s
     assert refused.retry_after_s >= least_s
     # Its wait would have exceeded the slack before the objective.
     assert refused.wait_s > 0.25 * builders.route().objective_s
@@ -170,7 +170,7 @@
     assert decisions.offer(later, 0.0) is None
     assert decisions.offer(urgent, 0.0) is None
     book.by_id["u-1"].note_ended(-1)
-    assigned, refused = decisions.pump(0.0)
+    assigned, refused = decisions.dispatch(0.0)
     assert [entry.waiter for entry in assigned] == [urgent]
     assert not refused
 
@@ -181,12 +181,12 @@
     builders.occupy(book.by_id["u-1"], 4)
     waiter = builders.waiter()
     assert decisions.offer(waiter, 0.0) is None
-    _, refused = decisions.pump(waiter.end - 0.05)
+    _, refused = decisions.dispatch(waiter.deadline - 0.05)
     assert [entry for entry, _ in refused] == [waiter]
     assert len(decisions) == 0
 
 
-def _crowded() -> tuple[admission.Admission, admission.Waiter]:
+def _crowded() -> tuple[admission.AdmissionController, admission.Waiter]:
     """Returns admission to a full target, and a request late from 100.1 on."""
     book = builders.book(builders.upstream())
     builders.occupy(book.by_id["u-1"], 4, 100.0)
@@ -205,15 +205,15 @@
         fresh = builders.waiter(now)
         assert decisions.offer(fresh, now) is None
         if last is not None:
-            decisions.leave(last)
+            decisions.remove(last)
         last = fresh
-        _, refused = decisions.pump(now)
+        _, refused = decisions.dispatch(now)
         now += 0.05
     assert [waiter for waiter, _ in refused] == [late]
     # Rejected once others had waited this long without a break, long before its
     # deadline.
-    contested_s = admission.CROWDED_AFTER * builders.route().objective_s
-    assert 100.1 + contested_s <= now < 100.2 + contested_s < late.end
+    contested_s = admission.CONTENTION_PERIOD * builders.route().objective_s
+    assert 100.1 + contested_s <= now < 100.2 + contested_s < late.deadline
 
 
 def test_a_late_request_waits_on_where_others_are_served_now_and_then():
@@ -222,10 +222,10 @@
         now = 100.1 + 0.15 * step
         fresh = builders.waiter(now)
         assert decisions.offer(fresh, now) is None
-        assert decisions.pump(now) == ([], [])
+        assert decisions.dispatch(now) == ([], [])
         # The fresh one is served, which interrupts the contention.
-        decisions.leave(fresh)
-        assert decisions.pump(now + 0.01) == ([], [])
+        decisions.remove(fresh)
+        assert decisions.dispatch(now + 0.01) == ([], [])
     assert now > 100.1 + builders.route().objective_s
     assert len(decisions) == 1
 
@@ -238,7 +238,7 @@
     for step in range(14):
         now = 100.1 + 0.05 * step
         assert decisions.offer(builders.waiter(now, owner=lookup), now) is None
-        assert decisions.pump(now) == ([], [])
+        assert decisions.dispatch(now) == ([], [])
     assert now > 100.1 + builders.route().objective_s
 
 
@@ -249,9 +249,9 @@
     late = builders.waiter()
     assert decisions.offer(late, 0.0) is None
     now = late.objective_at
-    assert decisions.pump(now) == ([], [])
+    assert decisions.dispatch(now) == ([], [])
     book.by_id["u-1"].note_ended(-1)
-    assigned, _ = decisions.pump(now)
+    assigned, _ = decisions.dispatch(now)
     assert [entry.waiter for entry in assigned] == [late]
 
 
@@ -265,14 +265,14 @@
     assert decisions.offer(late, 0.0) is None
     now = late.objective_at
     assert decisions.offer(builders.waiter(now, owner=owners[1]), now) is None
-    assert decisions.pump(now) == ([], [])
+    assert decisions.dispatch(now) == ([], [])
 
 
 def test_a_key_without_owner_is_refused_until_when_it_may_have_one():
     decisions = _admission(builders.book())
     lookup = builders.FixedOwner(None, ready_in_s=5.0)
     refused = decisions.offer(builders.waiter(owner=lookup), 0.0)
-    assert isinstance(refused, admission.Overload)
+    assert isinstance(refused, admission.Rejection)
     assert refused.retry_after_s > 1.0
 
 
@@ -284,9 +284,9 @@
     waiter = builders.waiter(owner=lookup)
     assert decisions.offer(waiter, 0.0) is None
     lookup.lose(ready_in_s=0.3)
-    assert decisions.pump(0.1) == ([], [])
+    assert decisions.dispatch(0.1) == ([], [])
     lookup.lose(ready_in_s=5.0)
-    _, refused = decisions.pump(0.1)
+    _, refused = decisions.dispatch(0.1)
     assert [entry for entry, _ in refused] == [waiter]
     assert book.by_id["u-1"].waiting == 0
 
@@ -313,9 +313,9 @@
         fresh = builders.waiter(now, owner)
         assert decisions.offer(fresh, now) is None
         if last is not None:
-            decisions.leave(last)
+            decisions.remove(last)
         last = fresh
-        decisions.pump(now)
+        decisions.dispatch(now)
         now += 0.05
     return decisions, target, owner, now
 
@@ -324,7 +324,7 @@
     decisions, target, owner, now = _crowded_owner()
     builders.occupy(target, 7, now)
     refused = decisions.offer(builders.waiter(now, owner), now)
-    assert isinstance(refused, admission.Overload)
+    assert isinstance(refused, admission.Rejection)
 
 
 def test_a_late_lookup_goes_to_an_idle_slot_only():
@@ -337,7 +337,7 @@
     assert decisions.offer(late, 0.0) is None
     assert decisions.offer(builders.waiter(0.0, owner), 0.0) is target
     target.note_ended(-1)
-    assert [entry.waiter for entry in decisions.pump(0.0)[0]] == [late]
+    assert [entry.waiter for entry in decisions.dispatch(0.0)[0]] == [late]
 
 
 def test_what_is_late_is_told_by_the_speed_of_its_owner():
@@ -436,8 +436,8 @@
     waiter = builders.waiter(owner=builders.FixedOwner(target))
     assert decisions.offer(waiter, 0.0) is None
     assert target.waiting == 1
-    decisions.leave(waiter)
-    decisions.leave(waiter)
+    decisions.remove(waiter)
+    decisions.remove(waiter)
     assert target.waiting == 0
 
 
@@ -509,17 +509,17 @@
     assert target.slow_factor(2.0) == 1.0
 
 
-class _Looks(admission.Admission):
+class _Looks(admission.AdmissionController):
     """Counts scans of the queue."""
 
     def __init__(self, book, vms: int):
         super().__init__(book, builders.HOME, 2.0)
-        self.vms = vms
+        self.vm_count = vms
         self.count = 0
 
-    def pump(self, now, only=None):
+    def dispatch(self, now, only=None):
         self.count += 1
-        return super().pump(now, only)
+        return super().dispatch(now, only)
 
 
 @pytest.mark.parametrize(("vms", "looks"), [(4, 6), (25, 1)])
@@ -534,10 +534,10 @@
         while not len(decisions):
             await asyncio.sleep(0)
         for _ in range(5):
-            made.note_report()
+            made.on_peer_report()
         # A free slot triggers a scan whatever the number of VMs.
         book.by_id["u-1"].note_ended(-1)
-        made.pump()
+        made.dispatch()
         assert (await waiting).id == "u-1"
         assert decisions.count == looks
 
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -178,7 +178,7 @@
         sender = _senders(self.target, self.book)[0]
         others = [name for name in _NODES if name != sender]
         limits = _limits(self.book, sender if is_sender else others[0])
-        self.decisions = admission.Admission(
+        self.decisions = admission.AdmissionController(
             self.book, builders.HOME, 2.0, limits
         )
 
@@ -192,9 +192,9 @@
     owned = _Owned(is_sender=True)
     assert owned.offer(0.1) is owned.target
     assert owned.offer(0.1) is None
-    assert owned.decisions.pump(0.2) == ([], [])
+    assert owned.decisions.dispatch(0.2) == ([], [])
     spaced_at = 0.1 + 1 / (coldstart.RATE_PART * _PER_S)
-    assigned, _ = owned.decisions.pump(spaced_at)
+    assigned, _ = owned.decisions.dispatch(spaced_at)
     assert len(assigned) == 1
 
 
@@ -202,12 +202,12 @@
     owned = _Owned(is_sender=False)
     # It could be served once the owner is warm.
     assert owned.offer(0.1, timeout_s=9.0) is None
-    assert owned.decisions.pump(_COLD_S - 0.1) == ([], [])
-    assigned, _ = owned.decisions.pump(_COLD_S)
+    assert owned.decisions.dispatch(_COLD_S - 0.1) == ([], [])
+    assigned, _ = owned.decisions.dispatch(_COLD_S)
     assert len(assigned) == 1
     # One that can't wait so long is refused at once.
     refused = _Owned(is_sender=False).offer(0.1, timeout_s=1.0)
-    assert isinstance(refused, admission.Overload)
+    assert isinstance(refused, admission.Rejection)
 
 
 class _Plan:
--- a/tests/unit/test_gateway_detours.py
+++ b/tests/unit/test_gateway_detours.py
@@ -50,8 +50,8 @@
         objective_s=1.0,
         repeatability=model.Repeatability.ONCE_LARGE,
     )[0]
-    assert small.most_wait_s == admission.OTHER_DOMAIN
-    assert large.most_wait_s == admission.OTHER_DOMAIN_LARGE
+    assert small.most_wait_s == admission.CROSS_DOMAIN_COST
+    assert large.most_wait_s == admission.CROSS_DOMAIN_COST_LARGE
 
 
 def test_a_domain_that_was_full_is_passed_over_for_a_moment():
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -59,7 +59,7 @@
         self._peers = parts.peers
         self._peers.send_permit = self._permit
         gate = gate_lib.Gate(
-            admission.Admission(self.book, builders.HOME, _DRAIN_S),
+            admission.AdmissionController(self.book, builders.HOME, _DRAIN_S),
             lambda waiter: None,
         )
         arbiter = arbiter_lib.Arbiter(
@@ -130,7 +130,7 @@
     async def scenario():
         vm = _Vm()
         vm.hear_leaving(since_s=_DRAIN_S - 0.1)
-        with pytest.raises(outcomes.RefusedError):
+        with pytest.raises(outcomes.RejectedError):
             await _acquire(vm)
         assert not vm.asked
 
--- a/tests/unit/test_gateway_evacuation.py
+++ b/tests/unit/test_gateway_evacuation.py
@@ -117,19 +117,19 @@
     # The one that stays is slow and full but for one place.
     book.by_id["u-1"].slowness = 1.5
     builders.occupy(book.by_id["u-1"], 3)
-    decisions = admission.Admission(book, builders.AWAY, _DRAIN_S)
-    assert decisions.pick(builders.waiter(0.0), 0.0).id == "u-2"
+    decisions = admission.AdmissionController(book, builders.AWAY, _DRAIN_S)
+    assert decisions.select_target(builders.waiter(0.0), 0.0).id == "u-2"
     book.evacuate(builders.AWAY, 0.0)
-    assert decisions.pick(builders.waiter(0.0), 0.0).id == "u-1"
+    assert decisions.select_target(builders.waiter(0.0), 0.0).id == "u-1"
 
 
 def test_without_any_upstream_left_a_request_is_refused_at_once():
     book = _book(builders.HOME, builders.AWAY)
     for domain in (builders.HOME, builders.AWAY):
         book.evacuate(domain, 0.0)
-    decisions = admission.Admission(book, builders.HOME, _DRAIN_S)
+    decisions = admission.AdmissionController(book, builders.HOME, _DRAIN_S)
     refused = decisions.offer(builders.waiter(10.0), 10.0)
-    assert isinstance(refused, admission.Overload)
+    assert isinstance(refused, admission.Rejection)
 
 
 class _Keys:
@@ -148,7 +148,9 @@
             self.parts.peers,
             _DRAIN_S,
         )
-        self.decisions = admission.Admission(self.book, builders.HOME, _DRAIN_S)
+        self.decisions = admission.AdmissionController(
+            self.book, builders.HOME, _DRAIN_S
+        )
 
     def offer(self, now: float):
         lookup = self.owners.lookup(builders.LOOKUPS, _KEY)
@@ -163,7 +165,7 @@
     waiter, offered = keys.offer(_CLOSED_AT)
     assert offered is None
     keys.book.take_back(builders.AWAY, _CLOSED_AT)
-    assigned, refused = keys.decisions.pump(_CLOSED_AT + 0.1)
+    assigned, refused = keys.decisions.dispatch(_CLOSED_AT + 0.1)
     assert [entry.waiter for entry in assigned] == [waiter]
     assert refused == []
 
@@ -174,9 +176,9 @@
     waiter, offered = keys.offer(_CLOSED_AT)
     assert offered is None
     keys.book.evacuate(builders.HOME, _CLOSED_AT)
-    assert isinstance(keys.offer(_CLOSED_AT)[1], admission.Overload)
+    assert isinstance(keys.offer(_CLOSED_AT)[1], admission.Rejection)
     # Nor does one wait on that came before.
-    _, refused = keys.decisions.pump(_CLOSED_AT)
+    _, refused = keys.decisions.dispatch(_CLOSED_AT)
     assert [entry for entry, _ in refused] == [waiter]
 
 
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -133,15 +133,15 @@
     assert set(renewing._tasks) == before - {unreachable}
 
 
-def _full_service(site, waiting: int) -> admission.Admission:
+def _full_service(site, waiting: int) -> admission.AdmissionController:
     """Returns the admission of a VM whose upstreams are all full.
 
     Args:
         site: The VM.
         waiting: Requests that wait for any upstream of the service.
     """
-    queue = site.daemon._gate.decisions
-    queue.vms = site.daemon._peers.circulation.near_heard(site.now)
+    queue = site.daemon._gate.admission
+    queue.vm_count = site.daemon._peers.circulation.near_heard(site.now)
     for target in site.daemon._book.by_id.values():
         builders.occupy(target, 5 - target.own, site.now)
     for _ in range(waiting):
@@ -156,9 +156,9 @@
     # core.
     site = sites[-1]
     one = _full_service(site, 1)
-    alone = work_meter.steps(lambda: one.pump(site.now))
+    alone = work_meter.steps(lambda: one.dispatch(site.now))
     _full_service(site, 19)
-    together = work_meter.steps(lambda: one.pump(site.now))
+    together = work_meter.steps(lambda: one.dispatch(site.now))
     assert len(one) == 20
     assert together < 3 * alone
 
--- a/tests/unit/test_gateway_keyed_load.py
+++ b/tests/unit/test_gateway_keyed_load.py
@@ -75,7 +75,7 @@
 
 
 def _mean_is_late(waiter, now: float) -> bool:
-    return now + waiter.work_s > waiter.objective_at
+    return now + waiter.service_time_s > waiter.objective_at
 
 
 @pytest.mark.parametrize(
@@ -83,9 +83,9 @@
     [
         # Requests are rejected instead of served late, while slots are idle at
         # times.
-        (0.7, admission.Admission, "_is_crowded", _always, 0.008),
+        (0.7, admission.AdmissionController, "_is_contended", _always, 0.008),
         # Late requests keep waiting despite contention.
-        (2.0, admission.Admission, "_is_crowded", _never, 0.015),
+        (2.0, admission.AdmissionController, "_is_contended", _never, 0.015),
         # Requests are late only if the mean service time exceeds the slack.
         (2.0, admission.Waiter, "is_late", _mean_is_late, 0.03),
         # No request counts as late.
--- a/tests/unit/test_gateway_load.py
+++ b/tests/unit/test_gateway_load.py
@@ -30,7 +30,7 @@
 def test_without_a_sample_they_do(per_s, most, monkeypatch):
     # Without sampling, each VM chooses the best of all upstreams by counts that
     # are 0.25 s old.
-    monkeypatch.setattr(admission, "FEW_VMS", 1000)
+    monkeypatch.setattr(admission, "MAX_VMS_WITHOUT_SAMPLING", 1000)
     assert _share_in_time(per_s) < most
 
 
--- a/tests/unit/test_gateway_permits.py
+++ b/tests/unit/test_gateway_permits.py
@@ -81,7 +81,7 @@
         self.meters = metrics.Meters()
         self.limits = coldstart.ColdLimits(self.book, self.peers, lambda: True)
         self.gate = gate_lib.Gate(
-            admission.Admission(self.book, domain, 2.0, self.limits),
+            admission.AdmissionController(self.book, domain, 2.0, self.limits),
             self.demand.append,
         )
         self.arbiter = arbiter_lib.Arbiter(
@@ -193,15 +193,15 @@
 
 def test_requests_of_all_vms_wait_in_one_queue():
     async def scenario(_network, arbiter, far, farther):
-        room = _SLOTS + admission.QUEUE_AHEAD
+        room = _SLOTS + admission.MAX_QUEUED_AT_TARGET
         held = [far.waiter() for _ in range(room)]
         for waiter in held:
             await far.permits.acquire(waiter)
         late = asyncio.create_task(farther.permits.acquire(farther.waiter()))
-        await _until(lambda: len(arbiter.gate.decisions) == 1)
+        await _until(lambda: len(arbiter.gate.admission) == 1)
         urgent = arbiter.waiter(priority=0)
         first = asyncio.create_task(arbiter.permits.acquire(urgent))
-        await _until(lambda: len(arbiter.gate.decisions) == 2)
+        await _until(lambda: len(arbiter.gate.admission) == 2)
         far.permits.release(held[0], far.book.by_id["u-1"])
         await first
         assert not late.done()
@@ -227,7 +227,7 @@
 
 def _any_waiter(vm: _Vm, **changes) -> admission.Waiter:
     """Returns a request of a service without owners, where VMs are many."""
-    vm.gate.decisions.vms = admission.FEW_VMS + 1
+    vm.gate.admission.vm_count = admission.MAX_VMS_WITHOUT_SAMPLING + 1
     return builders.waiter(clocks.monotonic(), None, **changes)
 
 
@@ -293,7 +293,7 @@
     async def scenario(_network, arbiter, far):
         for target in arbiter.book.by_id.values():
             builders.occupy(target, 60, clocks.monotonic())
-        with pytest.raises(outcomes.RefusedError) as caught:
+        with pytest.raises(outcomes.RejectedError) as caught:
             await far.permits.acquire(_any_waiter(far))
         assert caught.value.retry_after_s > 0.5
 
@@ -312,7 +312,7 @@
 def test_a_refusal_tells_when_to_come_back():
     async def scenario(_network, arbiter, far):
         builders.occupy(arbiter.book.by_id["u-1"], 60, clocks.monotonic())
-        with pytest.raises(outcomes.RefusedError) as caught:
+        with pytest.raises(outcomes.RejectedError) as caught:
             await far.permits.acquire(far.waiter())
         assert caught.value.retry_after_s > 0.5
         assert caught.value.peer == "u-1"
@@ -398,9 +398,9 @@
     async def scenario(_network, arbiter, far):
         builders.occupy(arbiter.book.by_id["u-1"], 3, clocks.monotonic())
         waiting = asyncio.create_task(far.permits.acquire(far.waiter()))
-        await _until(lambda: len(arbiter.gate.decisions) == 1)
+        await _until(lambda: len(arbiter.gate.admission) == 1)
         waiting.cancel()
-        await _until(lambda: len(arbiter.gate.decisions) == 0)
+        await _until(lambda: len(arbiter.gate.admission) == 0)
         assert arbiter.book.by_id["u-1"].waiting == 0
         assert not arbiter.arbiter._permits
 
@@ -422,11 +422,11 @@
         builders.occupy(arbiter.book.by_id["u-1"], 3, clocks.monotonic())
         waiter = far.waiter()
         waiting = asyncio.create_task(far.permits.acquire(waiter))
-        await _until(lambda: len(arbiter.gate.decisions) == 1)
+        await _until(lambda: len(arbiter.gate.admission) == 1)
         waiter.owner.name = "u-2"
         assert (await waiting).id == "u-2"
         assert arbiter.book.by_id["u-2"].own == 1
-        await _until(lambda: len(arbiter.gate.decisions) == 0)
+        await _until(lambda: len(arbiter.gate.admission) == 0)
 
     _run(scenario)
 
@@ -525,7 +525,7 @@
         others = [vm for vm in vms if vm.name != sender]
         assert len(others) == len(vms) - 1
         for vm in others:
-            with pytest.raises(outcomes.RefusedError):
+            with pytest.raises(outcomes.RejectedError):
                 await vm.permits.acquire(vm.waiter())
 
     _run(scenario, near=2, far=2)
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -74,7 +74,8 @@
     _off(
         "one VM of a domain assigns slots without owners",
         "permits",
-        "        if self._gate.decisions.vms > admission.FEW_VMS:",
+        "        if self._gate.admission.vm_count"
+        " > admission.MAX_VMS_WITHOUT_SAMPLING:",
         "        if False:",
     ),
     _off(
@@ -98,14 +99,15 @@
     _off(
         "lookups wait beyond their objective",
         "admission",
-        "if waiter.is_decided_for_all and not self._is_crowded(waiter, now):",
+        "if waiter.is_centrally_decided and not"
+        " self._is_contended(waiter, now):",
         "if False:",
     ),
     _off(
         "late with a reserve, not by the mean work",
         "admission",
-        "LATE_RESERVE, RESERVED_SLACK = 0.6, 0.5",
-        "LATE_RESERVE, RESERVED_SLACK = 0.0, 0.5",
+        "LATENESS_MARGIN, MAX_MARGIN_OF_SLACK = 0.6, 0.5",
+        "LATENESS_MARGIN, MAX_MARGIN_OF_SLACK = 0.0, 0.5",
     ),
     _off(
         "late lookups go to idle slots only",
@@ -122,8 +124,8 @@
     _off(
         "starved late requests are refused",
         "admission",
-        "return waiter.contest in contested and"
-        " self._is_crowded(waiter, now)",
+        "return waiter.queue_key in contested and"
+        " self._is_contended(waiter, now)",
         "return False",
     ),
     _off(
@@ -185,20 +187,20 @@
     _off(
         "home first",
         "admission",
-        "OTHER_DOMAIN = 0.2",
-        "OTHER_DOMAIN = 0.0",
+        "CROSS_DOMAIN_COST = 0.2",
+        "CROSS_DOMAIN_COST = 0.0",
     ),
     _off(
         "large bodies stay home",
         "admission",
-        "OTHER_DOMAIN_LARGE = 0.75",
-        "OTHER_DOMAIN_LARGE = 0.2",
+        "CROSS_DOMAIN_COST_LARGE = 0.75",
+        "CROSS_DOMAIN_COST_LARGE = 0.2",
     ),
     _off(
         "spread of Retry-After",
         "admission",
-        "RETRY_SPREAD = 0.4",
-        "RETRY_SPREAD = 0.0",
+        "RETRY_JITTER = 0.4",
+        "RETRY_JITTER = 0.0",
     ),
     _off(
         "hand-over tokens",
