--- a/src/swiftstile/gateway/arrivals.py
+++ b/src/swiftstile/gateway/caller_requests.py
@@ -7,10 +7,10 @@
 from aiohttp import web_request
 from aiohttp import web_response
 
-__all__ = ["Arrival", "Responder", "Unanswered"]
+__all__ = ["IncomingRequest", "PendingRequest", "Responder"]
 
 
-class Arrival:
+class IncomingRequest:
     """A received request.
 
     Attributes:
@@ -22,19 +22,21 @@
         self,
         request: web_request.BaseRequest,
         arrived: float,
-        turn: collections.abc.Callable[[], collections.abc.Awaitable[None]],
+        wait_for_turn: collections.abc.Callable[
+            [], collections.abc.Awaitable[None]
+        ],
     ):
         self.request = request
         self.arrived = arrived
-        self._turn = turn
+        self._wait_for_turn = wait_for_turn
 
-    async def turn(self) -> None:
+    async def wait_for_turn(self) -> None:
         """Waits until all earlier requests of the connection are answered.
 
         Must be awaited before a streamed response is written. Other responses
         are written by the connection.
         """
-        await self._turn()
+        await self._wait_for_turn()
 
 
 class Responder(abc.ABC):
@@ -48,7 +50,9 @@
     is_leaving = False
 
     @abc.abstractmethod
-    async def respond(self, arrival: Arrival) -> web_response.StreamResponse:
+    async def respond(
+        self, incoming: IncomingRequest
+    ) -> web_response.StreamResponse:
         """Returns the response to a request, also in case of errors."""
 
     @abc.abstractmethod
@@ -58,11 +62,11 @@
         """Returns the response to a request that can't be parsed."""
 
     @abc.abstractmethod
-    def may_overlap(self, request: web_request.BaseRequest) -> bool:
+    def may_run_concurrently(self, request: web_request.BaseRequest) -> bool:
         """Whether a request may run concurrently with earlier ones."""
 
 
-class Unanswered:
+class PendingRequest:
     """A request of a connection that hasn't been answered yet.
 
     Attributes:
@@ -75,14 +79,14 @@
     """
 
     __slots__ = (
-        "_overlaps",
+        "_is_concurrent",
         "arrived",
         "error",
         "is_last",
         "payload",
         "request",
         "task",
-        "turn",
+        "turn_reached",
     )
 
     def __init__(self, request, payload, arrived: float, error, is_last: bool):
@@ -92,18 +96,19 @@
         self.error = error
         self.is_last = is_last
         self.task: asyncio.Task[web_response.StreamResponse] | None = None
-        self.turn: asyncio.Future[None] | None = None
-        self._overlaps: bool | None = None
+        self.turn_reached: asyncio.Future[None] | None = None
+        self._is_concurrent: bool | None = None
 
-    def may_overlap(self, responder: Responder) -> bool:
+    def may_run_concurrently(self, responder: Responder) -> bool:
         """Whether it may run concurrently with earlier ones."""
-        if self._overlaps is None:
-            self._overlaps = self.error is None and responder.may_overlap(
-                self.request
+        if self._is_concurrent is None:
+            self._is_concurrent = (
+                self.error is None
+                and responder.may_run_concurrently(self.request)
             )
-        return self._overlaps
+        return self._is_concurrent
 
-    def held_bytes(self) -> int:
+    def response_bytes(self) -> int:
         """Returns the size of its response, or 0 if that isn't ready."""
         task = self.task
         if task is None or not task.done() or task.cancelled():
--- a/src/swiftstile/gateway/callers.py
+++ b/src/swiftstile/gateway/callers.py
@@ -24,18 +24,18 @@
 
 from swiftstile import clocks
 from swiftstile import logs
-from swiftstile.gateway import arrivals
+from swiftstile.gateway import caller_requests
 
 __all__ = ["CallerConnection"]
 
 # Maximum requests of one connection that are handled at the same time. A
 # browser sends about six. Without a limit one caller could take all slots.
-MAX_OVERLAPPING = 8
+MAX_CONCURRENT_REQUESTS = 8
 # Maximum size of the finished responses of one connection that wait for earlier
 # ones. Above it, no further request of the connection is started.
-MAX_HELD_BYTES = 1 << 18
+MAX_FINISHED_BYTES = 1 << 18
 # Maximum unanswered requests of one connection. Reading pauses above it.
-MAX_UNANSWERED = 32
+MAX_PENDING_REQUESTS = 32
 # Longest line that the parser accepts, in bytes. The operator's limit is lower
 # and may change, so it is checked for each request.
 MAX_LINE_BYTES = 65536
@@ -43,12 +43,12 @@
 _BODY_BUFFER_BYTES = 1 << 16
 # How long the rest of a body is read and discarded after the response was sent:
 # a caller that is still sending might not read the response otherwise.
-DISCARD_S = 5.0
+BODY_DRAIN_TIMEOUT_S = 5.0
 # Idle connections are closed this much later than the limit, so that a caller
 # that respects the limit never uses a closed connection.
-_IDLE_SLACK_S = 0.5
+_IDLE_TOLERANCE_S = 0.5
 # Placeholder for a request that can't be parsed, so that it can be answered.
-_UNREADABLE = http.RawRequestMessage(
+_MALFORMED_PLACEHOLDER = http.RawRequestMessage(
     method="UNKNOWN",
     path="/",
     version=http.HttpVersion11,
@@ -71,15 +71,16 @@
         connections: Set that contains this connection while it is open.
 
     Attributes:
-        last_at: When the last request was answered.
-        head_at: When reading an incomplete head started; None if there is none.
+        last_response_at: When the last request was answered.
+        head_started_at: When reading an incomplete head started, if there is
+            one.
         ssl_context, peername, sockname: Attributes that `aiohttp` requires.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        responder: arrivals.Responder,
+        responder: caller_requests.Responder,
         connections: set["CallerConnection"],
     ):
         super().__init__(loop)
@@ -95,41 +96,41 @@
             auto_decompress=False,
             max_msg_queue_size=1,
         )
-        self._unanswered: collections.deque[arrivals.Unanswered] = (
+        self._pending: collections.deque[caller_requests.PendingRequest] = (
             collections.deque()
         )
-        self._arrival: asyncio.Future[None] | None = None
+        self._request_received: asyncio.Future[None] | None = None
         self._task: asyncio.Task[None] | None = None
-        self._is_full = False
+        self._is_reading_paused = False
         self._unparsed = b""
-        self._is_ending = False
-        self._is_unreadable = False
-        self.last_at = clocks.monotonic()
-        self.head_at: float | None = None
+        self._is_closing = False
+        self._ignores_input = False
+        self.last_response_at = clocks.monotonic()
+        self.head_started_at: float | None = None
         self.ssl_context = None
         self.peername = None
         self.sockname = None
 
     @property
-    def active(self) -> int:
+    def pending_count(self) -> int:
         """Number of requests that have been read but not answered."""
-        return len(self._unanswered)
+        return len(self._pending)
 
-    def is_overdue(
+    def has_timed_out(
         self, header_timeout_s: float, idle_timeout_s: float, now: float
     ) -> bool:
         """Whether the connection exceeds the header or idle timeout."""
-        if self._unanswered:
+        if self._pending:
             return False
-        if self.head_at is not None:
-            slack_s = now - self.head_at - header_timeout_s
+        if self.head_started_at is not None:
+            slack_s = now - self.head_started_at - header_timeout_s
         else:
-            slack_s = now - self.last_at - idle_timeout_s
-        return slack_s > _IDLE_SLACK_S
+            slack_s = now - self.last_response_at - idle_timeout_s
+        return slack_s > _IDLE_TOLERANCE_S
 
     def close(self) -> None:
         """Closes the connection and cancels its requests."""
-        self._is_ending = True
+        self._is_closing = True
         if self.transport is not None:
             self.transport.close()
 
@@ -145,9 +146,9 @@
         """See base class."""
         super().connection_lost(exc)
         self._connections.discard(self)
-        self._is_ending = True
+        self._is_closing = True
         lost = exc or ConnectionResetError("the caller closed the connection")
-        for pending in self._unanswered:
+        for pending in self._pending:
             if not pending.payload.is_eof():
                 pending.payload.set_exception(lost)
             if pending.task is not None:
@@ -156,26 +157,26 @@
 
     def data_received(self, data: bytes) -> None:
         """See base class."""
-        if self._is_ending or self._is_unreadable:
+        if self._is_closing or self._ignores_input:
             return
         now = clocks.monotonic()
         has_messages = False
-        if self._is_full:
+        if self._is_reading_paused:
             # Reading is paused; this data was received before that.
             self._unparsed += data
             return
         data, self._unparsed = self._unparsed + data, b""
-        while len(self._unanswered) < MAX_UNANSWERED:
-            if not self._read_one(data, now):
+        while len(self._pending) < MAX_PENDING_REQUESTS:
+            if not self._parse_one(data, now):
                 break
             has_messages, data = True, b""
-        self._note_head(has_messages, bool(data), now)
-        if len(self._unanswered) >= MAX_UNANSWERED and self.transport:
-            self._is_full = True
+        self._track_head(has_messages, bool(data), now)
+        if len(self._pending) >= MAX_PENDING_REQUESTS and self.transport:
+            self._is_reading_paused = True
             self.transport.pause_reading()
-        self._begin_ahead()
+        self._start_concurrent()
 
-    def _read_one(self, data: bytes, now: float) -> bool:
+    def _parse_one(self, data: bytes, now: float) -> bool:
         """Parses up to the end of one request; returns whether a head was read.
 
         The parser stops after each request and keeps the remaining data, so
@@ -184,26 +185,28 @@
         try:
             messages, is_upgrade, _ = self._parser.feed_data(data)
         except http_exceptions.HttpProcessingError as error:
-            self._is_unreadable = True
-            self._take(_UNREADABLE, streams.EMPTY_PAYLOAD, now, error)
+            self._ignores_input = True
+            self._append_request(
+                _MALFORMED_PLACEHOLDER, streams.EMPTY_PAYLOAD, now, error
+            )
             return False
         self._parser.message_consumed()
         for message, payload in messages:
-            self._take(message, payload, now)
-        if is_upgrade and self._unanswered:
+            self._append_request(message, payload, now)
+        if is_upgrade and self._pending:
             # Any further data would be of another protocol.
-            self._unanswered[-1].is_last = True
-            self._is_unreadable = True
-        return bool(messages) and not self._is_unreadable
+            self._pending[-1].is_last = True
+            self._ignores_input = True
+        return bool(messages) and not self._ignores_input
 
     def resume_reading(self, resume_parser: bool = True) -> None:
         """See base class; called when a body's buffer has space again."""
         super().resume_reading(resume_parser)
-        if self._is_full and self.transport is not None:
+        if self._is_reading_paused and self.transport is not None:
             self.transport.pause_reading()
 
-    def _take(self, message, payload, now: float, error=None) -> None:
-        if self._unanswered and self._unanswered[-1].is_last:
+    def _append_request(self, message, payload, now: float, error=None) -> None:
+        if self._pending and self._pending[-1].is_last:
             # Pipelined after a request that closes the connection.
             return
         request = web_request.BaseRequest(
@@ -214,87 +217,99 @@
             self._task,
             self._loop,
         )
-        self._unanswered.append(
-            arrivals.Unanswered(
+        self._pending.append(
+            caller_requests.PendingRequest(
                 request, payload, now, error, message.should_close
             )
         )
-        if self._arrival is not None and not self._arrival.done():
-            self._arrival.set_result(None)
+        if (
+            self._request_received is not None
+            and not self._request_received.done()
+        ):
+            self._request_received.set_result(None)
 
-    def _note_head(self, has_messages: bool, has_data: bool, now: float):
+    def _track_head(self, has_messages: bool, has_data: bool, now: float):
         if has_messages:
-            self.head_at = None
-        elif has_data and not self._unanswered and self.head_at is None:
-            self.head_at = now
+            self.head_started_at = None
+        elif has_data and not self._pending and self.head_started_at is None:
+            self.head_started_at = now
 
-    def _begin_ahead(self) -> None:
+    def _start_concurrent(self) -> None:
         """Starts requests behind the first one that may run concurrently."""
-        if len(self._unanswered) < 2 or self._responder.is_leaving:
+        if len(self._pending) < 2 or self._responder.is_leaving:
             return
-        held = 0
-        for position, pending in enumerate(self._unanswered):
-            if not pending.may_overlap(self._responder):
+        buffered = 0
+        for position, pending in enumerate(self._pending):
+            if not pending.may_run_concurrently(self._responder):
                 return
-            held += pending.held_bytes()
-            if position >= MAX_OVERLAPPING or held > MAX_HELD_BYTES:
+            buffered += pending.response_bytes()
+            if (
+                position >= MAX_CONCURRENT_REQUESTS
+                or buffered > MAX_FINISHED_BYTES
+            ):
                 return
             if position and pending.task is None:
                 pending.task = self._loop.create_task(self._respond(pending))
 
     async def _respond(
-        self, pending: arrivals.Unanswered
+        self, pending: caller_requests.PendingRequest
     ) -> web_response.StreamResponse:
         if pending.error is not None:
             return self._responder.respond_malformed(pending.error)
 
-        async def turn() -> None:
-            while self._unanswered[0] is not pending:
-                pending.turn = self._loop.create_future()
-                await pending.turn
+        async def wait_for_turn() -> None:
+            while self._pending[0] is not pending:
+                pending.turn_reached = self._loop.create_future()
+                await pending.turn_reached
 
-        arrival = arrivals.Arrival(pending.request, pending.arrived, turn)
-        return await self._responder.respond(arrival)
+        incoming = caller_requests.IncomingRequest(
+            pending.request, pending.arrived, wait_for_turn
+        )
+        return await self._responder.respond(incoming)
 
     async def _run(self) -> None:
         """Sends responses in order until the connection ends."""
         try:
-            while not self._is_ending:
-                pending = await self._next()
-                await self._answer(pending)
-                self._finish(pending)
+            while not self._is_closing:
+                pending = await self._next_request()
+                await self._send_response(pending)
+                self._finish_request(pending)
         except ConnectionError as error:
             # The caller closed the connection during the response.
             logs.logger.debug("response not delivered", error=repr(error))
         except Exception:
             logs.logger.exception("caller connection failed")
         finally:
-            self._give_up_rest()
+            self._cancel_pending()
             if self.transport is not None:
                 self.transport.close()
 
-    async def _next(self) -> arrivals.Unanswered:
-        while not self._unanswered:
-            self._arrival = self._loop.create_future()
+    async def _next_request(self) -> caller_requests.PendingRequest:
+        while not self._pending:
+            self._request_received = self._loop.create_future()
             try:
-                await self._arrival
+                await self._request_received
             finally:
-                self._arrival = None
-        return self._unanswered[0]
+                self._request_received = None
+        return self._pending[0]
 
-    async def _answer(self, pending: arrivals.Unanswered) -> None:
+    async def _send_response(
+        self, pending: caller_requests.PendingRequest
+    ) -> None:
         if pending.task is not None:
             response = await pending.task
         else:
             response = await self._respond(pending)
-        if self._ends_with(pending):
+        if self._is_last_response(pending):
             response.force_close()
         await response.prepare(pending.request)
         await response.write_eof()
-        self._is_ending |= not response.keep_alive
+        self._is_closing |= not response.keep_alive
         await self._discard_body(pending)
 
-    def _ends_with(self, pending: arrivals.Unanswered) -> bool:
+    def _is_last_response(
+        self, pending: caller_requests.PendingRequest
+    ) -> bool:
         """Whether a response is the last one on its connection.
 
         While this VM drains, all started requests are answered first, so that
@@ -302,39 +317,44 @@
         any upstream.
         """
         is_leaving = self._responder.is_leaving
-        return pending.is_last or (is_leaving and not self._has_begun_behind())
+        return pending.is_last or (is_leaving and not self._has_started_next())
 
-    def _has_begun_behind(self) -> bool:
-        behind = self._unanswered[1] if len(self._unanswered) > 1 else None
+    def _has_started_next(self) -> bool:
+        behind = self._pending[1] if len(self._pending) > 1 else None
         return behind is not None and behind.task is not None
 
-    async def _discard_body(self, pending: arrivals.Unanswered) -> None:
+    async def _discard_body(
+        self, pending: caller_requests.PendingRequest
+    ) -> None:
         payload = pending.payload
         if payload.is_eof():
             return
         try:
-            async with asyncio.timeout(DISCARD_S):
+            async with asyncio.timeout(BODY_DRAIN_TIMEOUT_S):
                 while not payload.is_eof():
                     await payload.readany()
         except (TimeoutError, aiohttp.ClientError, ConnectionError) as error:
             logs.logger.debug("request body not drained", error=repr(error))
-            self._is_ending = True
-
-    def _finish(self, pending: arrivals.Unanswered) -> None:
-        self._unanswered.popleft()
-        self.last_at = clocks.monotonic()
-        if self._unanswered:
-            first = self._unanswered[0]
-            if first.turn is not None and not first.turn.done():
-                first.turn.set_result(None)
-        if self._is_full and len(self._unanswered) <= MAX_UNANSWERED // 2:
-            self._is_full = False
+            self._is_closing = True
+
+    def _finish_request(self, pending: caller_requests.PendingRequest) -> None:
+        self._pending.popleft()
+        self.last_response_at = clocks.monotonic()
+        if self._pending:
+            first = self._pending[0]
+            if first.turn_reached is not None and not first.turn_reached.done():
+                first.turn_reached.set_result(None)
+        if (
+            self._is_reading_paused
+            and len(self._pending) <= MAX_PENDING_REQUESTS // 2
+        ):
+            self._is_reading_paused = False
             # The parser has kept the data behind the last request it returned.
             self.resume_reading()
-        self._begin_ahead()
+        self._start_concurrent()
 
-    def _give_up_rest(self) -> None:
-        for pending in self._unanswered:
+    def _cancel_pending(self) -> None:
+        for pending in self._pending:
             if pending.task is not None:
                 pending.task.cancel()
-        self._unanswered.clear()
+        self._pending.clear()
--- a/src/swiftstile/gateway/connections.py
+++ b/src/swiftstile/gateway/connections.py
@@ -20,8 +20,8 @@
 from swiftstile import errors
 
 __all__ = [
-    "AnswerHead",
     "ConnectionPool",
+    "ResponseHead",
     "UpstreamConnection",
     "reset_on_close",
 ]
@@ -37,16 +37,16 @@
 # as the request could cross the close.
 IDLE_MARGIN_S = 1.5
 # Assumed idle timeout of a server that doesn't announce one.
-DEFAULT_IDLE_S = 5.0
+DEFAULT_IDLE_TIMEOUT_S = 5.0
 # Maximum idle connections to one upstream: its slots and some queued requests.
-MAX_IDLE = 6
+MAX_IDLE_PER_ADDRESS = 6
 # After a reused connection broke before any response, connections that have
-# been idle for more than RESTED_S aren't used for non-idempotent requests for
-# DISTRUST_S: servers may have dropped them silently, and a reset doesn't tell
-# whether the request ran. Affected servers drop connections that were idle for
-# 0.3 s or more, over a period of some seconds.
-DISTRUST_S = 10.0
-RESTED_S = 0.2
+# been idle for more than MAX_SAFE_IDLE_S aren't used for non-idempotent
+# requests for UNSAFE_REUSE_PAUSE_S: servers may have dropped them silently, and
+# a reset doesn't tell whether the request ran. Affected servers drop
+# connections that were idle for 0.3 s or more, over a period of some seconds.
+UNSAFE_REUSE_PAUSE_S = 10.0
+MAX_SAFE_IDLE_S = 0.2
 _LINGER_RESET = struct.pack("ii", 1, 0)
 _MAX_HEAD_BYTES = 32768
 _INFORMATIONAL = range(100, 200)
@@ -59,14 +59,14 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
 
 
-class AnswerHead:
+class ResponseHead:
     """Status and headers of a response, and the stream of its body."""
 
     def __init__(self, message, payload: aiohttp.StreamReader):
         self.status: int = message.code
         self.reason: str = message.reason
         self.headers = message.headers
-        self.closes: bool = message.should_close
+        self.should_close: bool = message.should_close
         self.payload = payload
 
 
@@ -76,9 +76,9 @@
     Attributes:
         is_usable: Whether another request may be sent on it.
         is_reused: Whether it came from the pool for the current request.
-        has_answered: Whether any response to the current request was received.
+        has_response: Whether any response to the current request was received.
         idle_since: When it became idle, on the monotonic clock.
-        idle_s: Idle timeout of the server.
+        idle_timeout_s: Idle timeout of the server.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, peer: str):
@@ -87,10 +87,10 @@
         self.peer = peer
         self.is_usable = True
         self.is_reused = False
-        self.has_answered = False
+        self.has_response = False
         self.idle_since = 0.0
-        self.idle_s = DEFAULT_IDLE_S
-        self._heads: collections.deque[AnswerHead] = collections.deque()
+        self.idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
+        self._heads: collections.deque[ResponseHead] = collections.deque()
         self._payload: aiohttp.StreamReader | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._error: BaseException | None = None
@@ -125,11 +125,11 @@
             self.abort()
             return
         for message, payload in messages:
-            self.has_answered = True
+            self.has_response = True
             self._payload = payload
-            self._heads.append(AnswerHead(message, payload))
+            self._heads.append(ResponseHead(message, payload))
         if messages:
-            self._wake()
+            self._notify()
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """See base class."""
@@ -148,13 +148,13 @@
         payload = self._payload
         if payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(repr(error)))
-        self._wake()
+        self._notify()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def start(self, method: str, data: bytes) -> None:
+    def send_request(self, method: str, data: bytes) -> None:
         """Sends the head of a request and the available part of its body.
 
         Raises:
@@ -165,7 +165,7 @@
                 "closed before use", step="send", peer=self.peer
             )
         self._heads.clear()
-        self.has_answered = False
+        self.has_response = False
         self._payload = None
         has_body = method != "HEAD"
         if has_body and self._idle_parser is not None:
@@ -191,14 +191,14 @@
             auto_decompress=False,
         )
 
-    async def send_more(self, data: bytes) -> None:
+    async def send_body(self, data: bytes) -> None:
         """Sends more of a body, waiting while the send buffer is full."""
         if self.transport is None:
             raise ConnectionResetError("closed while the body was sent")
         self.transport.write(data)
         await self._drain_helper()
 
-    async def next_head(self) -> AnswerHead:
+    async def next_head(self) -> ResponseHead:
         """Returns the head of the next final response.
 
         Raises:
@@ -218,16 +218,16 @@
             finally:
                 self._waiter = None
 
-    def finish(self, head: AnswerHead) -> None:
+    def finish(self, head: ResponseHead) -> None:
         """Ends an exchange whose response was read completely."""
         unsent = self.transport and self.transport.get_write_buffer_size()
-        if unsent or self._heads or head.closes or not self.is_usable:
+        if unsent or self._heads or head.should_close or not self.is_usable:
             self.abort()
             return
         self._idle_parser = self._parser if self._has_body else None
         self._parser = None
         self.idle_since = clocks.monotonic()
-        self.idle_s = _keep_alive_s(head.headers)
+        self.idle_timeout_s = _keep_alive_s(head.headers)
 
     def can_reuse(self, now: float) -> bool:
         """Whether it is open and the server isn't about to close it."""
@@ -235,10 +235,10 @@
             self.is_usable
             and self.transport is not None
             and not self.transport.is_closing()
-            and now - self.idle_since < self.idle_s - IDLE_MARGIN_S
+            and now - self.idle_since < self.idle_timeout_s - IDLE_MARGIN_S
         )
 
-    def expire(self) -> None:
+    def fail_with_timeout(self) -> None:
         """Fails the current exchange with a timeout and aborts."""
         self._fail(TimeoutError("no answer in time"))
         self.abort()
@@ -260,7 +260,7 @@
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
             return float(value)
-    return DEFAULT_IDLE_S
+    return DEFAULT_IDLE_TIMEOUT_S
 
 
 class ConnectionPool:
@@ -271,34 +271,36 @@
             str, collections.deque[UpstreamConnection]
         ] = {}
         self.opened = 0
-        self._distrusted_until = 0.0
+        self._restricted_until = 0.0
 
-    async def take(
-        self, address: str, is_repeatable: bool
+    async def acquire(
+        self, address: str, is_idempotent: bool
     ) -> UpstreamConnection:
         """Returns an idle connection, or a new one.
 
         Args:
             address: Address of the upstream.
-            is_repeatable: Whether the request may be sent more than once.
+            is_idempotent: Whether the request may be sent more than once.
 
         Raises:
             PeerUnavailableError: No connection could be opened; nothing was
                 sent.
         """
         now = clocks.monotonic()
-        is_wary = not is_repeatable and now < self._distrusted_until
+        is_restricted = not is_idempotent and now < self._restricted_until
         idle = self._idle_by_address.get(address)
         while idle:
             connection = idle.pop()
-            has_rested = now - connection.idle_since > RESTED_S
-            if connection.can_reuse(now) and not (is_wary and has_rested):
+            was_idle_long = now - connection.idle_since > MAX_SAFE_IDLE_S
+            if connection.can_reuse(now) and not (
+                is_restricted and was_idle_long
+            ):
                 connection.is_reused = True
                 return connection
             connection.abort()
         return await self._open(address)
 
-    async def is_refused(self, address: str) -> bool:
+    async def refuses_connections(self, address: str) -> bool:
         """Returns whether an address refuses connections.
 
         Returns False if this is unknown, as the address may be unreachable.
@@ -307,7 +309,7 @@
             connection = await self._open(address)
         except errors.PeerUnreachableError as error:
             return isinstance(error.__cause__, ConnectionRefusedError)
-        self.give_back(address, connection)
+        self.release(address, connection)
         return False
 
     async def _open(self, address: str) -> UpstreamConnection:
@@ -325,21 +327,21 @@
         self.opened += 1
         return connection
 
-    def note_broken(self, connection: UpstreamConnection, now: float) -> None:
+    def on_broken(self, connection: UpstreamConnection, now: float) -> None:
         """Records that a connection broke before its response was complete."""
-        if connection.is_reused and not connection.has_answered:
-            self._distrusted_until = now + DISTRUST_S
+        if connection.is_reused and not connection.has_response:
+            self._restricted_until = now + UNSAFE_REUSE_PAUSE_S
 
-    def give_back(self, address: str, connection: UpstreamConnection) -> None:
+    def release(self, address: str, connection: UpstreamConnection) -> None:
         """Returns a connection to the pool if it can be reused."""
         if not connection.is_usable:
             return
         idle = self._idle_by_address.setdefault(address, collections.deque())
         idle.append(connection)
-        while len(idle) > MAX_IDLE:
+        while len(idle) > MAX_IDLE_PER_ADDRESS:
             idle.popleft().abort()
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Closes the idle connections to an address."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.abort()
--- a/src/swiftstile/gateway/crash_watch.py
+++ b/src/swiftstile/gateway/crash_watch.py
@@ -102,7 +102,7 @@
         address = target.upstream.address
         look = self._looks_by_address.get(address)
         if look is None:
-            look = asyncio.create_task(self._pool.is_refused(address))
+            look = asyncio.create_task(self._pool.refuses_connections(address))
             self._looks_by_address[address] = look
             look.add_done_callback(
                 lambda _: self._looks_by_address.pop(address, None)
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -85,7 +85,7 @@
     ):
         self._node = node
         self._front = front
-        self._ready = front_lib.ReadyPage(ready_listen, self._is_ready)
+        self._ready = front_lib.ReadinessServer(ready_listen, self._is_ready)
         self._handler = handler
         self._gate = gate
         self._arbiter = arbiter
@@ -129,7 +129,7 @@
             self._gate.run(),
             self._arbiter.run(),
             self._log.run(),
-            self._front.enforce_limits(),
+            self._front.enforce_timeouts(),
             self._housekeeping(),
             self._lead(),
         ]
--- a/src/swiftstile/gateway/exchange.py
+++ b/src/swiftstile/gateway/exchange.py
@@ -15,11 +15,11 @@
 from swiftstile.gateway import outcomes
 from swiftstile.gateway import targets
 
-__all__ = ["Answer", "Call", "Exchange"]
+__all__ = ["Call", "UpstreamClient", "UpstreamResponse"]
 
 # Responses up to this size are read completely before their head is sent to the
 # caller, so that a truncated one can still be reported as an error.
-WHOLE_BYTES = 1 << 20
+MAX_BUFFERED_BYTES = 1 << 20
 # Extra wait for the response of an upstream that stops at the deadline it was
 # given. Its own report of the outcome is more precise than a timeout here.
 DEADLINE_GRACE_S = 0.04
@@ -37,10 +37,10 @@
         stream: Chunks of the body if `body` is None. It can be read once.
         length: Length of a streamed body, if known.
         end: Deadline after which a response is useless, on the monotonic clock.
-        is_repeatable: Whether it may run more than once.
+        is_idempotent: Whether it may run more than once.
         first_part: Start of a streamed body that was read before sending.
         caller: Identity or address of the caller.
-        is_trial: Whether it is sent to test if it still crashes upstreams.
+        is_probe: Whether it is sent to test if it still crashes upstreams.
     """
 
     method: str
@@ -50,11 +50,11 @@
     body: bytes | None
     stream: collections.abc.AsyncIterator[bytes] | None
     length: int | None
-    end: float
-    is_repeatable: bool = False
+    deadline: float
+    is_idempotent: bool = False
     first_part: bytes = b""
     caller: str = ""
-    is_trial: bool = False
+    is_probe: bool = False
 
     def digest(self) -> fingerprint.Digest:
         """Returns a digest that recognises repetitions of the request."""
@@ -68,19 +68,19 @@
         )
 
     @property
-    def can_repeat(self) -> bool:
+    def can_resend(self) -> bool:
         """Whether the body can be sent more than once."""
         return self.body is not None
 
 
-class Answer(msgspec.Struct):
+class UpstreamResponse(msgspec.Struct):
     """An upstream's response.
 
     Attributes:
         status: HTTP status.
         headers: Headers for the caller.
         body: The complete body, or None if it is streamed.
-        rest: The stream of the body if `body` is None.
+        stream: The stream of the body if `body` is None.
         verdict: Interpretation of its status and headers.
         finish: Ends the exchange after streaming. Takes whether the body was
             relayed completely.
@@ -89,12 +89,12 @@
     status: int
     headers: list[tuple[str, str]]
     body: bytes | None
-    rest: object
+    stream: object
     verdict: interfaces.Verdict
     finish: collections.abc.Callable[[bool], None]
 
 
-class Exchange:
+class UpstreamClient:
     """Sends requests over pooled connections."""
 
     def __init__(
@@ -105,7 +105,9 @@
         self._pool = pool
         self._dialect = dialect
 
-    async def send(self, call: Call, target: targets.Target) -> Answer:
+    async def send(
+        self, call: Call, target: targets.Target
+    ) -> UpstreamResponse:
         """Sends a request and returns the response.
 
         Raises:
@@ -117,20 +119,22 @@
         """
         address = target.upstream.address
         try:
-            connection = await self._pool.take(address, call.is_repeatable)
+            connection = await self._pool.acquire(address, call.is_idempotent)
         except errors.PeerUnavailableError as error:
             raise outcomes.UpstreamUnreachableError(
                 str(error), step="connect", peer=target.id
             ) from error
         is_kept = False
         try:
-            left_s = call.end - clocks.monotonic()
+            left_s = call.deadline - clocks.monotonic()
             if left_s <= 0:
                 raise outcomes.UpstreamUnreachableError(
                     "no time left", step="connect", peer=target.id
                 )
             async with asyncio.timeout(left_s + DEADLINE_GRACE_S):
-                answer = await self._converse(call, target, connection, left_s)
+                answer = await self._run_exchange(
+                    call, target, connection, left_s
+                )
             is_kept = True
             return answer
         except TimeoutError as error:
@@ -141,20 +145,22 @@
             is_kept = True
             raise
         except connections.EXCHANGE_ERRORS as error:
-            self._pool.note_broken(connection, clocks.monotonic())
+            self._pool.on_broken(connection, clocks.monotonic())
             unknown = outcomes.UnknownOutcomeError(
                 repr(error), step="read answer", peer=target.id
             )
-            unknown.is_connection_broken = not connection.has_answered
+            unknown.is_connection_broken = not connection.has_response
             raise unknown from error
         finally:
             if not is_kept:
                 connection.abort()
 
-    async def _converse(self, call, target, connection, left_s) -> Answer:
+    async def _run_exchange(
+        self, call, target, connection, left_s
+    ) -> UpstreamResponse:
         data = self._encode(call, target, left_s)
         try:
-            connection.start(call.method, data)
+            connection.send_request(call.method, data)
         except errors.PeerUnavailableError as error:
             raise outcomes.UpstreamUnreachableError(
                 str(error), step="send", peer=target.id
@@ -190,7 +196,7 @@
         head = "\r\n".join(lines) + "\r\n\r\n"
         return head.encode("utf-8", "surrogateescape") + body
 
-    async def _receive(self, call, target, connection) -> Answer:
+    async def _receive(self, call, target, connection) -> UpstreamResponse:
         while True:
             head = await connection.next_head()
             verdict = self._dialect.judge(head.status, head.headers)
@@ -206,14 +212,14 @@
         if verdict.load is not None:
             target.note_load(verdict.load, clocks.monotonic())
         if verdict.kind is not interfaces.AnswerKind.RAN:
-            await self._refusal(head, verdict, connection, target)
+            await self._raise_not_run(head, verdict, connection, target)
         if not verdict.is_sound:
             raise outcomes.UnknownOutcomeError(
                 "unsigned or encoded", step="check answer", peer=target.id
             )
-        return await self._body(head, verdict, target, connection)
+        return await self._read_response(head, verdict, target, connection)
 
-    async def _refusal(self, head, verdict, connection, target) -> None:
+    async def _raise_not_run(self, head, verdict, connection, target) -> None:
         kind = outcomes.NotRunError
         if verdict.kind is interfaces.AnswerKind.MISDIRECTED:
             kind = outcomes.MisdirectedError
@@ -222,7 +228,7 @@
         try:
             await head.payload.read()
             connection.finish(head)
-            self._pool.give_back(target.upstream.address, connection)
+            self._pool.release(target.upstream.address, connection)
         except connections.EXCHANGE_ERRORS:
             # The head was complete, and only that is needed.
             connection.abort()
@@ -231,16 +237,18 @@
         error.had_free_slot = load is not None and load.running < load.slots
         raise error
 
-    async def _body(self, head, verdict, target, connection) -> Answer:
+    async def _read_response(
+        self, head, verdict, target, connection
+    ) -> UpstreamResponse:
         headers = self._dialect.answer_headers(head.headers)
         address = target.upstream.address
         length = head.headers.get("Content-Length", "")
-        is_long = length.isdigit() and int(length) > WHOLE_BYTES
+        is_long = length.isdigit() and int(length) > MAX_BUFFERED_BYTES
 
         def finish(is_whole: bool) -> None:
             if is_whole:
                 connection.finish(head)
-                self._pool.give_back(address, connection)
+                self._pool.release(address, connection)
             else:
                 connection.abort()
 
@@ -248,7 +256,9 @@
         if not is_long:
             body = await head.payload.read()
             finish(True)
-        return Answer(head.status, headers, body, head.payload, verdict, finish)
+        return UpstreamResponse(
+            head.status, headers, body, head.payload, verdict, finish
+        )
 
 
 async def _send_stream(call: Call, connection) -> None:
@@ -256,13 +266,13 @@
     async for piece in call.stream:
         if is_chunked:
             piece = b"%x\r\n%b\r\n" % (len(piece), piece)
-        await connection.send_more(piece)
+        await connection.send_body(piece)
     if is_chunked:
-        await connection.send_more(b"0\r\n\r\n")
+        await connection.send_body(b"0\r\n\r\n")
 
 
-async def relay(
-    request: web_request.BaseRequest, answer: Answer
+async def stream_response(
+    request: web_request.BaseRequest, answer: UpstreamResponse
 ) -> web_response.StreamResponse:
     """Streams a long response to the caller.
 
@@ -276,7 +286,7 @@
     is_whole = False
     try:
         await response.prepare(request)
-        async for piece in answer.rest.iter_any():
+        async for piece in answer.stream.iter_any():
             await response.write(piece)
         await response.write_eof()
         is_whole = True
--- a/src/swiftstile/gateway/front.py
+++ b/src/swiftstile/gateway/front.py
@@ -14,13 +14,13 @@
 from swiftstile import metrics
 from swiftstile import pacing
 from swiftstile import settings as settings_lib
-from swiftstile.gateway import arrivals
+from swiftstile.gateway import caller_requests
 from swiftstile.gateway import callers
 from swiftstile.gateway import handler as handler_lib
 from swiftstile.gateway import model
 from swiftstile.gateway import outcomes
 
-__all__ = ["Front", "ReadyPage"]
+__all__ = ["Front", "ReadinessServer"]
 
 _HEADER_TOO_LARGE = 431
 _BAD_REQUEST = 400
@@ -35,7 +35,7 @@
     message: str
 
 
-class Front(arrivals.Responder):
+class Front(caller_requests.Responder):
     """Serves callers over HTTP.
 
     Attributes:
@@ -61,7 +61,7 @@
     @property
     def in_flight(self) -> int:
         """Number of requests that have been read but not answered."""
-        return sum(connection.active for connection in self._connections)
+        return sum(connection.pending_count for connection in self._connections)
 
     async def start(self) -> None:
         """Starts to listen.
@@ -83,10 +83,13 @@
     def close_idle(self) -> None:
         """Closes connections without requests in progress."""
         for connection in list(self._connections):
-            if not connection.active and connection.head_at is None:
+            if (
+                not connection.pending_count
+                and connection.head_started_at is None
+            ):
                 connection.close()
 
-    async def enforce_limits(self) -> None:
+    async def enforce_timeouts(self) -> None:
         """Closes connections that exceed the idle or header timeout."""
         while True:
             await pacing.pause(_SWEEP_INTERVAL_S)
@@ -94,15 +97,15 @@
             limits = model.Limits() if config is None else config.limits
             now = clocks.monotonic()
             for connection in list(self._connections):
-                if connection.is_overdue(
+                if connection.has_timed_out(
                     limits.header_timeout_s, limits.idle_timeout_s, now
                 ):
                     self._meters.refusals.add("connection-limit")
                     connection.close()
 
-    def may_overlap(self, request: web_request.BaseRequest) -> bool:
+    def may_run_concurrently(self, request: web_request.BaseRequest) -> bool:
         """See base class."""
-        return self._handler.may_overlap(request)
+        return self._handler.may_run_concurrently(request)
 
     def respond_malformed(
         self, error: Exception
@@ -114,26 +117,26 @@
         return web_response.Response(status=status, text="malformed request")
 
     async def respond(
-        self, arrival: arrivals.Arrival
+        self, incoming: caller_requests.IncomingRequest
     ) -> web_response.StreamResponse:
         """See base class."""
         try:
             if self.is_closed:
                 raise outcomes.NotReadyError("about to stop", step="accept")
-            response = await self._handler.answer(arrival)
+            response = await self._handler.answer(incoming)
             outcome = "answered"
         except outcomes.GatewayError as error:
-            response = _failure(error)
+            response = _error_response(error)
             outcome = error.reason
         except asyncio.CancelledError:
             self._meters.requests.add("cancelled")
             raise
         except Exception as error:
             logs.logger.exception("request failed")
-            response = _failure(_internal(error))
+            response = _error_response(_internal_error(error))
             outcome = "internal"
         self._meters.requests.add(outcome)
-        self._meters.durations.record(clocks.monotonic() - arrival.arrived)
+        self._meters.durations.record(clocks.monotonic() - incoming.arrived)
         return response
 
 
@@ -149,7 +152,7 @@
         ) from error
 
 
-def _failure(error: outcomes.GatewayError) -> web_response.Response:
+def _error_response(error: outcomes.GatewayError) -> web_response.Response:
     body = _ErrorBody(error.reason, error.step, error.peer, str(error))
     response = web_response.Response(
         status=error.status,
@@ -161,11 +164,11 @@
     return response
 
 
-def _internal(error: Exception) -> outcomes.UnknownOutcomeError:
+def _internal_error(error: Exception) -> outcomes.UnknownOutcomeError:
     return outcomes.UnknownOutcomeError(repr(error), step="handle request")
 
 
-class ReadyPage:
+class ReadinessServer:
     """Readiness endpoint: whether this VM should get new connections."""
 
     def __init__(self, listen: str, is_ready):
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -11,8 +11,8 @@
 from swiftstile import ids
 from swiftstile import metrics
 from swiftstile.gateway import admission
-from swiftstile.gateway import arrivals
 from swiftstile.gateway import budget
+from swiftstile.gateway import caller_requests
 from swiftstile.gateway import crash_watch
 from swiftstile.gateway import decisions
 from swiftstile.gateway import exchange
@@ -77,7 +77,7 @@
     def __init__(
         self,
         permits: permits_lib.Permits,
-        sender: exchange.Exchange,
+        sender: exchange.UpstreamClient,
         dialect: interfaces.RequestDialect,
         book: targets.TargetBook,
         key_owners: owners.KeyOwners,
@@ -106,7 +106,7 @@
         self._times = work_times.ServiceTimes()
         self._shares = shares.ShareDealer()
 
-    def may_overlap(self, request: web_request.BaseRequest) -> bool:
+    def may_run_concurrently(self, request: web_request.BaseRequest) -> bool:
         """Whether it may run concurrently with earlier ones of a connection."""
         if request.body_exists:
             return False
@@ -118,21 +118,23 @@
         return route.repeatability is model.Repeatability.IDEMPOTENT
 
     async def answer(
-        self, arrival: arrivals.Arrival
+        self, incoming: caller_requests.IncomingRequest
     ) -> web_response.StreamResponse:
         """Returns the response for a caller.
 
         Raises:
             GatewayError: No upstream responded to the request.
         """
-        request, arrived = arrival.request, arrival.arrived
+        request, arrived = incoming.request, incoming.arrived
         inbound = self._dialect.read_request(request.headers)
         story = decisions.Story(self._log)
         is_well = False
         route = None
         try:
             route, config = self._route(request)
-            response = await self._serve(arrival, inbound, route, config, story)
+            response = await self._serve(
+                incoming, inbound, route, config, story
+            )
             is_well = response.status < _FIRST_FAILURE
             return response
         except outcomes.GatewayError as error:
@@ -194,8 +196,8 @@
             step=error.step,
         )
 
-    async def _serve(self, arrival, inbound, route, config, story):
-        request, arrived = arrival.request, arrival.arrived
+    async def _serve(self, incoming, inbound, route, config, story):
+        request, arrived = incoming.request, incoming.arrived
         service = self._shares.draw(route)
         self._budget.note_request(service, arrived)
         wait_s = route.timeout_s
@@ -205,7 +207,7 @@
             request, inbound, route, config, arrived + wait_s
         )
         if self._crashes.has_suspects:
-            call.is_trial = self._crashes.check(call.digest(), arrived)
+            call.is_probe = self._crashes.check(call.digest(), arrived)
         spec = config.services_by_name.get(service)
         lookup = None
         if spec is not None and spec.is_keyed and inbound.key is not None:
@@ -215,15 +217,15 @@
             service,
             lookup,
             arrived,
-            call.end,
+            call.deadline,
             self._times.expected_s(route),
             inbound.key,
             None if inbound.wait_s is None else arrived + inbound.wait_s,
         )
         answer = await self._attempts(call, waiter, story)
         if answer.body is None:
-            await arrival.turn()
-            return await exchange.relay(request, answer)
+            await incoming.wait_for_turn()
+            return await exchange.stream_response(request, answer)
         response = web_response.Response(status=answer.status, body=answer.body)
         response.headers.popall("Content-Type", None)
         for name, value in answer.headers:
@@ -281,14 +283,14 @@
         first_part = b"".join(pieces)[:WHOLE_BODY_BYTES]
         return None, _rest(pieces, content, limit), first_part
 
-    async def _attempts(self, call, waiter, story) -> exchange.Answer:
+    async def _attempts(self, call, waiter, story) -> exchange.UpstreamResponse:
         progress = _Progress()
         while True:
             try:
                 target = await self._permits.acquire(waiter)
             except outcomes.RejectedError as error:
                 raise self._final(error, waiter, progress) from error
-            if self._crashes.has_suspects and not call.is_trial:
+            if self._crashes.has_suspects and not call.is_probe:
                 # It may have been identified as a cause of crashes while it
                 # was waiting for a slot.
                 try:
@@ -359,7 +361,7 @@
                 waiter.excluded.add(target.id)
 
     def _may_repeat(self, error, call, waiter, progress, now) -> bool:
-        if not call.can_repeat or now + waiter.expected_s > call.end:
+        if not call.can_resend or now + waiter.expected_s > call.deadline:
             return False
         if isinstance(error, outcomes.UpstreamUnreachableError):
             # Nothing was sent, so this counts neither as a send nor as a retry.
@@ -440,7 +442,7 @@
                 upstream=target.id,
                 attempt=progress.sends,
                 waited_ms=clocks.milliseconds(now - waiter.arrived),
-                left_ms=clocks.milliseconds(call.end - now),
+                left_ms=clocks.milliseconds(call.deadline - now),
                 key=call.inbound.key,
                 config=config.version if config else 0,
                 key_map=self._owners.version(waiter.service),
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -244,7 +244,7 @@
                 self._meters,
                 self._cold_limits,
             ),
-            exchange.Exchange(pool, adapters.dialect),
+            exchange.UpstreamClient(pool, adapters.dialect),
             adapters.dialect,
             self._book,
             key_owners,
--- a/tests/integration/test_gateway_callers.py
+++ b/tests/integration/test_gateway_callers.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 import pytest
 
-from swiftstile.gateway import arrivals
+from swiftstile.gateway import caller_requests
 from swiftstile.gateway import callers
 
 # Long enough to reveal responses in the wrong order.
 _SLOW_S = 0.05
 
 
-class _Scripted(arrivals.Responder):
+class _Scripted(caller_requests.Responder):
     """Responds as given by the path, `/NAME/DELAY_MS/BYTES`.
 
     Requests for `/x...` may not run concurrently with others.
@@ -34,23 +34,23 @@
         self.at_once = 0
         self.most_at_once = 0
 
-    async def respond(self, arrival):
-        path = arrival.request.path
+    async def respond(self, incoming):
+        path = incoming.request.path
         self.begun.append(path)
-        self.arrivals[path] = arrival.arrived
+        self.arrivals[path] = incoming.arrived
         self.at_once += 1
         self.most_at_once = max(self.at_once, self.most_at_once)
         try:
-            return await self._answer(arrival, path)
+            return await self._answer(incoming, path)
         except asyncio.CancelledError:
             self.cancelled.append(path)
             raise
         finally:
             self.at_once -= 1
 
-    async def _answer(self, arrival, path):
+    async def _answer(self, incoming, path):
         _, name, delay_ms, size = path.split("/")
-        body = await arrival.request.read()
+        body = await incoming.request.read()
         gate = self.gates.get(path)
         if gate is not None:
             await gate.wait()
@@ -59,10 +59,10 @@
             return web.Response(status=503, text=path)
         if not name.startswith("long"):
             return web.Response(text=path + "." * int(size) + str(len(body)))
-        await arrival.turn()
+        await incoming.wait_for_turn()
         response = web.StreamResponse()
         response.content_length = len(path)
-        await response.prepare(arrival.request)
+        await response.prepare(incoming.request)
         for byte in path.encode():
             await response.write(bytes([byte]))
         await response.write_eof()
@@ -71,7 +71,7 @@
     def respond_malformed(self, error):
         return web.Response(status=400, text="malformed")
 
-    def may_overlap(self, request):
+    def may_run_concurrently(self, request):
         return request.method == "GET" and not request.path.startswith("/x")
 
 
@@ -243,12 +243,12 @@
 
 def test_one_caller_cannot_take_all_slots():
     async def scenario(responder, caller):
-        paths = [f"/a{i}/2/0" for i in range(3 * callers.MAX_UNANSWERED)]
+        paths = [f"/a{i}/2/0" for i in range(3 * callers.MAX_PENDING_REQUESTS)]
         caller.send(*paths)
         for path in paths:
             assert (await caller.answer())[1] == path + "0"
         assert responder.begun == paths
-        assert 1 < responder.most_at_once <= callers.MAX_OVERLAPPING
+        assert 1 < responder.most_at_once <= callers.MAX_CONCURRENT_REQUESTS
 
     _run(scenario)
 
@@ -256,7 +256,7 @@
 def test_answers_that_wait_are_bounded_in_bytes():
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
-        size = callers.MAX_HELD_BYTES
+        size = callers.MAX_FINISHED_BYTES
         paths = [f"/a{i}/0/{size}" for i in range(4)]
         caller.send("/slow/0/0", paths[0])
         await _until(lambda: len(responder.begun) == 2)
@@ -275,7 +275,7 @@
 
 def test_the_time_of_a_request_counts_from_its_head():
     async def scenario(responder, caller):
-        count = callers.MAX_OVERLAPPING + 4
+        count = callers.MAX_CONCURRENT_REQUESTS + 4
         paths = [f"/a{i}/20/0" for i in range(count)]
         caller.send(*paths)
         for _ in paths:
--- a/tests/integration/test_gateway_exchange.py
+++ b/tests/integration/test_gateway_exchange.py
@@ -75,7 +75,7 @@
     port = listener.sockets[0].getsockname()[1]
     upstream = builders.upstream("u-1", address=f"127.0.0.1:{port}")
     target = targets.Target(upstream, 0.0)
-    sender = exchange.Exchange(
+    sender = exchange.UpstreamClient(
         connections.ConnectionPool(), dialect.UsersDialect()
     )
     try:
@@ -270,7 +270,7 @@
 def test_nothing_listens():
     async def scenario():
         target = targets.Target(builders.upstream(address="127.0.0.1:1"), 0.0)
-        sender = exchange.Exchange(
+        sender = exchange.UpstreamClient(
             connections.ConnectionPool(), dialect.UsersDialect()
         )
         with pytest.raises(outcomes.UpstreamUnreachableError):
@@ -285,7 +285,7 @@
     # Servers that silently dropped an idle connection reset it on the next
     # request. The reset doesn't tell whether that request ran, so that a
     # non-idempotent one can't be retried.
-    monkeypatch.setattr(connections, "RESTED_S", -1.0)
+    monkeypatch.setattr(connections, "MAX_SAFE_IDLE_S", -1.0)
 
     async def script(number, writer):
         if number == 2:
@@ -317,12 +317,12 @@
         port = listener.sockets[0].getsockname()[1]
         upstream = builders.upstream(address=f"127.0.0.1:{port}")
         pool = connections.ConnectionPool()
-        sender = exchange.Exchange(pool, dialect.UsersDialect())
+        sender = exchange.UpstreamClient(pool, dialect.UsersDialect())
         call = _call("a1", "POST", b"x" * (16 << 20))
         answer = await sender.send(call, targets.Target(upstream, 0.0))
         assert answer.body == b"early"
         # The rest of the body wasn't sent, so that the connection isn't reused.
-        connection = await pool.take(upstream.address, True)
+        connection = await pool.acquire(upstream.address, True)
         assert pool.opened == 2
         connection.abort()
         listener.close()
--- a/tests/unit/test_gateway_crash_check.py
+++ b/tests/unit/test_gateway_crash_check.py
@@ -54,7 +54,7 @@
         raise outcomes.UnknownOutcomeError("cut", step="send")
 
 
-def _play(crashes: _Crashes, permits: _Permits, is_trial: bool) -> _Sender:
+def _play(crashes: _Crashes, permits: _Permits, is_probe: bool) -> _Sender:
     sender = _Sender()
     made = types.SimpleNamespace(
         _permits=permits,
@@ -70,7 +70,7 @@
         return True
 
     made._look_for_crash = is_ordinary
-    call = types.SimpleNamespace(digest=lambda: b"d" * 16, is_trial=is_trial)
+    call = types.SimpleNamespace(digest=lambda: b"d" * 16, is_probe=is_probe)
     waiter = builders.waiter(clocks.monotonic(), None)
     run = handler_lib.Handler._attempts(made, call, waiter, None)
     with pytest.raises(outcomes.GatewayError):
@@ -85,7 +85,7 @@
         crashes.has_suspects = True
 
     permits = _Permits(hear)
-    assert _play(crashes, permits, is_trial=False).sent == 0
+    assert _play(crashes, permits, is_probe=False).sent == 0
     assert permits.released == 1
 
 
@@ -93,4 +93,4 @@
     crashes = _Crashes()
     crashes.has_suspects = True
     permits = _Permits(lambda: None)
-    assert _play(crashes, permits, is_trial=True).sent == 1
+    assert _play(crashes, permits, is_probe=True).sent == 1
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -12,7 +12,7 @@
 
 from swiftstile import clocks
 from swiftstile import metrics
-from swiftstile.gateway import arrivals
+from swiftstile.gateway import caller_requests
 from swiftstile.gateway import decisions
 from swiftstile.gateway import follow
 from swiftstile.gateway import freshness
@@ -189,14 +189,16 @@
     request = test_utils.make_mocked_request(
         "GET", path, headers={"Host": "a.example"}
     )
-    assert not handler.may_overlap(request)
+    assert not handler.may_run_concurrently(request)
     return _refusal(handler, request)
 
 
 def _refusal(handler: handler_lib.Handler, request) -> outcomes.GatewayError:
-    arrival = arrivals.Arrival(request, clocks.monotonic(), None)
+    incoming = caller_requests.IncomingRequest(
+        request, clocks.monotonic(), None
+    )
     with pytest.raises(outcomes.GatewayError) as caught:
-        asyncio.run(handler.answer(arrival))
+        asyncio.run(handler.answer(incoming))
     return caught.value
 
 
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -61,8 +61,8 @@
     _off(
         "requests overlap on a connection",
         "callers",
-        "MAX_OVERLAPPING = 8",
-        "MAX_OVERLAPPING = 1",
+        "MAX_CONCURRENT_REQUESTS = 8",
+        "MAX_CONCURRENT_REQUESTS = 1",
     ),
     _off(
         "permits from one VM an owner",
