--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -13,7 +13,7 @@
 from swiftstile.gateway import authority
 from swiftstile.gateway import budget
 from swiftstile.gateway import coldstart
-from swiftstile.gateway import decisions
+from swiftstile.gateway import decision_log
 from swiftstile.gateway import follow
 from swiftstile.gateway import front as front_lib
 from swiftstile.gateway import gate as gate_lib
@@ -58,7 +58,7 @@
         node: reports.NodeRow,
         front: front_lib.Front,
         ready_listen: str,
-        handler: handler_lib.Handler,
+        handler: handler_lib.RequestHandler,
         gate: gate_lib.Gate,
         arbiter: arbiter_lib.Arbiter,
         book: targets.TargetBook,
@@ -78,7 +78,7 @@
         heat_book: heat.HeatBook,
         cold_limits: coldstart.ColdLimits,
         suspect_book: suspects.Suspects,
-        log: decisions.BoundedLines,
+        log: decision_log.BoundedLog,
         make_keeper,
         grace_s: float,
         meters: metrics.Meters,
@@ -306,7 +306,7 @@
 
     def apply_config(self, config: model.Config) -> None:
         """Puts a configuration in force, unless a newer one is."""
-        self._handler.is_config_unread = False
+        self._handler.is_new_config_invalid = False
         known = self._handler.config
         if known is not None and known.version >= config.version:
             return
@@ -324,7 +324,7 @@
 
     def note_bad_config(self, error: errors.SwiftstileError) -> None:
         """Says that a configuration can't be used; the last one stays."""
-        self._handler.is_config_unread = True
+        self._handler.is_new_config_invalid = True
         self.meters.refusals.add("bad-config")
         logs.logger.error("configuration refused", error=str(error))
 
--- a/src/swiftstile/gateway/decisions.py
+++ b/src/swiftstile/gateway/decision_log.py
@@ -15,18 +15,18 @@
 from swiftstile import clocks
 from swiftstile import pacing
 
-__all__ = ["BoundedLines", "RequestDecision", "Story"]
+__all__ = ["BoundedLog", "RequestDecision", "RequestTrace"]
 
 # Maximum lines per second: several times what one VM's share of the users'
 # traffic needs, and less than 1% of a core.
-MOST_PER_S = 400
+MAX_LINES_PER_S = 400
 # Fraction of these available to successful requests. The rest is reserved for
 # failed requests and state changes.
-WELL_ENDED_SHARE = 0.6
+SUCCESS_SHARE = 0.6
 # Maximum lines buffered while nobody reads.
-MOST_KEPT = 2000
+MAX_BUFFERED_LINES = 2000
 FLUSH_INTERVAL_S = 0.25
-MOST_PENDING_BYTES = 1 << 20
+MAX_UNWRITTEN_BYTES = 1 << 20
 
 
 class RequestDecision(msgspec.Struct, omit_defaults=True, kw_only=True):
@@ -75,30 +75,30 @@
     queued: int = 0
 
 
-class Story:
+class RequestTrace:
     """Trace of one request: its decisions, written when it ends."""
 
-    def __init__(self, lines: "BoundedLines"):
-        self._lines = lines
+    def __init__(self, log: "BoundedLog"):
+        self._log = log
         self._decisions: list[RequestDecision] = []
 
-    def note(self, decision: RequestDecision) -> None:
+    def add(self, decision: RequestDecision) -> None:
         """Adds a decision."""
-        decision.vm = self._lines.vm
+        decision.vm = self._log.vm
         decision.at_ms = clocks.wall_ms()
         self._decisions.append(decision)
 
-    def end(self, is_well: bool) -> None:
+    def finish(self, succeeded: bool) -> None:
         """Writes all decisions, or drops them all if over the limits.
 
         Args:
-            is_well: Whether the request succeeded.
+            succeeded: Whether the request succeeded.
         """
-        self._lines.write_all(self._decisions, is_well)
+        self._log.write_trace(self._decisions, succeeded)
         self._decisions = []
 
 
-class BoundedLines:
+class BoundedLog:
     """Writes lines to a file descriptor without ever blocking.
 
     Attributes:
@@ -107,45 +107,49 @@
 
     Args:
         fd: File descriptor; standard output by default.
-        most_per_s: Maximum lines per second; more are dropped and counted.
+        max_lines_per_s: Maximum lines per second; more are dropped and counted.
     """
 
-    def __init__(self, fd: int | None = None, most_per_s: int = MOST_PER_S):
+    def __init__(
+        self, fd: int | None = None, max_lines_per_s: int = MAX_LINES_PER_S
+    ):
         self._fd = sys.stdout.fileno() if fd is None else fd
-        self._most = most_per_s
+        self._max_lines_per_s = max_lines_per_s
         self._lines: collections.deque[bytes] = collections.deque()
         self._encoder = msgspec.json.Encoder()
         self._second = 0
-        self._in_second = 0
-        self._rest = b""
+        self._lines_in_second = 0
+        self._unwritten = b""
         self.vm = ""
         self.dropped = 0
 
-    def write_all(self, request: list[RequestDecision], is_well: bool) -> None:
+    def write_trace(
+        self, request: list[RequestDecision], succeeded: bool
+    ) -> None:
         """Buffers the lines of a finished request, if within the limits.
 
         Args:
             request: The decisions on it.
-            is_well: Whether it succeeded.
+            succeeded: Whether it succeeded.
         """
-        share = WELL_ENDED_SHARE if is_well else 1.0
-        if self._has_room(len(request), share):
+        share = SUCCESS_SHARE if succeeded else 1.0
+        if self._reserve(len(request), share):
             self._lines.extend(map(self._encoder.encode, request))
 
     def write(self, line: str) -> None:
         """Buffers a line of text, if within the limits."""
-        if self._has_room(1, 1.0):
+        if self._reserve(1, 1.0):
             self._lines.append(line.rstrip("\n").encode())
 
-    def _has_room(self, count: int, share: float) -> bool:
+    def _reserve(self, count: int, share: float) -> bool:
         second = int(clocks.monotonic())
         if second != self._second:
-            self._second, self._in_second = second, 0
-        is_over = self._in_second + count > share * self._most
-        if is_over or len(self._lines) + count > MOST_KEPT:
+            self._second, self._lines_in_second = second, 0
+        is_over = self._lines_in_second + count > share * self._max_lines_per_s
+        if is_over or len(self._lines) + count > MAX_BUFFERED_LINES:
             self.dropped += count
             return False
-        self._in_second += count
+        self._lines_in_second += count
         return True
 
     async def run(self) -> None:
@@ -164,18 +168,18 @@
             line = {"event": "lines dropped", "count": self.dropped}
             self._lines.append(self._encoder.encode(line))
             self.dropped = 0
-        if self._lines and len(self._rest) < MOST_PENDING_BYTES:
-            self._rest += b"\n".join(self._lines) + b"\n"
+        if self._lines and len(self._unwritten) < MAX_UNWRITTEN_BYTES:
+            self._unwritten += b"\n".join(self._lines) + b"\n"
             self._lines.clear()
-        while self._rest:
+        while self._unwritten:
             try:
-                written = os.write(self._fd, self._rest)
+                written = os.write(self._fd, self._unwritten)
             except BlockingIOError:
                 # The pipe is full. The buffer is bounded, so that further lines
                 # are dropped and counted.
                 break
             except OSError:
                 # The reader has closed the pipe, and this can't be logged.
-                self._rest = b""
+                self._unwritten = b""
                 break
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
--- a/src/swiftstile/gateway/exchange.py
+++ b/src/swiftstile/gateway/exchange.py
@@ -132,11 +132,11 @@
                     "no time left", step="connect", peer=target.id
                 )
             async with asyncio.timeout(left_s + DEADLINE_GRACE_S):
-                answer = await self._run_exchange(
+                response = await self._run_exchange(
                     call, target, connection, left_s
                 )
             is_kept = True
-            return answer
+            return response
         except TimeoutError as error:
             raise outcomes.TimedOutError(
                 "no answer in time", step="read answer", peer=target.id
@@ -169,11 +169,11 @@
             return await self._receive(call, target, connection)
         sender = asyncio.create_task(_send_stream(call, connection))
         try:
-            answer = await self._receive(call, target, connection)
+            response = await self._receive(call, target, connection)
             if not sender.done():
                 # Not reusable before the rest of the body was sent.
                 connection.is_usable = False
-            return answer
+            return response
         finally:
             if not sender.done():
                 sender.cancel()
@@ -272,26 +272,28 @@
 
 
 async def stream_response(
-    request: web_request.BaseRequest, answer: UpstreamResponse
+    request: web_request.BaseRequest, upstream_response: UpstreamResponse
 ) -> web_response.StreamResponse:
     """Streams a long response to the caller.
 
     If either side fails, the caller's connection is aborted, so that the
     truncated response doesn't appear complete.
     """
-    response = web_response.StreamResponse(status=answer.status)
-    for name, value in answer.headers:
+    response = web_response.StreamResponse(status=upstream_response.status)
+    for name, value in upstream_response.headers:
         response.headers.add(name, value)
-    response.content_length = int(dict(answer.headers).get("Content-Length", 0))
+    response.content_length = int(
+        dict(upstream_response.headers).get("Content-Length", 0)
+    )
     is_whole = False
     try:
         await response.prepare(request)
-        async for piece in answer.stream.iter_any():
+        async for piece in upstream_response.stream.iter_any():
             await response.write(piece)
         await response.write_eof()
         is_whole = True
         return response
     finally:
-        answer.finish(is_whole)
+        upstream_response.finish(is_whole)
         if not is_whole and request.transport is not None:
             request.transport.abort()
--- a/src/swiftstile/gateway/front.py
+++ b/src/swiftstile/gateway/front.py
@@ -47,7 +47,7 @@
     def __init__(
         self,
         listen: str,
-        handler: handler_lib.Handler,
+        handler: handler_lib.RequestHandler,
         meters: metrics.Meters,
     ):
         self._listen = listen
@@ -123,7 +123,7 @@
         try:
             if self.is_closed:
                 raise outcomes.NotReadyError("about to stop", step="accept")
-            response = await self._handler.answer(incoming)
+            response = await self._handler.handle(incoming)
             outcome = "answered"
         except outcomes.GatewayError as error:
             response = _error_response(error)
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -14,7 +14,7 @@
 from swiftstile.gateway import budget
 from swiftstile.gateway import caller_requests
 from swiftstile.gateway import crash_watch
-from swiftstile.gateway import decisions
+from swiftstile.gateway import decision_log
 from swiftstile.gateway import exchange
 from swiftstile.gateway import follow
 from swiftstile.gateway import interfaces
@@ -27,10 +27,10 @@
 from swiftstile.gateway import targets
 from swiftstile.gateway import work_times
 
-__all__ = ["Handler"]
+__all__ = ["RequestHandler"]
 
 # Bodies up to this size are buffered, so that they can be sent again.
-WHOLE_BODY_BYTES = 1 << 20
+MAX_BUFFERED_BODY_BYTES = 1 << 20
 # Maximum sends that upstreams may reject as misdirected because the key is
 # being moved. Such a send runs nothing, and only the key's next owner can serve
 # the request.
@@ -39,14 +39,14 @@
 MAX_UNREACHABLE = 4
 # Pause before a target that rejected a request for lack of slots gets another:
 # about the time until a slot becomes free.
-SHED_PAUSE_S = 0.1
+OVERLOADED_TARGET_PAUSE_S = 0.1
 # Retry-After when upstreams rejected the request for lack of slots.
-SHED_RETRY_AFTER_S = 0.2
+NO_SLOT_RETRY_AFTER_S = 0.2
 # The same where they had free slots, in objectives: a retry is likely to
 # succeed and can still be in time, so it should be soon. The range spreads
 # retries over time.
-ROOM_RETRY_AFTER = (0.05, 0.15)
-_FIRST_FAILURE = 400
+FREE_SLOT_RETRY_AFTER = (0.05, 0.15)
+_FIRST_ERROR_STATUS = 400
 _READ_ERRORS = (
     aiohttp.ClientError,
     aiohttp.http_exceptions.HttpProcessingError,
@@ -55,7 +55,7 @@
 )
 
 
-class _Progress:
+class _SendState:
     """State of the sends of one request so far."""
 
     def __init__(self):
@@ -65,13 +65,13 @@
         self.may_have_run = False
 
 
-class Handler:
+class RequestHandler:
     """Handles requests according to the current configuration.
 
     Attributes:
         config: The configuration; None until one was received.
-        is_config_unread: Whether the operator published a newer one that is
-            invalid.
+        is_new_config_invalid: Whether the operator published a newer one
+            that is invalid.
     """
 
     def __init__(
@@ -79,22 +79,22 @@
         permits: permits_lib.Permits,
         sender: exchange.UpstreamClient,
         dialect: interfaces.RequestDialect,
-        book: targets.TargetBook,
+        target_table: targets.TargetBook,
         key_owners: owners.KeyOwners,
         retry_budget: budget.RetryBudget,
         speed_book: speeds.SpeedBook,
-        log: decisions.BoundedLines,
+        log: decision_log.BoundedLog,
         store: follow.TableFollower,
         operations: follow.TableFollower,
         crashes: crash_watch.CrashWatch,
         meters: metrics.Meters,
     ):
         self.config: model.Config | None = None
-        self.is_config_unread = False
+        self.is_new_config_invalid = False
         self._permits = permits
         self._sender = sender
         self._dialect = dialect
-        self._book = book
+        self._targets = target_table
         self._owners = key_owners
         self._budget = retry_budget
         self._speeds = speed_book
@@ -117,7 +117,7 @@
             return False
         return route.repeatability is model.Repeatability.IDEMPOTENT
 
-    async def answer(
+    async def handle(
         self, incoming: caller_requests.IncomingRequest
     ) -> web_response.StreamResponse:
         """Returns the response for a caller.
@@ -127,22 +127,22 @@
         """
         request, arrived = incoming.request, incoming.arrived
         inbound = self._dialect.read_request(request.headers)
-        story = decisions.Story(self._log)
-        is_well = False
+        trace = decision_log.RequestTrace(self._log)
+        succeeded = False
         route = None
         try:
             route, config = self._route(request)
             response = await self._serve(
-                incoming, inbound, route, config, story
+                incoming, inbound, route, config, trace
             )
-            is_well = response.status < _FIRST_FAILURE
+            succeeded = response.status < _FIRST_ERROR_STATUS
             return response
         except outcomes.GatewayError as error:
-            self._note_end(inbound, route, error, arrived, story)
+            self._record_error(inbound, route, error, arrived, trace)
             raise
         except asyncio.CancelledError:
-            story.note(
-                decisions.RequestDecision(
+            trace.add(
+                decision_log.RequestDecision(
                     id=inbound.attempt_id,
                     event="abandoned",
                     reason="the caller left",
@@ -152,9 +152,9 @@
             )
             raise
         finally:
-            story.end(is_well)
+            trace.finish(succeeded)
 
-    def work_s(self, service: ids.ServiceName) -> float | None:
+    def mean_service_time_s(self, service: ids.ServiceName) -> float | None:
         """Returns the mean service time of a service, or None if unmeasured."""
         return self._times.of_service(service)
 
@@ -173,14 +173,14 @@
         name = host[0] if host[2].isdigit() and host[0] else "".join(host)
         route = config.find(name.lower(), target.partition("?")[0])
         if route is None:
-            raise self._not_allowed(
+            raise self._disallowed_error(
                 outcomes.NoRouteError(
                     f"no route in version {config.version}", step="find route"
                 )
             )
         return route, config
 
-    def _not_allowed(
+    def _disallowed_error(
         self, error: outcomes.GatewayError
     ) -> outcomes.GatewayError:
         """Returns the error for a request that the configuration disallows.
@@ -189,21 +189,21 @@
         the request, so the caller gets a retryable error instead.
         """
         is_current = self._operations.is_current(clocks.monotonic())
-        if is_current and not self.is_config_unread:
+        if is_current and not self.is_new_config_invalid:
             return error
         return outcomes.StaleConfigError(
             f"{error.args[0]}; a newer configuration may allow it",
             step=error.step,
         )
 
-    async def _serve(self, incoming, inbound, route, config, story):
+    async def _serve(self, incoming, inbound, route, config, trace):
         request, arrived = incoming.request, incoming.arrived
         service = self._shares.draw(route)
         self._budget.note_request(service, arrived)
         wait_s = route.timeout_s
         if inbound.wait_s is not None:
             wait_s = min(wait_s, inbound.wait_s)
-        call = await self._call(
+        call = await self._make_call(
             request, inbound, route, config, arrived + wait_s
         )
         if self._crashes.has_suspects:
@@ -222,17 +222,19 @@
             inbound.key,
             None if inbound.wait_s is None else arrived + inbound.wait_s,
         )
-        answer = await self._attempts(call, waiter, story)
-        if answer.body is None:
+        upstream_response = await self._send_with_retries(call, waiter, trace)
+        if upstream_response.body is None:
             await incoming.wait_for_turn()
-            return await exchange.stream_response(request, answer)
-        response = web_response.Response(status=answer.status, body=answer.body)
+            return await exchange.stream_response(request, upstream_response)
+        response = web_response.Response(
+            status=upstream_response.status, body=upstream_response.body
+        )
         response.headers.popall("Content-Type", None)
-        for name, value in answer.headers:
+        for name, value in upstream_response.headers:
             response.headers.add(name, value)
         return response
 
-    async def _call(
+    async def _make_call(
         self, request, inbound, route, config, end
     ) -> exchange.Call:
         self._check_sizes(request, config.limits)
@@ -240,8 +242,8 @@
         length = request.content_length
         body, stream, first_part = b"", None, b""
         if request.body_exists:
-            await _invite_body(request)
-            body, stream, first_part = await self._read(request, limit)
+            await _send_continue(request)
+            body, stream, first_part = await self._read_body(request, limit)
         return exchange.Call(
             request.method,
             request.raw_path,
@@ -263,14 +265,14 @@
             _check_head(request, limits.max_header_bytes)
             _check_length(request, limits.max_body_bytes)
         except outcomes.GatewayError as error:
-            raise self._not_allowed(error) from error
+            raise self._disallowed_error(error) from error
 
-    async def _read(self, request, limit: int):
+    async def _read_body(self, request, limit: int):
         """Returns the body, or a stream of it and its first part."""
         pieces, size = [], 0
         content = request.content
         try:
-            while size <= WHOLE_BODY_BYTES:
+            while size <= MAX_BUFFERED_BODY_BYTES:
                 piece = await content.readany()
                 if not piece:
                     return b"".join(pieces), None, b""
@@ -280,16 +282,18 @@
             raise outcomes.BadRequestError(
                 repr(error), step="read body"
             ) from error
-        first_part = b"".join(pieces)[:WHOLE_BODY_BYTES]
-        return None, _rest(pieces, content, limit), first_part
+        first_part = b"".join(pieces)[:MAX_BUFFERED_BODY_BYTES]
+        return None, _remaining_body(pieces, content, limit), first_part
 
-    async def _attempts(self, call, waiter, story) -> exchange.UpstreamResponse:
-        progress = _Progress()
+    async def _send_with_retries(
+        self, call, waiter, trace
+    ) -> exchange.UpstreamResponse:
+        state = _SendState()
         while True:
             try:
                 target = await self._permits.acquire(waiter)
             except outcomes.RejectedError as error:
-                raise self._final(error, waiter, progress) from error
+                raise self._final_error(error, waiter, state) from error
             if self._crashes.has_suspects and not call.is_probe:
                 # It may have been identified as a cause of crashes while it
                 # was waiting for a slot.
@@ -297,30 +301,34 @@
                     self._crashes.check(call.digest(), clocks.monotonic())
                 except outcomes.CrashingRequestError as error:
                     self._permits.release(waiter, target)
-                    raise self._final(error, waiter, progress) from error
-            progress.sends += 1
-            self._note_sent(call, waiter, target, progress, story)
+                    raise self._final_error(error, waiter, state) from error
+            state.sends += 1
+            self._record_send(call, waiter, target, state, trace)
             sent = clocks.monotonic()
             try:
-                answer = await self._sender.send(call, target)
+                response = await self._sender.send(call, target)
             except outcomes.GatewayError as error:
                 now = clocks.monotonic()
-                self._learn(error, waiter, target, progress, call, now)
-                may_go_on = await self._look_for_crash(
+                self._update_target(error, waiter, target, state, call, now)
+                may_resend = await self._check_for_crash(
                     error, call, target, now - sent
                 )
                 now = clocks.monotonic()
-                if not may_go_on or not self._may_repeat(
-                    error, call, waiter, progress, now
+                if not may_resend or not self._may_retry(
+                    error, call, waiter, state, now
                 ):
-                    raise self._final(error, waiter, progress) from error
+                    raise self._final_error(error, waiter, state) from error
             else:
-                self._note_answer(call, waiter, target, answer, sent, story)
-                return answer
+                self._record_response(
+                    call, waiter, target, response, sent, trace
+                )
+                return response
             finally:
                 self._permits.release(waiter, target)
 
-    async def _look_for_crash(self, error, call, target, sent_s: float) -> bool:
+    async def _check_for_crash(
+        self, error, call, target, sent_s: float
+    ) -> bool:
         """Returns whether a request may be sent to another upstream.
 
         It may not if it probably crashed the last one.
@@ -333,11 +341,11 @@
         self._crashes.note_crash(digest, target, sent_s, now)
         return self._crashes.may_send_again(digest)
 
-    def _learn(self, error, waiter, target, progress, call, now) -> None:
+    def _update_target(self, error, waiter, target, state, call, now) -> None:
         """Updates the state of the target after a failed send."""
         self._meters.sends.add(error.reason)
         if isinstance(error, outcomes.MisdirectedError):
-            progress.misdirected += 1
+            state.misdirected += 1
             if waiter.owner is None:
                 waiter.excluded.add(target.id)
             else:
@@ -345,37 +353,37 @@
                     waiter.service, call.inbound.key, now
                 )
         elif isinstance(error, outcomes.ReplacedError):
-            self._book.mark_replaced(target, now)
+            self._targets.mark_replaced(target, now)
             waiter.excluded.add(target.id)
         elif isinstance(error, outcomes.UpstreamUnreachableError):
             target.note_failure(now)
         elif isinstance(error, outcomes.NotRunError):
             if not error.had_free_slot:
-                target.note_shed(now, SHED_PAUSE_S)
+                target.note_shed(now, OVERLOADED_TARGET_PAUSE_S)
             if waiter.owner is None:
                 waiter.excluded.add(target.id)
         else:
-            progress.may_have_run = True
+            state.may_have_run = True
             target.note_failure(now)
             if waiter.owner is None:
                 waiter.excluded.add(target.id)
 
-    def _may_repeat(self, error, call, waiter, progress, now) -> bool:
+    def _may_retry(self, error, call, waiter, state, now) -> bool:
         if not call.can_resend or now + waiter.expected_s > call.deadline:
             return False
         if isinstance(error, outcomes.UpstreamUnreachableError):
             # Nothing was sent, so this counts neither as a send nor as a retry.
-            progress.sends -= 1
-            progress.unreachable += 1
-            return progress.unreachable < MAX_UNREACHABLE
+            state.sends -= 1
+            state.unreachable += 1
+            return state.unreachable < MAX_UNREACHABLE
         if not isinstance(error, outcomes.NotRunError):
             route = waiter.route
             if route.repeatability is not model.Repeatability.IDEMPOTENT:
                 return False
         if isinstance(error, outcomes.MisdirectedError):
-            if progress.misdirected > MAX_MISDIRECTED:
+            if state.misdirected > MAX_MISDIRECTED:
                 return False
-        elif progress.sends >= waiter.route.max_attempts:
+        elif state.sends >= waiter.route.max_attempts:
             return False
         if not self._budget.can_spend(waiter.service, now):
             self._meters.refusals.add("retry-budget")
@@ -383,13 +391,13 @@
         self._budget.spend(waiter.service, now)
         return True
 
-    def _final(self, error, waiter, progress) -> outcomes.GatewayError:
+    def _final_error(self, error, waiter, state) -> outcomes.GatewayError:
         """Returns the error for the caller.
 
         If an earlier send may have run, the outcome is unknown, even if the
         last send certainly didn't run.
         """
-        if progress.may_have_run and isinstance(
+        if state.may_have_run and isinstance(
             error, (outcomes.NotRunError, outcomes.RejectedError)
         ):
             return outcomes.UnknownOutcomeError(
@@ -398,49 +406,53 @@
                 peer=error.peer,
             )
         if isinstance(error, outcomes.NotRunError):
-            error.retry_after_s = SHED_RETRY_AFTER_S
+            error.retry_after_s = NO_SLOT_RETRY_AFTER_S
             if error.had_free_slot:
-                part = random.uniform(*ROOM_RETRY_AFTER)
+                part = random.uniform(*FREE_SLOT_RETRY_AFTER)
                 error.retry_after_s = part * waiter.route.objective_s
         return error
 
-    def _note_answer(self, call, waiter, target, answer, sent, story) -> None:
+    def _record_response(
+        self, call, waiter, target, response, sent, trace
+    ) -> None:
         now = clocks.monotonic()
         took_s = now - sent
         self._meters.sends.add("answered")
         target.note_answer(now)
         if self._crashes.remembers(call.length or 0):
             self._crashes.note_answer(call.digest(), now)
-        if answer.status < 300 and _did_not_wait(waiter, target, answer):
+        if response.status < 300 and _is_service_time_only(
+            waiter, target, response
+        ):
             prior_s = work_times.prior_s(waiter.route)
-            slowdown = _slowdown(answer)
+            slowdown = _slowdown(response)
             self._speeds.note(target.id, took_s / prior_s / slowdown, now)
             self._times.note(
                 waiter.route, waiter.service, took_s / target.slowness
             )
-        story.note(
-            decisions.RequestDecision(
+        trace.add(
+            decision_log.RequestDecision(
                 id=call.inbound.attempt_id,
                 event="answered",
                 route=waiter.route.name,
                 service=waiter.service,
                 upstream=target.id,
-                status=answer.status,
+                status=response.status,
                 waited_ms=clocks.milliseconds(now - waiter.arrived),
             )
         )
 
-    def _note_sent(self, call, waiter, target, progress, story) -> None:
+    def _record_send(self, call, waiter, target, state, trace) -> None:
         now = clocks.monotonic()
         config = self.config
-        story.note(
-            decisions.RequestDecision(
+        trace.add(
+            decision_log.RequestDecision(
                 id=call.inbound.attempt_id,
                 event="sent",
                 route=waiter.route.name,
                 service=waiter.service,
                 upstream=target.id,
-                attempt=progress.sends,
+                attempt=state.sends,
                 waited_ms=clocks.milliseconds(now - waiter.arrived),
                 left_ms=clocks.milliseconds(call.deadline - now),
                 key=call.inbound.key,
@@ -452,12 +464,12 @@
             )
         )
 
-    def _note_end(self, inbound, route, error, arrived, story) -> None:
+    def _record_error(self, inbound, route, error, arrived, trace) -> None:
         now = clocks.monotonic()
-        target = self._book.by_id.get(error.peer)
+        target = self._targets.by_id.get(error.peer)
         self._meters.refusals.add(error.reason)
-        story.note(
-            decisions.RequestDecision(
+        trace.add(
+            decision_log.RequestDecision(
                 id=inbound.attempt_id,
                 event="refused" if error.status == 503 else "failed",
                 route="" if route is None else route.name,
@@ -492,7 +504,7 @@
         )
 
 
-async def _invite_body(request: web_request.BaseRequest) -> None:
+async def _send_continue(request: web_request.BaseRequest) -> None:
     """Sends 100 Continue if the caller expects it."""
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -500,27 +512,27 @@
         request.writer.output_size = 0
 
 
-def _did_not_wait(waiter, target, answer) -> bool:
+def _is_service_time_only(waiter, target, response) -> bool:
     """Whether the response time was service time only, without queueing."""
-    load = answer.verdict.load
+    load = response.verdict.load
     if load is not None and load.waiting:
         return False
     return waiter.occupied < target.upstream.slots
 
 
-def _slowdown(answer) -> float:
+def _slowdown(response) -> float:
     """Returns the momentary slowdown that an upstream reported, or 1.
 
     It is divided out of measured speeds, as the share of keys of an upstream
     depends on its long-term speed.
     """
-    load = answer.verdict.load
+    load = response.verdict.load
     if load is None or not load.slowdown:
         return 1.0
     return load.slowdown
 
 
-async def _rest(pieces: list[bytes], content, limit: int):
+async def _remaining_body(pieces: list[bytes], content, limit: int):
     size = 0
     for piece in pieces:
         size += len(piece)
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -17,7 +17,7 @@
 from swiftstile.gateway import connections
 from swiftstile.gateway import crash_watch
 from swiftstile.gateway import daemon as daemon_lib
-from swiftstile.gateway import decisions
+from swiftstile.gateway import decision_log
 from swiftstile.gateway import exchange
 from swiftstile.gateway import follow
 from swiftstile.gateway import front
@@ -90,7 +90,7 @@
 def gateway(
     settings: settings_lib.GatewaySettings,
     adapters: Adapters,
-    lines: decisions.BoundedLines,
+    lines: decision_log.BoundedLog,
 ) -> daemon_lib.GatewayDaemon:
     """Returns the gateway daemon of one VM.
 
@@ -116,7 +116,7 @@
         self,
         settings: settings_lib.GatewaySettings,
         adapters: Adapters,
-        lines: decisions.BoundedLines,
+        lines: decision_log.BoundedLog,
     ):
         self._lines = lines
         lines.vm = settings.vm.id
@@ -235,7 +235,7 @@
             self._meters,
         )
         pool = connections.ConnectionPool()
-        self._handler = handler = handler_lib.Handler(
+        self._handler = handler = handler_lib.RequestHandler(
             permits.Permits(
                 self._peers,
                 gate,
@@ -320,7 +320,7 @@
                 self._book,
                 self._speeds,
                 self._heat,
-                self._handler.work_s,
+                self._handler.mean_service_time_s,
                 self._now(),
                 self._cold_limits,
                 self._most_ranges,
--- a/tests/unit/test_clock_of_day.py
+++ b/tests/unit/test_clock_of_day.py
@@ -17,7 +17,7 @@
 )
 # The one module that may ask for the time of day, and what for: its stamp in a
 # line about a request.
-_ALLOWED = {"decisions.py": 1}
+_ALLOWED = {"decision_log.py": 1}
 _TIMES_OF_DAY = {
     ("clocks", "wall_ms"),
     ("time", "time"),
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -9,7 +9,7 @@
 from swiftstile import errors
 from swiftstile import explain
 from swiftstile.commandline import shared
-from swiftstile.gateway import decisions
+from swiftstile.gateway import decision_log
 
 
 def _log(path, *lines) -> None:
@@ -93,11 +93,11 @@
     assert cli.main(["explain", "zz", *names]) == shared.EXIT_FAILED
 
 
-def _story(lines, name: str, is_well: bool) -> None:
-    story = decisions.Story(lines)
-    story.note(decisions.RequestDecision(id=name, event="sent"))
-    story.note(decisions.RequestDecision(id=name, event="answered"))
-    story.end(is_well)
+def _story(lines, name: str, succeeded: bool) -> None:
+    story = decision_log.RequestTrace(lines)
+    story.add(decision_log.RequestDecision(id=name, event="sent"))
+    story.add(decision_log.RequestDecision(id=name, event="answered"))
+    story.finish(succeeded)
 
 
 def _written(fd: int) -> list[dict]:
@@ -107,7 +107,7 @@
 def test_requests_that_ended_badly_go_before_others(monkeypatch):
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: 5.0)
     reading, writing = os.pipe()
-    lines = decisions.BoundedLines(writing, most_per_s=10)
+    lines = decision_log.BoundedLog(writing, max_lines_per_s=10)
     for number in range(20):
         _story(lines, f"good-{number}", True)
     _story(lines, "bad", False)
@@ -122,14 +122,14 @@
 def test_a_reader_that_stands_still_blocks_nothing():
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
-    lines = decisions.BoundedLines(writing, most_per_s=10**9)
+    lines = decision_log.BoundedLog(writing, max_lines_per_s=10**9)
     for number in range(30_000):
         _story(lines, f"r-{number}", False)
         if number % 100 == 0:
             lines.flush()
     # What is kept while nobody reads is bounded, and the rest is counted.
-    kept = len(lines._rest) + sum(map(len, lines._lines))
-    assert kept < 2 * decisions.MOST_PENDING_BYTES
+    kept = len(lines._unwritten) + sum(map(len, lines._lines))
+    assert kept < 2 * decision_log.MAX_UNWRITTEN_BYTES
     assert lines.dropped > 0
     os.close(reading)
     os.close(writing)
--- a/tests/unit/test_gateway_crash_check.py
+++ b/tests/unit/test_gateway_crash_check.py
@@ -60,19 +60,21 @@
         _permits=permits,
         _sender=sender,
         _crashes=crashes,
-        _note_sent=lambda *_: None,
-        _learn=lambda *_: None,
-        _may_repeat=lambda *_: False,
-        _final=lambda error, *_: error,
+        _record_send=lambda *_: None,
+        _update_target=lambda *_: None,
+        _may_retry=lambda *_: False,
+        _final_error=lambda error, *_: error,
     )
 
     async def is_ordinary(*_) -> bool:
         return True
 
-    made._look_for_crash = is_ordinary
+    made._check_for_crash = is_ordinary
     call = types.SimpleNamespace(digest=lambda: b"d" * 16, is_probe=is_probe)
     waiter = builders.waiter(clocks.monotonic(), None)
-    run = handler_lib.Handler._attempts(made, call, waiter, None)
+    run = handler_lib.RequestHandler._send_with_retries(
+        made, call, waiter, None
+    )
     with pytest.raises(outcomes.GatewayError):
         asyncio.run(run)
     return sender
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -13,7 +13,7 @@
 from swiftstile import clocks
 from swiftstile import metrics
 from swiftstile.gateway import caller_requests
-from swiftstile.gateway import decisions
+from swiftstile.gateway import decision_log
 from swiftstile.gateway import follow
 from swiftstile.gateway import freshness
 from swiftstile.gateway import handler as handler_lib
@@ -161,16 +161,16 @@
         return interfaces.Inbound("attempt-1", 1.0, None)
 
 
-def _handler(operations: follow.TableFollower) -> handler_lib.Handler:
-    made = handler_lib.Handler(
+def _handler(operations: follow.TableFollower) -> handler_lib.RequestHandler:
+    made = handler_lib.RequestHandler(
         permits=_NoPermits(),
         sender=None,
         dialect=_Dialect(),
-        book=builders.book(),
+        target_table=builders.book(),
         key_owners=None,
         retry_budget=None,
         speed_book=None,
-        log=decisions.BoundedLines(fd=1),
+        log=decision_log.BoundedLog(fd=1),
         store=_follower(),
         operations=operations,
         crashes=None,
@@ -184,7 +184,9 @@
     queued = 0
 
 
-def _answer(handler: handler_lib.Handler, path: str) -> outcomes.GatewayError:
+def _answer(
+    handler: handler_lib.RequestHandler, path: str
+) -> outcomes.GatewayError:
     """Returns how a request ends that has no route."""
     request = test_utils.make_mocked_request(
         "GET", path, headers={"Host": "a.example"}
@@ -193,12 +195,14 @@
     return _refusal(handler, request)
 
 
-def _refusal(handler: handler_lib.Handler, request) -> outcomes.GatewayError:
+def _refusal(
+    handler: handler_lib.RequestHandler, request
+) -> outcomes.GatewayError:
     incoming = caller_requests.IncomingRequest(
         request, clocks.monotonic(), None
     )
     with pytest.raises(outcomes.GatewayError) as caught:
-        asyncio.run(handler.answer(incoming))
+        asyncio.run(handler.handle(incoming))
     return caught.value
 
 
@@ -247,7 +251,7 @@
         """Nothing is counted."""
 
 
-def _limited(operations: follow.TableFollower) -> handler_lib.Handler:
+def _limited(operations: follow.TableFollower) -> handler_lib.RequestHandler:
     """Returns a handler by whose limits a request may be too large."""
     made = _handler(operations)
     made._shares, made._budget = _NoShares(), _NoBudget()
