--- a/src/swiftstile/gateway/causes.py
+++ b/src/swiftstile/gateway/causes.py
@@ -12,21 +12,21 @@
 from swiftstile.gateway import fingerprint
 from swiftstile.gateway import model
 
-__all__ = ["CrashId", "crash_id", "find"]
+__all__ = ["CrashId", "crash_id", "find_causes"]
 
 # Minimum crashes before a request can be regarded as their cause.
-LEAST_CRASHES = 3
+MIN_CRASHES = 3
 # Weight that the sum over its crashes must exceed. A crash counts 1 for the
 # most recently sent request, 1/2 for the one before, and so on.
-LEAST_WEIGHT = 2.5
+MIN_WEIGHT = 2.5
 # After this many crashes it is regarded as their cause whatever the weight.
-MOST_CRASHES = 5
+CERTAIN_CRASHES = 5
 
 # Identifies the crash of one process of an upstream.
 CrashId = typing.NewType("CrashId", int)
 
 # Time from sending a request to a crash, in seconds, by request and crash.
-Sent = dict[fingerprint.Digest, dict[CrashId, float]]
+SendTimes = dict[fingerprint.Digest, dict[CrashId, float]]
 
 
 def crash_id(upstream: model.UpstreamId, started_ms: int) -> CrashId:
@@ -34,7 +34,7 @@
     return CrashId(zlib.crc32(f"{upstream}/{started_ms}".encode()))
 
 
-def find(sent: Sent) -> list[fingerprint.Digest]:
+def find_causes(sent: SendTimes) -> list[fingerprint.Digest]:
     """Returns the requests that are regarded as causes, likeliest first.
 
     Args:
@@ -49,7 +49,7 @@
 
 
 def _likeliest(
-    sent: Sent, found: list[fingerprint.Digest]
+    sent: SendTimes, found: list[fingerprint.Digest]
 ) -> fingerprint.Digest | None:
     """Returns the likeliest cause apart from those already found."""
     unexplained = {
@@ -64,8 +64,8 @@
     best, best_weight = None, 0.0
     for digest, weight in _weights(unexplained).items():
         count = len(unexplained[digest])
-        is_cause = weight > LEAST_WEIGHT or count >= MOST_CRASHES
-        if is_cause and count >= LEAST_CRASHES and weight > best_weight:
+        is_cause = weight > MIN_WEIGHT or count >= CERTAIN_CRASHES
+        if is_cause and count >= MIN_CRASHES and weight > best_weight:
             best, best_weight = digest, weight
     return best
 
@@ -73,7 +73,7 @@
 def _is_explained(
     crash: CrashId,
     sent_s: float,
-    sent: Sent,
+    sent: SendTimes,
     found: list[fingerprint.Digest],
 ) -> bool:
     """Whether a known cause was sent after the request, before the crash."""
@@ -82,7 +82,7 @@
     )
 
 
-def _weights(sent: Sent) -> dict[fingerprint.Digest, float]:
+def _weights(sent: SendTimes) -> dict[fingerprint.Digest, float]:
     """Returns the total weight of the crashes of each suspect."""
     suspects_by_crash: dict[CrashId, list[fingerprint.Digest]] = {}
     for digest, crashes in sent.items():
--- a/src/swiftstile/gateway/crash_watch.py
+++ b/src/swiftstile/gateway/crash_guard.py
@@ -17,18 +17,18 @@
 from swiftstile.gateway import suspects as suspects_lib
 from swiftstile.gateway import targets
 
-__all__ = ["CrashWatch"]
+__all__ = ["CrashGuard"]
 
 # Requests with bodies up to this size are always hashed, to remember which ones
 # were answered.
-MOST_LOOKED_AT_BYTES = 1 << 14
+MAX_HASHED_BODY_BYTES = 1 << 14
 
 
-class CrashWatch:
+class CrashGuard:
     """Detects crashes and rejects the requests that cause them.
 
     Args:
-        book: Suspects that are known to all VMs.
+        suspects: Suspects that are known to all VMs.
         peers: The other VMs.
         pool: Opens connections to upstreams.
         meters: Counts suspects and rejections.
@@ -36,30 +36,30 @@
 
     def __init__(
         self,
-        book: suspects_lib.Suspects,
+        suspects: suspects_lib.SuspectTable,
         peers: gossip.Peers,
         pool: connections.ConnectionPool,
         meters: metrics.Meters,
     ):
-        self._book = book
+        self._suspects = suspects
         self._peers = peers
         self._pool = pool
         self._meters = meters
-        self._looks_by_address: dict[str, asyncio.Task[bool]] = {}
+        self._checks_by_address: dict[str, asyncio.Task[bool]] = {}
 
     @property
     def has_suspects(self) -> bool:
         """Whether any request is a suspect."""
-        return len(self._book) > 0
+        return len(self._suspects) > 0
 
-    def remembers(self, body_bytes: int) -> bool:
+    def should_remember(self, body_bytes: int) -> bool:
         """Whether it is worth the time to remember that a request was answered.
 
         Args:
             body_bytes: Size of its body. Requests with large bodies are rarely
                 repeated.
         """
-        return self.has_suspects or body_bytes <= MOST_LOOKED_AT_BYTES
+        return self.has_suspects or body_bytes <= MAX_HASHED_BODY_BYTES
 
     def check(self, digest: fingerprint.Digest, now: float) -> bool:
         """Raises an error if a request must not be sent.
@@ -70,28 +70,28 @@
         Raises:
             CrashingRequestError: It must not be sent to any upstream.
         """
-        verdict = self._book.verdict(digest, now, self._is_trier(digest))
-        if verdict is suspects_lib.Verdict.REFUSE:
+        verdict = self._suspects.verdict(digest, now, self._is_prober(digest))
+        if verdict is suspects_lib.Verdict.REJECT:
             self._meters.crashes.add("refused")
-            raise self._refusal(digest, now)
-        if verdict is suspects_lib.Verdict.TRY:
+            raise self._rejected_error(digest, now)
+        if verdict is suspects_lib.Verdict.PROBE:
             self._meters.crashes.add("tried")
             logs.logger.info("crashing request tried", request=digest.hex())
             return True
         return False
 
-    def _refusal(
+    def _rejected_error(
         self, digest: fingerprint.Digest, now: float
     ) -> outcomes.CrashingRequestError:
-        crashes = self._book.crashes(digest)
+        crashes = self._suspects.crashes(digest)
         error = outcomes.CrashingRequestError(
             f"{crashes} upstreams fell while they had request {digest.hex()}",
             step="look for suspects",
         )
-        error.retry_after_s = self._book.refused_for_s(digest, now)
+        error.retry_after_s = self._suspects.rejected_for_s(digest, now)
         return error
 
-    async def fell(self, target: targets.Target) -> bool:
+    async def has_crashed(self, target: targets.Target) -> bool:
         """Returns whether an upstream whose connection broke has crashed.
 
         A planned exit isn't a crash. An unreachable upstream may be partitioned
@@ -100,16 +100,16 @@
         if target.leaving_since is not None:
             return False
         address = target.upstream.address
-        look = self._looks_by_address.get(address)
-        if look is None:
-            look = asyncio.create_task(self._pool.refuses_connections(address))
-            self._looks_by_address[address] = look
-            look.add_done_callback(
-                lambda _: self._looks_by_address.pop(address, None)
+        check = self._checks_by_address.get(address)
+        if check is None:
+            check = asyncio.create_task(self._pool.refuses_connections(address))
+            self._checks_by_address[address] = check
+            check.add_done_callback(
+                lambda _: self._checks_by_address.pop(address, None)
             )
-        return await asyncio.shield(look) and target.leaving_since is None
+        return await asyncio.shield(check) and target.leaving_since is None
 
-    def note_crash(
+    def record_crash(
         self,
         digest: fingerprint.Digest,
         target: targets.Target,
@@ -126,27 +126,30 @@
         """
         upstream = target.upstream
         crash = causes.crash_id(upstream.id, upstream.started_ms)
-        self._book.note_crash(digest, crash, sent_s, now)
+        self._suspects.record_crash(digest, crash, sent_s, now)
         self._meters.crashes.add("suspected")
         logs.logger.info(
             "request suspected of a crash",
             request=digest.hex(),
             upstream=upstream.id,
-            crashes=self._book.crashes(digest),
-            is_cause=digest in self._book.blamed(),
+            crashes=self._suspects.crashes(digest),
+            is_cause=digest in self._suspects.identified_causes(),
         )
 
-    def may_send_again(self, digest: fingerprint.Digest) -> bool:
+    def may_resend(self, digest: fingerprint.Digest) -> bool:
         """Whether a request whose upstream crashed may be sent to another."""
-        return self._book.crashes(digest) < suspects_lib.CRASHES_TO_STOP
+        return (
+            self._suspects.crashes(digest)
+            < suspects_lib.CRASHES_TO_STOP_RESENDS
+        )
 
-    def note_answer(self, digest: fingerprint.Digest, now: float) -> None:
+    def record_response(self, digest: fingerprint.Digest, now: float) -> None:
         """Records that an upstream answered a request."""
-        if self._book.note_answer(digest, now):
+        if self._suspects.record_response(digest, now):
             self._meters.crashes.add("cleared")
             logs.logger.info("suspect answered", request=digest.hex())
 
-    def _is_trier(self, digest: fingerprint.Digest) -> bool:
+    def _is_prober(self, digest: fingerprint.Digest) -> bool:
         """Whether this VM is the one that probes a request."""
         name = digest.hex()
         me = self._peers.me.node
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -77,7 +77,7 @@
         speed_book: speeds.SpeedBook,
         heat_book: heat.HeatBook,
         cold_limits: coldstart.ColdLimits,
-        suspect_book: suspects.Suspects,
+        suspect_book: suspects.SuspectTable,
         log: decision_log.BoundedLog,
         make_keeper,
         grace_s: float,
@@ -213,7 +213,7 @@
             *self._peers.circulation.to_tell(now),
             up_s=round(now - self._started, 3),
             grants_end_s=self._renewing.grants_end_s(now),
-            suspicions=self._suspects.tell(now),
+            suspicions=self._suspects.report(now),
         )
 
     def _tables_to_tell(self, now: float) -> dict[str, reports.TableWord]:
@@ -246,7 +246,7 @@
         if peer.report.speeds:
             self._speeds.hear(node, peer.report.speeds, now)
         if peer.report.suspicions:
-            self._suspects.hear(peer.report.suspicions, peer.heard_at)
+            self._suspects.receive(peer.report.suspicions, peer.heard_at)
         self._gate.on_peer_report()
 
     def _note_counts(
@@ -343,7 +343,7 @@
                 for name, key_map in self._maps.by_service.items()
             },
             "crashing_requests": [
-                digest.hex() for digest in self._suspects.blamed()
+                digest.hex() for digest in self._suspects.identified_causes()
             ],
             "meters": self.meters.snapshot(),
         }
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -13,7 +13,7 @@
 from swiftstile.gateway import admission
 from swiftstile.gateway import budget
 from swiftstile.gateway import caller_requests
-from swiftstile.gateway import crash_watch
+from swiftstile.gateway import crash_guard
 from swiftstile.gateway import decision_log
 from swiftstile.gateway import exchange
 from swiftstile.gateway import follow
@@ -86,7 +86,7 @@
         log: decision_log.BoundedLog,
         store: follow.TableFollower,
         operations: follow.TableFollower,
-        crashes: crash_watch.CrashWatch,
+        crashes: crash_guard.CrashGuard,
         meters: metrics.Meters,
     ):
         self.config: model.Config | None = None
@@ -334,12 +334,12 @@
         It may not if it probably crashed the last one.
         """
         is_broken = getattr(error, "is_connection_broken", False)
-        if not is_broken or not await self._crashes.fell(target):
+        if not is_broken or not await self._crashes.has_crashed(target):
             return True
         digest = call.digest()
         now = clocks.monotonic()
-        self._crashes.note_crash(digest, target, sent_s, now)
-        return self._crashes.may_send_again(digest)
+        self._crashes.record_crash(digest, target, sent_s, now)
+        return self._crashes.may_resend(digest)
 
     def _update_target(self, error, waiter, target, state, call, now) -> None:
         """Updates the state of the target after a failed send."""
@@ -419,8 +419,8 @@
         took_s = now - sent
         self._meters.sends.add("answered")
         target.note_answer(now)
-        if self._crashes.remembers(call.length or 0):
-            self._crashes.note_answer(call.digest(), now)
+        if self._crashes.should_remember(call.length or 0):
+            self._crashes.record_response(call.digest(), now)
         if response.status < 300 and _is_service_time_only(
             waiter, target, response
         ):
--- a/src/swiftstile/gateway/reports.py
+++ b/src/swiftstile/gateway/reports.py
@@ -133,7 +133,7 @@
     far_heard: dict[ids.FailureDomain, int] = {}
     up_s: float = 0.0
     grants_end_s: float | None = None
-    suspicions: list[suspects.Suspicion] = []
+    suspicions: list[suspects.SuspectReport] = []
 
 
 class Peer:
--- a/src/swiftstile/gateway/suspects.py
+++ b/src/swiftstile/gateway/suspects.py
@@ -18,35 +18,35 @@
 from swiftstile.gateway import causes
 from swiftstile.gateway import fingerprint
 
-__all__ = ["Suspects", "Suspicion", "Verdict"]
+__all__ = ["SuspectReport", "SuspectTable", "Verdict"]
 
 # A suspect of this many crashes isn't resent within the same attempt.
-CRASHES_TO_STOP = 2
+CRASHES_TO_STOP_RESENDS = 2
 # A cause is rejected only this long after it was identified, so that a VM that
 # answered it recently has time to report this. There is no such delay after
-# causes.MOST_CRASHES.
-CONTRADICTED_WITHIN_S = 1.2
+# causes.CERTAIN_CRASHES.
+CONTRADICTION_PERIOD_S = 1.2
 # A cause isn't sent to any upstream for this long after its last crash; then
-# one VM probes it. The first value applies up to causes.LEAST_CRASHES, when it
+# one VM probes it. The first value applies up to causes.MIN_CRASHES, when it
 # may still be an ordinary request.
 FIRST_QUARANTINE_S, QUARANTINE_S = 20.0, 300.0
 # Minimum interval of probes, and when an unchanged suspect is dropped.
-TRIAL_EVERY_S = 60.0
-FORGOTTEN_AFTER_S = 1800.0
+PROBE_INTERVAL_S = 60.0
+SUSPECT_TTL_S = 1800.0
 # When a suspect of a single crash, or one that was answered, is dropped.
-WEAK_LIFE_S = 60.0
+WEAK_SUSPECT_TTL_S = 60.0
 # Maximum answered requests that are remembered.
-MOST_ANSWERED = 4096
+MAX_ANSWERED = 4096
 # Maximum suspects; those of the fewest crashes are dropped first.
-MOST_KEPT = 512
+MAX_SUSPECTS = 512
 # Maximum crashes that are stored for one suspect.
-MOST_CRASHES_KEPT = 8
+MAX_CRASHES_PER_SUSPECT = 8
 # How long a change of a suspect is included in every report.
-NEWS_S = 3.0
+CHANGE_REPORT_PERIOD_S = 3.0
 # Maximum difference of the times that several VMs report for one response.
-_SAME_ANSWER_S = 1.0
+_RESPONSE_TIME_TOLERANCE_S = 1.0
 # Maximum suspects in one report: recently changed ones, and others in rotation.
-MOST_NEWS, MOST_OTHERS = 8, 2
+MAX_CHANGED_REPORTED, MAX_OTHERS_REPORTED = 8, 2
 
 
 class Verdict(enum.Enum):
@@ -54,13 +54,13 @@
 
     PASS = "pass"
     # Sent once, without retries by the gateway.
-    PASS_ONCE = "pass-once"
-    REFUSE = "refuse"
+    PASS_WITHOUT_RETRY = "pass-without-retry"
+    REJECT = "reject"
     # Sent after a quarantine, to test whether it still crashes upstreams.
-    TRY = "try"
+    PROBE = "probe"
 
 
-class Suspicion(msgspec.Struct, array_like=True):
+class SuspectReport(msgspec.Struct, array_like=True):
     """A VM's report on a suspect.
 
     Attributes:
@@ -94,9 +94,9 @@
         "answered_at",
         "by_crash",
         "cause_since",
-        "most_crashes",
-        "news_at",
-        "tried_at",
+        "max_crashes",
+        "changed_at",
+        "probed_at",
     )
 
     def __init__(self, now: float):
@@ -106,12 +106,12 @@
         self.cause_since: float | None = None
         # Highest number of crashes it was a suspect of, including crashes that
         # a response has cleared since.
-        self.most_crashes = 0
-        self.news_at = now
-        self.tried_at = float("-inf")
+        self.max_crashes = 0
+        self.changed_at = now
+        self.probed_at = float("-inf")
 
     @property
-    def last_at(self) -> float:
+    def last_event_at(self) -> float:
         """Time of its last crash or response."""
         times = [crash.at for crash in self.by_crash.values()]
         return max([*times, self.answered_at])
@@ -119,38 +119,40 @@
     @property
     def is_serious(self) -> bool:
         """Whether it was ever a suspect of several crashes."""
-        return self.most_crashes >= CRASHES_TO_STOP
+        return self.max_crashes >= CRASHES_TO_STOP_RESENDS
 
     @property
-    def matters(self) -> bool:
+    def is_relevant(self) -> bool:
         """Whether it influences decisions of other VMs."""
         return self.is_serious or bool(self.by_crash)
 
     @property
     def quarantined_until(self) -> float:
         """Time until which it isn't sent to any upstream."""
-        is_new = len(self.by_crash) <= causes.LEAST_CRASHES
-        return self.last_at + (FIRST_QUARANTINE_S if is_new else QUARANTINE_S)
+        is_new = len(self.by_crash) <= causes.MIN_CRASHES
+        return self.last_event_at + (
+            FIRST_QUARANTINE_S if is_new else QUARANTINE_S
+        )
 
-    def is_surely_cause(self, now: float) -> bool:
+    def is_confirmed_cause(self, now: float) -> bool:
         """Whether it is a cause and the time to contradict is over."""
         if self.cause_since is None:
             return False
-        is_plain = len(self.by_crash) >= causes.MOST_CRASHES
-        return is_plain or now - self.cause_since >= CONTRADICTED_WITHIN_S
+        is_plain = len(self.by_crash) >= causes.CERTAIN_CRASHES
+        return is_plain or now - self.cause_since >= CONTRADICTION_PERIOD_S
 
-    def add(self, name: causes.CrashId, crash: _Crash) -> bool:
+    def add_crash(self, name: causes.CrashId, crash: _Crash) -> bool:
         """Adds a crash; returns whether that changed anything."""
         if crash.at <= self.answered_at or name in self.by_crash:
             return False
-        if len(self.by_crash) >= MOST_CRASHES_KEPT:
+        if len(self.by_crash) >= MAX_CRASHES_PER_SUSPECT:
             oldest = min(self.by_crash, key=self.by_crash.get)
             del self.by_crash[oldest]
         self.by_crash[name] = crash
-        self.most_crashes = max(self.most_crashes, len(self.by_crash))
+        self.max_crashes = max(self.max_crashes, len(self.by_crash))
         return True
 
-    def answer(self, at: float) -> bool:
+    def record_response(self, at: float) -> bool:
         """Records a response; returns whether that changed anything."""
         later = {
             name: crash
@@ -158,21 +160,21 @@
             if crash.at > at
         }
         clears = len(later) < len(self.by_crash)
-        if not clears and at <= self.answered_at + _SAME_ANSWER_S:
+        if not clears and at <= self.answered_at + _RESPONSE_TIME_TOLERANCE_S:
             return False
         self.answered_at = max(self.answered_at, at)
         self.by_crash = later
         return True
 
 
-class Suspects:
+class SuspectTable:
     """Identifies requests that crash upstreams, from reports of all VMs."""
 
     def __init__(self):
         self._by_digest: dict[fingerprint.Digest, _Suspect] = {}
         # Ordered by the time of the last response.
         self._answered: dict[fingerprint.Digest, None] = {}
-        self._turn = 0
+        self._rotation = 0
 
     def __len__(self) -> int:
         return len(self._by_digest)
@@ -182,7 +184,7 @@
         known = self._by_digest.get(digest)
         return 0 if known is None else len(known.by_crash)
 
-    def blamed(self) -> list[fingerprint.Digest]:
+    def identified_causes(self) -> list[fingerprint.Digest]:
         """Returns the requests identified as causes of crashes."""
         return [
             digest
@@ -190,7 +192,7 @@
             if known.cause_since is not None
         ]
 
-    def note_crash(
+    def record_crash(
         self,
         digest: fingerprint.Digest,
         crash: causes.CrashId,
@@ -210,129 +212,137 @@
         known = self._by_digest.get(digest)
         if known is None:
             known = self._by_digest[digest] = _Suspect(now)
-        if known.add(crash, _Crash(now, sent_s)):
-            known.news_at = now
-            self._judge(now)
+        if known.add_crash(crash, _Crash(now, sent_s)):
+            known.changed_at = now
+            self._update_causes(now)
 
-    def note_answer(self, digest: fingerprint.Digest, now: float) -> bool:
+    def record_response(self, digest: fingerprint.Digest, now: float) -> bool:
         """Records a response to a request; returns whether it was suspected."""
         self._answered.pop(digest, None)
         self._answered[digest] = None
-        if len(self._answered) > MOST_ANSWERED:
+        if len(self._answered) > MAX_ANSWERED:
             del self._answered[next(iter(self._answered))]
-        return self._clear(digest, now)
+        return self._record_clearance(digest, now)
 
-    def forget(self, digest: fingerprint.Digest, now: float) -> bool:
+    def clear(self, digest: fingerprint.Digest, now: float) -> bool:
         """Clears a request manually; returns whether it was suspected."""
-        return self._clear(digest, now)
+        return self._record_clearance(digest, now)
 
-    def _clear(self, digest: fingerprint.Digest, now: float) -> bool:
+    def _record_clearance(self, digest: fingerprint.Digest, now: float) -> bool:
         known = self._by_digest.get(digest)
         if known is None or not known.by_crash:
             return False
-        known.answer(now)
-        known.news_at = now
-        self._judge(now)
+        known.record_response(now)
+        known.changed_at = now
+        self._update_causes(now)
         return True
 
     def verdict(
         self,
         digest: fingerprint.Digest,
         now: float,
-        is_trier: bool = False,
+        is_prober: bool = False,
     ) -> Verdict:
         """Returns what to do with a request.
 
         Args:
             digest: The request.
             now: The current time.
-            is_trier: Whether this VM is the one that probes it after its
+            is_prober: Whether this VM is the one that probes it after its
                 quarantine.
         """
         known = self._by_digest.get(digest)
         if known is None or not known.by_crash:
             return Verdict.PASS
-        if known.is_surely_cause(now):
-            return self._verdict_on_cause(known, now, is_trier)
-        if len(known.by_crash) >= CRASHES_TO_STOP:
-            return Verdict.PASS_ONCE
+        if known.is_confirmed_cause(now):
+            return self._verdict_on_cause(known, now, is_prober)
+        if len(known.by_crash) >= CRASHES_TO_STOP_RESENDS:
+            return Verdict.PASS_WITHOUT_RETRY
         return Verdict.PASS
 
     @staticmethod
     def _verdict_on_cause(
-        known: _Suspect, now: float, is_trier: bool
+        known: _Suspect, now: float, is_prober: bool
     ) -> Verdict:
-        if now < known.quarantined_until or not is_trier:
-            return Verdict.REFUSE
-        if now - known.tried_at < TRIAL_EVERY_S:
-            return Verdict.REFUSE
-        known.tried_at = now
-        return Verdict.TRY
-
-    def refused_for_s(self, digest: fingerprint.Digest, now: float) -> float:
+        if now < known.quarantined_until or not is_prober:
+            return Verdict.REJECT
+        if now - known.probed_at < PROBE_INTERVAL_S:
+            return Verdict.REJECT
+        known.probed_at = now
+        return Verdict.PROBE
+
+    def rejected_for_s(self, digest: fingerprint.Digest, now: float) -> float:
         """Returns how much longer a request is rejected, in seconds."""
         known = self._by_digest.get(digest)
         if known is None:
             return 0.0
         return max(FIRST_QUARANTINE_S, known.quarantined_until - now)
 
-    def tell(self, now: float) -> list[Suspicion]:
+    def report(self, now: float) -> list[SuspectReport]:
         """Returns the suspects to report to other VMs now."""
         if not self._by_digest:
             return []
-        self._forget_old(now)
+        self._expire(now)
         # Suspects of several crashes go first. Reports on others have little
         # effect, and reports that these were answered have none.
         by_weight = sorted(
-            (entry for entry in self._by_digest.items() if entry[1].matters),
-            key=lambda entry: (entry[1].most_crashes, entry[1].news_at),
+            (
+                entry
+                for entry in self._by_digest.items()
+                if entry[1].is_relevant
+            ),
+            key=lambda entry: (entry[1].max_crashes, entry[1].changed_at),
             reverse=True,
         )
-        news = [e for e in by_weight if now - e[1].news_at <= NEWS_S]
-        told = news[:MOST_NEWS]
+        changed_recently = [
+            e
+            for e in by_weight
+            if now - e[1].changed_at <= CHANGE_REPORT_PERIOD_S
+        ]
+        chosen = changed_recently[:MAX_CHANGED_REPORTED]
         others = [
             entry
             for entry in by_weight
-            if entry[1].is_serious and entry not in told
+            if entry[1].is_serious and entry not in chosen
         ]
-        for _ in range(min(MOST_OTHERS, len(others))):
-            self._turn += 1
-            told.append(others[self._turn % len(others)])
-        return [_told(digest, known, now) for digest, known in told]
+        for _ in range(min(MAX_OTHERS_REPORTED, len(others))):
+            self._rotation += 1
+            chosen.append(others[self._rotation % len(others)])
+        return [_make_report(digest, known, now) for digest, known in chosen]
 
-    def hear(self, told: list[Suspicion], now: float) -> None:
+    def receive(self, reports: list[SuspectReport], now: float) -> None:
         """Applies the report of another VM."""
-        is_news = False
-        for one in told:
+        has_changed = False
+        for one in reports:
             known = self._by_digest.get(one.digest)
             if known is None:
                 known = self._by_digest[one.digest] = _Suspect(now)
-            changed = one.answered_ms is not None and known.answer(
+            changed = one.answered_ms is not None and known.record_response(
                 now - one.answered_ms / 1000
             )
             for name, (age_ms, sent_ms) in one.crashes.items():
                 crash = _Crash(now - age_ms / 1000, sent_ms / 1000)
-                changed |= known.add(name, crash)
+                changed |= known.add_crash(name, crash)
             if known.by_crash and one.digest in self._answered:
                 # The other VMs don't know that it was answered here.
-                changed |= known.answer(now)
+                changed |= known.record_response(now)
             if changed:
-                known.news_at = now
-                is_news = True
-        if is_news:
-            self._judge(now)
+                known.changed_at = now
+                has_changed = True
+        if has_changed:
+            self._update_causes(now)
 
-    def _judge(self, now: float) -> None:
+    def _update_causes(self, now: float) -> None:
         """Recomputes which requests are causes."""
-        self._forget_old(now)
-        self._bound()
-        found = causes.find(
+        self._expire(now)
+        self._evict()
+        found = causes.find_causes(
             {
                 digest: {
                     name: crash.sent_s for name, crash in known.by_crash.items()
                 }
                 for digest, known in self._by_digest.items()
-                if len(known.by_crash) >= CRASHES_TO_STOP
+                if len(known.by_crash) >= CRASHES_TO_STOP_RESENDS
             }
         )
         for digest, known in self._by_digest.items():
@@ -341,41 +351,43 @@
             elif known.cause_since is None:
                 known.cause_since = now
 
-    def _forget_old(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         old = [
             digest
             for digest, known in self._by_digest.items()
-            if now - max(known.last_at, known.tried_at) > _life_s(known)
+            if now - max(known.last_event_at, known.probed_at) > _ttl_s(known)
         ]
         for digest in old:
             del self._by_digest[digest]
 
-    def _bound(self) -> None:
+    def _evict(self) -> None:
         """Drops surplus suspects: those of fewest crashes, oldest first."""
-        surplus = len(self._by_digest) - MOST_KEPT
+        surplus = len(self._by_digest) - MAX_SUSPECTS
         if surplus <= 0:
             return
         weakest = sorted(
             self._by_digest,
             key=lambda digest: (
                 len(self._by_digest[digest].by_crash),
-                self._by_digest[digest].last_at,
+                self._by_digest[digest].last_event_at,
             ),
         )
         for digest in weakest[:surplus]:
             del self._by_digest[digest]
 
 
-def _life_s(known: _Suspect) -> float:
-    is_weak = len(known.by_crash) < CRASHES_TO_STOP
-    return WEAK_LIFE_S if is_weak else FORGOTTEN_AFTER_S
+def _ttl_s(known: _Suspect) -> float:
+    is_weak = len(known.by_crash) < CRASHES_TO_STOP_RESENDS
+    return WEAK_SUSPECT_TTL_S if is_weak else SUSPECT_TTL_S
 
 
-def _told(digest: fingerprint.Digest, known: _Suspect, now: float) -> Suspicion:
+def _make_report(
+    digest: fingerprint.Digest, known: _Suspect, now: float
+) -> SuspectReport:
     answered_ms = None
     if known.answered_at > float("-inf"):
         answered_ms = round((now - known.answered_at) * 1000)
-    return Suspicion(
+    return SuspectReport(
         digest,
         {
             name: (round((now - crash.at) * 1000), round(crash.sent_s * 1000))
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -15,7 +15,7 @@
 from swiftstile.gateway import budget
 from swiftstile.gateway import coldstart
 from swiftstile.gateway import connections
-from swiftstile.gateway import crash_watch
+from swiftstile.gateway import crash_guard
 from swiftstile.gateway import daemon as daemon_lib
 from swiftstile.gateway import decision_log
 from swiftstile.gateway import exchange
@@ -139,7 +139,7 @@
         self._maps = renewals.KeyMaps()
         self._speeds = speeds.SpeedBook()
         self._heat = heat.HeatBook()
-        self._suspects = suspects.Suspects()
+        self._suspects = suspects.SuspectTable()
         self._peers = gossip.Peers(
             self._node,
             self._on_report,
@@ -253,7 +253,7 @@
             self._lines,
             self._state,
             operations,
-            crash_watch.CrashWatch(
+            crash_guard.CrashGuard(
                 self._suspects, self._peers, pool, self._meters
             ),
             self._meters,
--- a/tests/crash_player.py
+++ b/tests/crash_player.py
@@ -80,7 +80,7 @@
         self._history = history
         self._random = random.Random(history.seed)
         self._clock = event_clock.EventClock()
-        self._books = [suspects.Suspects() for _ in range(history.vms)]
+        self._tables = [suspects.SuspectTable() for _ in range(history.vms)]
         self._upstreams = [_Upstream(n) for n in range(history.upstreams)]
         self._crashers = [_digest(f"bad-{n}") for n in range(history.crashers)]
         self._ordinary = [_digest(f"good-{n}") for n in range(history.ordinary)]
@@ -111,8 +111,8 @@
         """
         counts = [0]
         for times in self.crashed_at.values():
-            if len(times) >= causes.LEAST_CRASHES:
-                end = times[causes.LEAST_CRASHES - 1] + bound_s
+            if len(times) >= causes.MIN_CRASHES:
+                end = times[causes.MIN_CRASHES - 1] + bound_s
                 counts.append(sum(at > end for at in times))
         return max(counts)
 
@@ -134,9 +134,9 @@
         self._clock.at(again, self._ordinary_comes)
 
     def _arrive(self, now: float, digest, retries: int) -> None:
-        vm = self._random.randrange(len(self._books))
-        verdict = self._books[vm].verdict(digest, now)
-        if verdict is suspects.Verdict.REFUSE:
+        vm = self._random.randrange(len(self._tables))
+        verdict = self._tables[vm].verdict(digest, now)
+        if verdict is suspects.Verdict.REJECT:
             if digest in self._ordinary:
                 self._note_refused(digest, now)
             return
@@ -172,7 +172,7 @@
             return
         del upstream.working[number]
         self._answered_at.setdefault(digest, now)
-        self._books[vm].note_answer(digest, now)
+        self._tables[vm].record_response(digest, now)
 
     def _unrelated_crash(self, now: float) -> None:
         if now > _LENGTH_S:
@@ -191,9 +191,11 @@
         upstream.life += 1
         self._clock.at(now + _DOWN_S, self._is_back, upstream)
         for digest, vm, retries, may_resend, sent in working.values():
-            book = self._books[vm]
-            book.note_crash(digest, crash, now - sent, now)
-            is_stopped = book.crashes(digest) >= suspects.CRASHES_TO_STOP
+            table = self._tables[vm]
+            table.record_crash(digest, crash, now - sent, now)
+            is_stopped = (
+                table.crashes(digest) >= suspects.CRASHES_TO_STOP_RESENDS
+            )
             if may_resend and not is_stopped:
                 self._send(now, digest, vm, retries, may_resend=False)
             elif retries:
@@ -207,15 +209,15 @@
     def _tell(self, now: float, number: int) -> None:
         if now > _LENGTH_S:
             return
-        told = self._books[number].tell(now)
-        for other, _ in enumerate(self._books):
+        reported = self._tables[number].report(now)
+        for other, _ in enumerate(self._tables):
             if other != number and self._random.random() >= self._history.lost:
                 delay_s = self._random.uniform(0.001, 0.3)
-                self._clock.at(now + delay_s, self._hear, other, told)
+                self._clock.at(now + delay_s, self._hear, other, reported)
         self._clock.at(now + _TELL_EVERY_S, self._tell, number)
 
-    def _hear(self, now: float, number: int, told) -> None:
-        self._books[number].hear(told, now)
+    def _hear(self, now: float, number: int, reported) -> None:
+        self._tables[number].receive(reported, now)
 
 
 def _digest(name: str) -> fingerprint.Digest:
--- a/tests/unit/test_gateway_suspects.py
+++ b/tests/unit/test_gateway_suspects.py
@@ -12,7 +12,7 @@
 from tests import crash_player
 
 _NOW = 1000.0
-_PASS, _ONCE, _REFUSE, _TRY = suspects.Verdict
+_PASS, _NO_RETRY, _REJECT, _PROBE = suspects.Verdict
 
 
 def _digest(name: str, **changes) -> fingerprint.Digest:
@@ -30,21 +30,21 @@
     return causes.crash_id(model.UpstreamId(f"u-{number}"), 7)
 
 
-def _book(crashes: dict[str, list[int]]) -> suspects.Suspects:
+def _suspect_table(crashes: dict[str, list[int]]) -> suspects.SuspectTable:
     """Returns suspects, given the crash numbers of each request."""
-    made = suspects.Suspects()
+    table = suspects.SuspectTable()
     order = sorted({one for numbers in crashes.values() for one in numbers})
     for number in order:
         for sent_s, (name, numbers) in enumerate(crashes.items(), 1):
             if number in numbers:
-                made.note_crash(
+                table.record_crash(
                     _digest(name), _crash(number), sent_s, _NOW + number
                 )
-    return made
+    return table
 
 
-def _verdict(book: suspects.Suspects, name: str, at: float = _NOW + 20):
-    return book.verdict(_digest(name), at)
+def _verdict(table: suspects.SuspectTable, name: str, at: float = _NOW + 20):
+    return table.verdict(_digest(name), at)
 
 
 @pytest.mark.parametrize(
@@ -69,211 +69,219 @@
 
 @pytest.mark.parametrize(
     ("count", "verdict"),
-    [(0, _PASS), (1, _PASS), (2, _ONCE), (3, _REFUSE), (4, _REFUSE)],
+    [(0, _PASS), (1, _PASS), (2, _NO_RETRY), (3, _REJECT), (4, _REJECT)],
 )
 def test_one_that_was_alone_in_crashes_is_their_cause(count, verdict):
-    book = _book({"bad": list(range(count))})
-    assert _verdict(book, "bad") is verdict
+    table = _suspect_table({"bad": list(range(count))})
+    assert _verdict(table, "bad") is verdict
 
 
 def test_one_crash_counts_once_however_often_it_is_seen():
-    book = _book({"bad": [1]})
+    table = _suspect_table({"bad": [1]})
     for _ in range(5):
-        book.note_crash(_digest("bad"), _crash(1), 0.1, _NOW)
-    assert _verdict(book, "bad") is _PASS
+        table.record_crash(_digest("bad"), _crash(1), 0.1, _NOW)
+    assert _verdict(table, "bad") is _PASS
 
 
 def test_an_answer_clears_it():
-    book = _book({"good": [0, 1]})
-    assert book.note_answer(_digest("good"), _NOW + 10)
-    assert _verdict(book, "good") is _PASS
-    assert book.crashes(_digest("good")) == 0
-    assert not book.note_answer(_digest("other"), _NOW + 12)
+    table = _suspect_table({"good": [0, 1]})
+    assert table.record_response(_digest("good"), _NOW + 10)
+    assert _verdict(table, "good") is _PASS
+    assert table.crashes(_digest("good")) == 0
+    assert not table.record_response(_digest("other"), _NOW + 12)
 
 
 def test_of_two_that_were_always_together_the_last_sent_is_the_cause():
-    book = _book({"bad": [0, 1, 2], "good": [0, 1, 2]})
-    assert _verdict(book, "bad") is _REFUSE
-    assert _verdict(book, "good") is _ONCE
+    table = _suspect_table({"bad": [0, 1, 2], "good": [0, 1, 2]})
+    assert _verdict(table, "bad") is _REJECT
+    assert _verdict(table, "good") is _NO_RETRY
 
 
 def test_of_two_that_were_sent_last_by_turns_both_pass_until_one_is_answered():
-    book = suspects.Suspects()
+    table = suspects.SuspectTable()
     for number in range(4):
         for place, name in enumerate(("one", "other")):
             sent_s = 0.1 if number % 2 == place else 0.2
-            book.note_crash(
+            table.record_crash(
                 _digest(name), _crash(number), sent_s, _NOW + number
             )
         if number == 2:
-            assert _verdict(book, "one") is _ONCE
-            assert _verdict(book, "other") is _ONCE
-    book.note_answer(_digest("other"), _NOW + 10)
-    assert _verdict(book, "other") is _PASS
-    assert _verdict(book, "one") is _REFUSE
+            assert _verdict(table, "one") is _NO_RETRY
+            assert _verdict(table, "other") is _NO_RETRY
+    table.record_response(_digest("other"), _NOW + 10)
+    assert _verdict(table, "other") is _PASS
+    assert _verdict(table, "one") is _REJECT
 
 
 def test_crashes_that_a_cause_explains_count_against_no_other():
-    book = _book({"bad": [0, 1, 2, 3, 4], "good": [0, 1, 2]})
-    assert _verdict(book, "bad") is _REFUSE
-    assert _verdict(book, "good") is not _REFUSE
+    table = _suspect_table({"bad": [0, 1, 2, 3, 4], "good": [0, 1, 2]})
+    assert _verdict(table, "bad") is _REJECT
+    assert _verdict(table, "good") is not _REJECT
 
 
 def test_bystanders_of_several_causes_are_not_taken_for_one():
     bad = {"bad-1": [0, 3, 4], "bad-2": [1, 5, 6], "bad-3": [2, 7, 8]}
-    book = _book(bad | {"good": [0, 1, 2]})
+    table = _suspect_table(bad | {"good": [0, 1, 2]})
     for name in bad:
-        assert _verdict(book, name) is _REFUSE
-    assert _verdict(book, "good") is not _REFUSE
+        assert _verdict(table, name) is _REJECT
+    assert _verdict(table, "good") is not _REJECT
 
 
 def test_two_causes_that_share_a_crash_are_both_found():
-    book = _book({"bad-1": [0, 1, 2], "bad-2": [2, 3, 4]})
-    assert _verdict(book, "bad-1") is _REFUSE
+    table = _suspect_table({"bad-1": [0, 1, 2], "bad-2": [2, 3, 4]})
+    assert _verdict(table, "bad-1") is _REJECT
     # The first one explains one of its three crashes.
-    assert _verdict(book, "bad-2") is _ONCE
-    book.note_crash(_digest("bad-2"), _crash(5), 0.1, _NOW + 5)
-    assert _verdict(book, "bad-2") is _REFUSE
+    assert _verdict(table, "bad-2") is _NO_RETRY
+    table.record_crash(_digest("bad-2"), _crash(5), 0.1, _NOW + 5)
+    assert _verdict(table, "bad-2") is _REJECT
 
 
 def test_after_five_it_is_a_cause_however_many_were_sent_later():
     others = {f"other-{n}": [0, 1, 2, 3, 4] for n in range(4)}
     last = {"last": [n + 100 for n in range(2)]}
     crashes = others | last
-    book = _book(crashes | {"bad": [0, 1, 2, 3]})
-    assert book.blamed() == [_digest("other-0")]
-    assert _verdict(book, "bad") is _ONCE
+    table = _suspect_table(crashes | {"bad": [0, 1, 2, 3]})
+    assert table.identified_causes() == [_digest("other-0")]
+    assert _verdict(table, "bad") is _NO_RETRY
 
 
 def test_one_that_was_answered_lately_is_no_suspect():
-    book = suspects.Suspects()
-    book.note_answer(_digest("good"), _NOW)
+    table = suspects.SuspectTable()
+    table.record_response(_digest("good"), _NOW)
     for number in range(4):
-        book.note_crash(_digest("good"), _crash(number), 0.1, _NOW + number)
-    assert book.crashes(_digest("good")) == 0
+        table.record_crash(_digest("good"), _crash(number), 0.1, _NOW + number)
+    assert table.crashes(_digest("good")) == 0
 
 
 def test_whoever_answered_a_suspect_of_others_clears_it_for_all():
-    answered, other = suspects.Suspects(), _book({"good": [0, 1, 2]})
-    answered.note_answer(_digest("good"), _NOW - 50)
-    answered.hear(other.tell(_NOW + 3), _NOW + 3)
-    other.hear(answered.tell(_NOW + 3.5), _NOW + 3.5)
+    answered, other = suspects.SuspectTable(), _suspect_table(
+        {"good": [0, 1, 2]}
+    )
+    answered.record_response(_digest("good"), _NOW - 50)
+    answered.receive(other.report(_NOW + 3), _NOW + 3)
+    other.receive(answered.report(_NOW + 3.5), _NOW + 3.5)
     assert _verdict(other, "good") is _PASS
 
 
 def test_there_is_time_to_contradict_before_anything_is_refused():
-    book = _book({"bad": [0, 1, 2]})
-    soon = _NOW + 2 + suspects.CONTRADICTED_WITHIN_S
-    assert _verdict(book, "bad", soon - 0.1) is _ONCE
-    assert _verdict(book, "bad", soon + 0.1) is _REFUSE
+    table = _suspect_table({"bad": [0, 1, 2]})
+    soon = _NOW + 2 + suspects.CONTRADICTION_PERIOD_S
+    assert _verdict(table, "bad", soon - 0.1) is _NO_RETRY
+    assert _verdict(table, "bad", soon + 0.1) is _REJECT
 
 
 def test_what_is_remembered_of_answers_is_bounded():
-    book = suspects.Suspects()
-    for number in range(suspects.MOST_ANSWERED + 10):
-        book.note_answer(_digest(f"good-{number}"), _NOW)
-    assert len(book._answered) == suspects.MOST_ANSWERED
+    table = suspects.SuspectTable()
+    for number in range(suspects.MAX_ANSWERED + 10):
+        table.record_response(_digest(f"good-{number}"), _NOW)
+    assert len(table._answered) == suspects.MAX_ANSWERED
 
 
 def test_after_a_while_one_vm_tries_it_at_most_once_a_minute():
-    book, bad = _book({"bad": [0, 1, 2]}), _digest("bad")
+    table, bad = _suspect_table({"bad": [0, 1, 2]}), _digest("bad")
     at = _NOW + 2 + suspects.FIRST_QUARANTINE_S
-    assert book.verdict(bad, at - 1, is_trier=True) is _REFUSE
-    assert book.verdict(bad, at + 1, is_trier=False) is _REFUSE
-    assert book.verdict(bad, at + 1, is_trier=True) is _TRY
-    assert book.verdict(bad, at + 30, is_trier=True) is _REFUSE
-    assert book.verdict(bad, at + 62, is_trier=True) is _TRY
-    book.note_answer(bad, at + 63)
-    assert book.verdict(bad, at + 64) is _PASS
+    assert table.verdict(bad, at - 1, is_prober=True) is _REJECT
+    assert table.verdict(bad, at + 1, is_prober=False) is _REJECT
+    assert table.verdict(bad, at + 1, is_prober=True) is _PROBE
+    assert table.verdict(bad, at + 30, is_prober=True) is _REJECT
+    assert table.verdict(bad, at + 62, is_prober=True) is _PROBE
+    table.record_response(bad, at + 63)
+    assert table.verdict(bad, at + 64) is _PASS
 
 
 def test_one_that_crashed_another_in_its_trial_waits_for_longer():
-    book, bad = _book({"bad": [0, 1, 2]}), _digest("bad")
+    table, bad = _suspect_table({"bad": [0, 1, 2]}), _digest("bad")
     at = _NOW + 3 + suspects.FIRST_QUARANTINE_S
-    assert book.verdict(bad, at, is_trier=True) is _TRY
-    book.note_crash(bad, _crash(50), 0.1, at)
+    assert table.verdict(bad, at, is_prober=True) is _PROBE
+    table.record_crash(bad, _crash(50), 0.1, at)
     later = at + suspects.QUARANTINE_S
-    assert book.verdict(bad, later - 1, is_trier=True) is _REFUSE
-    assert book.verdict(bad, later + 1, is_trier=True) is _TRY
+    assert table.verdict(bad, later - 1, is_prober=True) is _REJECT
+    assert table.verdict(bad, later + 1, is_prober=True) is _PROBE
 
 
 def test_a_flood_of_suspects_neither_grows_nor_pushes_out_a_cause():
-    book = _book({"bad": [0, 1, 2]})
+    table = _suspect_table({"bad": [0, 1, 2]})
     for number in range(5000):
         name = _digest(f"flood-{number}")
-        book.note_crash(
+        table.record_crash(
             name, _crash(100 + number), 0.1, _NOW + 5 + number / 1000
         )
-    assert len(book) <= suspects.MOST_KEPT + 1
-    assert _verdict(book, "bad") is _REFUSE
-    told = book.tell(_NOW + 11)
-    assert len(told) <= suspects.MOST_NEWS + suspects.MOST_OTHERS
-    assert len(msgspec.msgpack.encode(told)) < 1500
+    assert len(table) <= suspects.MAX_SUSPECTS + 1
+    assert _verdict(table, "bad") is _REJECT
+    reported = table.report(_NOW + 11)
+    assert (
+        len(reported)
+        <= suspects.MAX_CHANGED_REPORTED + suspects.MAX_OTHERS_REPORTED
+    )
+    assert len(msgspec.msgpack.encode(reported)) < 1500
 
 
 def test_most_that_is_ever_told_is_bounded_in_bytes():
     names = [f"bad-{number}" for number in range(40)]
-    book = _book({name: list(range(12)) for name in names})
-    assert len(msgspec.msgpack.encode(book.tell(_NOW + 12))) < 1500
+    table = _suspect_table({name: list(range(12)) for name in names})
+    assert len(msgspec.msgpack.encode(table.report(_NOW + 12))) < 1500
 
 
 def test_what_is_told_twice_or_late_changes_nothing():
-    first, second = _book({"bad": [0, 1]}), suspects.Suspects()
-    told = first.tell(_NOW + 5)
+    first, second = _suspect_table({"bad": [0, 1]}), suspects.SuspectTable()
+    reported = first.report(_NOW + 5)
     for at in (5, 6, 7):
-        second.hear(told, _NOW + at)
+        second.receive(reported, _NOW + at)
     assert second.crashes(_digest("bad")) == 2
-    first.note_answer(_digest("bad"), _NOW + 8)
-    second.hear(first.tell(_NOW + 8.5), _NOW + 8.5)
+    first.record_response(_digest("bad"), _NOW + 8)
+    second.receive(first.report(_NOW + 8.5), _NOW + 8.5)
     assert _verdict(second, "bad") is _PASS
     # A report from before the response arrives late.
-    second.hear(told, _NOW + 5.1)
+    second.receive(reported, _NOW + 5.1)
     assert _verdict(second, "bad") is _PASS
 
 
 def test_suspects_of_one_crash_are_told_of_while_they_are_news():
-    book = _book({"good": [0], "bad": [0, 1]})
-    told = {one.digest for one in book.tell(_NOW + 2)}
-    assert told == {_digest("good"), _digest("bad")}
-    told = {one.digest for one in book.tell(_NOW + 2 + suspects.NEWS_S)}
-    assert told == {_digest("bad")}
-    book.note_answer(_digest("good"), _NOW + 10)
-    book.note_answer(_digest("bad"), _NOW + 10)
-    told = {one.digest for one in book.tell(_NOW + 10)}
-    assert told == {_digest("bad")}
+    table = _suspect_table({"good": [0], "bad": [0, 1]})
+    reported = {one.digest for one in table.report(_NOW + 2)}
+    assert reported == {_digest("good"), _digest("bad")}
+    reported = {
+        one.digest
+        for one in table.report(_NOW + 2 + suspects.CHANGE_REPORT_PERIOD_S)
+    }
+    assert reported == {_digest("bad")}
+    table.record_response(_digest("good"), _NOW + 10)
+    table.record_response(_digest("bad"), _NOW + 10)
+    reported = {one.digest for one in table.report(_NOW + 10)}
+    assert reported == {_digest("bad")}
 
 
 def test_one_that_starts_later_is_told_of_all_in_turn():
     names = [f"bad-{number}" for number in range(12)]
-    book = _book(
+    table = _suspect_table(
         {name: [3 * i, 3 * i + 1, 3 * i + 2] for i, name in enumerate(names)}
     )
-    late = suspects.Suspects()
+    late = suspects.SuspectTable()
     for step in range(20):
         at = _NOW + 100 + step * 0.35
-        late.hear(book.tell(at), at)
-    assert all(_verdict(late, name, _NOW + 110) is _REFUSE for name in names)
+        late.receive(table.report(at), at)
+    assert all(_verdict(late, name, _NOW + 110) is _REJECT for name in names)
 
 
 @pytest.mark.parametrize("vms", [12, 80, 200])
 def test_all_vms_know_within_the_bound(vms):
     """The leader relays all reports, every third of a second."""
-    books = [suspects.Suspects() for _ in range(vms)]
+    tables = [suspects.SuspectTable() for _ in range(vms)]
     for number in range(3):
-        books[(number * 37) % vms].note_crash(
+        tables[(number * 37) % vms].record_crash(
             _digest("bad"), _crash(number), 0.1, _NOW
         )
     at = _NOW
     while at < _NOW + 3.0:
         at += 0.35
-        for book in books[1:]:
-            books[0].hear(book.tell(at), at)
-        told = books[0].tell(at)
-        for book in books[1:]:
-            book.hear(told, at)
-        if all(_verdict(book, "bad", at) is _REFUSE for book in books):
+        for table in tables[1:]:
+            tables[0].receive(table.report(at), at)
+        reported = tables[0].report(at)
+        for table in tables[1:]:
+            table.receive(reported, at)
+        if all(_verdict(table, "bad", at) is _REJECT for table in tables):
             break
-    assert at < _NOW + 1.5 + suspects.CONTRADICTED_WITHIN_S
+    assert at < _NOW + 1.5 + suspects.CONTRADICTION_PERIOD_S
 
 
 _HISTORIES = strategies.builds(
@@ -326,10 +334,12 @@
 
 
 def test_without_clearing_by_answers_ordinary_ones_are_refused(monkeypatch):
-    def note_answer(self, digest, now):
+    def record_response(self, digest, now):
         return False
 
-    monkeypatch.setattr(suspects.Suspects, "note_answer", note_answer)
+    monkeypatch.setattr(
+        suspects.SuspectTable, "record_response", record_response
+    )
     assert _refused()[0] > 0
 
 
@@ -342,14 +352,14 @@
 
 
 def test_with_fewer_crashes_to_go_by_more_are_refused(monkeypatch):
-    monkeypatch.setattr(causes, "LEAST_CRASHES", 1)
-    monkeypatch.setattr(suspects, "CRASHES_TO_STOP", 1)
-    monkeypatch.setattr(causes, "LEAST_WEIGHT", 0.9)
+    monkeypatch.setattr(causes, "MIN_CRASHES", 1)
+    monkeypatch.setattr(suspects, "CRASHES_TO_STOP_RESENDS", 1)
+    monkeypatch.setattr(causes, "MIN_WEIGHT", 0.9)
     assert _refused()[1] > 4
 
 
 def test_without_time_to_contradict_some_are_refused(monkeypatch):
-    monkeypatch.setattr(suspects, "CONTRADICTED_WITHIN_S", 0.0)
+    monkeypatch.setattr(suspects, "CONTRADICTION_PERIOD_S", 0.0)
     known = 0
     for seed in range(40):
         player = crash_player.Player(
