--- a/src/swiftstile/gateway/suspects.py
+++ b/src/swiftstile/gateway/suspects.py
@@ -94,8 +94,8 @@
         "answered_at",
         "by_crash",
         "cause_since",
-        "max_crashes",
         "changed_at",
+        "max_crashes",
         "probed_at",
     )
 
@@ -225,7 +225,11 @@
         return self._record_clearance(digest, now)
 
     def clear(self, digest: fingerprint.Digest, now: float) -> bool:
-        """Clears a request manually; returns whether it was suspected."""
+        """Clears a request on behalf of an operator.
+
+        Returns:
+            Whether it was suspected.
+        """
         return self._record_clearance(digest, now)
 
     def _record_clearance(self, digest: fingerprint.Digest, now: float) -> bool:
--- a/tests/crash_player.py
+++ b/tests/crash_simulation.py
@@ -14,20 +14,20 @@
 from swiftstile.gateway import suspects
 from tests import event_clock
 
-__all__ = ["History", "Player"]
+__all__ = ["Scenario", "Simulation"]
 
-_TELL_EVERY_S = 0.35
+_REPORT_INTERVAL_S = 0.35
 _DOWN_S = 2.0
 _RETRIES = 2
 _LENGTH_S = 12.0
 # Time until all VMs should know that one of them answered a suspect.
 _KNOWN_AFTER_S = 2.0
 # Initial period with ordinary requests only.
-_CALM_S = 2.0
+_WARM_UP_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
-class History:
+class Scenario:
     """Parameters of a simulation.
 
     Attributes:
@@ -37,9 +37,9 @@
         crashers: Number of requests that crash any upstream.
         ordinary: Number of distinct ordinary requests, which are repeated.
         per_s: Ordinary arrivals per second.
-        falls_per_s: Unrelated crashes per second of each upstream.
-        lost: Fraction of reports that are lost.
-        owners: Whether each request has one owning upstream at a time.
+        crashes_per_s: Unrelated crashes per second of each upstream.
+        loss_rate: Fraction of reports that are lost.
+        has_owners: Whether each request has one owning upstream at a time.
     """
 
     seed: int = 1
@@ -48,16 +48,16 @@
     crashers: int = 2
     ordinary: int = 12
     per_s: float = 20.0
-    falls_per_s: float = 0.05
-    lost: float = 0.1
-    owners: bool = False
+    crashes_per_s: float = 0.05
+    loss_rate: float = 0.1
+    has_owners: bool = False
 
 
 class _Upstream:
 
     def __init__(self, number: int):
         self.id = model.UpstreamId(f"u-{number}")
-        self.life = 1
+        self.run_number = 1
         self.is_up = True
         # By number of the send: request, VM, retries, whether the VM may resend
         # it, and when it was sent.
@@ -66,44 +66,46 @@
         ] = {}
 
 
-class Player:
+class Simulation:
     """Runs one simulation.
 
     Attributes:
-        refused: Rejected ordinary requests that some VM had answered at least
+        rejected: Rejected ordinary requests that some VM had answered at least
             two seconds before.
-        refused_unknown: Other rejected ordinary requests.
+        rejected_unanswered: Other rejected ordinary requests.
         crashed_at: Times at which each request crashed an upstream.
     """
 
-    def __init__(self, history: History):
-        self._history = history
-        self._random = random.Random(history.seed)
+    def __init__(self, scenario: Scenario):
+        self._scenario = scenario
+        self._random = random.Random(scenario.seed)
         self._clock = event_clock.EventClock()
-        self._tables = [suspects.SuspectTable() for _ in range(history.vms)]
-        self._upstreams = [_Upstream(n) for n in range(history.upstreams)]
-        self._crashers = [_digest(f"bad-{n}") for n in range(history.crashers)]
-        self._ordinary = [_digest(f"good-{n}") for n in range(history.ordinary)]
+        self._tables = [suspects.SuspectTable() for _ in range(scenario.vms)]
+        self._upstreams = [_Upstream(n) for n in range(scenario.upstreams)]
+        self._crashers = [_digest(f"bad-{n}") for n in range(scenario.crashers)]
+        self._ordinary = [
+            _digest(f"good-{n}") for n in range(scenario.ordinary)
+        ]
         self._numbers = itertools.count()
-        self.refused: list[fingerprint.Digest] = []
-        self.refused_unknown: list[fingerprint.Digest] = []
+        self.rejected: list[fingerprint.Digest] = []
+        self.rejected_unanswered: list[fingerprint.Digest] = []
         self._answered_at: dict[fingerprint.Digest, float] = {}
         self.crashed_at: dict[fingerprint.Digest, list[float]] = {}
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Runs the simulation to its end."""
-        history = self._history
+        scenario = self._scenario
         for digest in self._crashers:
-            first = _CALM_S + self._random.random()
-            self._clock.at(first, self._crasher_comes, digest)
-        self._clock.at(0.0, self._ordinary_comes)
-        if history.falls_per_s:
-            self._clock.at(_CALM_S, self._unrelated_crash)
-        for number in range(history.vms):
-            self._clock.at(self._random.random(), self._tell, number)
+            first = _WARM_UP_S + self._random.random()
+            self._clock.at(first, self._crasher_arrives, digest)
+        self._clock.at(0.0, self._ordinary_arrives)
+        if scenario.crashes_per_s:
+            self._clock.at(_WARM_UP_S, self._unrelated_crash)
+        for number in range(scenario.vms):
+            self._clock.at(self._random.random(), self._report, number)
         self._clock.run()
 
-    def later_than(self, bound_s: float) -> int:
+    def crashes_after_limit(self, bound_s: float) -> int:
         """Returns the most crashes of a request later than its time limit.
 
         Args:
@@ -116,43 +118,43 @@
                 counts.append(sum(at > end for at in times))
         return max(counts)
 
-    def _crasher_comes(self, now: float, digest) -> None:
+    def _crasher_arrives(self, now: float, digest) -> None:
         if now > _LENGTH_S:
             return
         self._arrive(now, digest, _RETRIES)
         again = now + self._random.uniform(0.2, 1.5)
-        self._clock.at(again, self._crasher_comes, digest)
+        self._clock.at(again, self._crasher_arrives, digest)
 
-    def _ordinary_comes(self, now: float) -> None:
+    def _ordinary_arrives(self, now: float) -> None:
         if now > _LENGTH_S:
             return
         # Half of all arrivals are for three requests.
         few = self._ordinary[:3]
         pool = few if self._random.random() < 0.5 else self._ordinary
         self._arrive(now, self._random.choice(pool), _RETRIES)
-        again = now + self._random.expovariate(self._history.per_s)
-        self._clock.at(again, self._ordinary_comes)
+        again = now + self._random.expovariate(self._scenario.per_s)
+        self._clock.at(again, self._ordinary_arrives)
 
     def _arrive(self, now: float, digest, retries: int) -> None:
         vm = self._random.randrange(len(self._tables))
         verdict = self._tables[vm].verdict(digest, now)
         if verdict is suspects.Verdict.REJECT:
             if digest in self._ordinary:
-                self._note_refused(digest, now)
+                self._record_rejection(digest, now)
             return
         self._send(now, digest, vm, retries, may_resend=True)
 
-    def _note_refused(self, digest, now: float) -> None:
+    def _record_rejection(self, digest, now: float) -> None:
         known_at = self._answered_at.get(digest, now) + _KNOWN_AFTER_S
         is_known = now > known_at
-        (self.refused if is_known else self.refused_unknown).append(digest)
+        (self.rejected if is_known else self.rejected_unanswered).append(digest)
 
     def _send(self, now, digest, vm, retries, may_resend: bool) -> None:
         up = [one for one in self._upstreams if one.is_up]
         if not up:
             return
         upstream = self._random.choice(up)
-        if self._history.owners:
+        if self._scenario.has_owners:
             upstream = up[int.from_bytes(digest[:4], "big") % len(up)]
         number = next(self._numbers)
         upstream.working[number] = digest, vm, retries, may_resend, now
@@ -160,15 +162,15 @@
             end = now + self._random.uniform(0.002, 0.05)
         else:
             end = now + self._random.uniform(0.05, 0.5)
-        self._clock.at(end, self._end, upstream, upstream.life, number)
+        self._clock.at(end, self._end, upstream, upstream.run_number, number)
 
-    def _end(self, now: float, upstream, life: int, number: int) -> None:
-        if upstream.life != life or number not in upstream.working:
+    def _end(self, now: float, upstream, run_number: int, number: int) -> None:
+        if upstream.run_number != run_number or number not in upstream.working:
             return
         digest, vm, *_ = upstream.working[number]
         if digest in self._crashers:
             self.crashed_at.setdefault(digest, []).append(now)
-            self._fall(now, upstream)
+            self._crash(now, upstream)
             return
         del upstream.working[number]
         self._answered_at.setdefault(digest, now)
@@ -179,17 +181,17 @@
             return
         up = [one for one in self._upstreams if one.is_up]
         if up:
-            self._fall(now, self._random.choice(up))
-        rate = self._history.falls_per_s * len(self._upstreams)
+            self._crash(now, self._random.choice(up))
+        rate = self._scenario.crashes_per_s * len(self._upstreams)
         again = now + self._random.expovariate(rate)
         self._clock.at(again, self._unrelated_crash)
 
-    def _fall(self, now: float, upstream: _Upstream) -> None:
-        crash = causes.crash_id(upstream.id, upstream.life)
+    def _crash(self, now: float, upstream: _Upstream) -> None:
+        crash = causes.crash_id(upstream.id, upstream.run_number)
         working, upstream.working = upstream.working, {}
         upstream.is_up = False
-        upstream.life += 1
-        self._clock.at(now + _DOWN_S, self._is_back, upstream)
+        upstream.run_number += 1
+        self._clock.at(now + _DOWN_S, self._restart, upstream)
         for digest, vm, retries, may_resend, sent in working.values():
             table = self._tables[vm]
             table.record_crash(digest, crash, now - sent, now)
@@ -203,20 +205,23 @@
                 self._clock.at(soon, self._arrive, digest, retries - 1)
 
     @staticmethod
-    def _is_back(now: float, upstream: _Upstream) -> None:
+    def _restart(now: float, upstream: _Upstream) -> None:
         upstream.is_up = True
 
-    def _tell(self, now: float, number: int) -> None:
+    def _report(self, now: float, number: int) -> None:
         if now > _LENGTH_S:
             return
         reported = self._tables[number].report(now)
         for other, _ in enumerate(self._tables):
-            if other != number and self._random.random() >= self._history.lost:
+            if (
+                other != number
+                and self._random.random() >= self._scenario.loss_rate
+            ):
                 delay_s = self._random.uniform(0.001, 0.3)
-                self._clock.at(now + delay_s, self._hear, other, reported)
-        self._clock.at(now + _TELL_EVERY_S, self._tell, number)
+                self._clock.at(now + delay_s, self._receive, other, reported)
+        self._clock.at(now + _REPORT_INTERVAL_S, self._report, number)
 
-    def _hear(self, now: float, number: int, reported) -> None:
+    def _receive(self, now: float, number: int, reported) -> None:
         self._tables[number].receive(reported, now)
 
 
--- a/tests/integration/test_crashing_requests.py
+++ b/tests/integration/test_crashing_requests.py
@@ -145,9 +145,9 @@
     await site.gateways[2].start()
 
 
-def test_owners_of_keys_are_kept_from_requests_that_crash_them(tmp_path):
+def test_owners_are_protected_from_crashing_requests(tmp_path):
     _play(tmp_path, "read", 18.0, _leader_killed)
 
 
-def test_a_vm_that_starts_later_knows_of_them_too(tmp_path):
+def test_restarted_vm_learns_of_crashing_requests(tmp_path):
     _play(tmp_path, "write", 14.0, _one_starts_in_the_middle)
--- a/tests/integration/test_gateway_callers.py
+++ b/tests/integration/test_gateway_callers.py
@@ -133,7 +133,7 @@
     return responder.gates.setdefault(path, asyncio.Event())
 
 
-def test_a_slow_request_does_not_hold_up_the_work_of_those_behind_it():
+def test_slow_request_does_not_delay_handling_of_later_ones():
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
         paths = ["/slow/0/0", "/a/0/0", "/b/0/0"]
@@ -147,7 +147,7 @@
     _run(scenario)
 
 
-def test_a_request_behind_one_that_runs_once_waits_for_its_turn():
+def test_request_behind_a_non_idempotent_one_waits_for_its_turn():
     async def scenario(responder, caller):
         gate = _gate(responder, "/x1/0/0")
         caller.send("/x1/0/0", "/a/0/0", "/x2/0/0", "/b/0/0")
@@ -163,7 +163,7 @@
     _run(scenario)
 
 
-def test_a_request_behind_one_with_a_body_waits_for_its_turn():
+def test_request_behind_one_with_a_body_waits_for_its_turn():
     async def scenario(responder, caller):
         caller.writer.write(
             b"POST /p/20/0 HTTP/1.1\r\nHost: a.example\r\n"
@@ -177,7 +177,7 @@
     _run(scenario)
 
 
-def test_nothing_behind_a_request_that_closes_is_begun():
+def test_requests_behind_a_closing_one_are_not_started():
     async def scenario(responder, caller):
         caller.send("/a/20/0", extra="Connection: close\r\n")
         caller.send("/b/0/0")
@@ -188,7 +188,7 @@
     _run(scenario)
 
 
-def test_what_was_begun_is_answered_before_a_leaving_vm_closes():
+def test_started_requests_are_answered_before_a_draining_vm_closes():
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
         caller.send("/slow/0/0", "/a/0/0")
@@ -206,7 +206,7 @@
     _run(scenario)
 
 
-def test_a_failure_between_two_answers_leaves_both_whole():
+def test_error_between_two_responses_leaves_both_complete():
     async def scenario(responder, caller):
         caller.send("/a/30/0", "/fail/0/0", "/b/10/5")
         assert await caller.answer() == (200, "/a/30/00", False)
@@ -216,7 +216,7 @@
     _run(scenario)
 
 
-def test_a_long_answer_is_written_at_its_turn():
+def test_streamed_response_is_written_at_its_turn():
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
         caller.send("/slow/0/0", "/long/0/0", "/b/0/0")
@@ -230,7 +230,7 @@
     _run(scenario)
 
 
-def test_a_caller_that_leaves_ends_all_work():
+def test_disconnect_of_a_caller_cancels_all_its_requests():
     async def scenario(responder, caller):
         paths = [f"/a{i}/5000/0" for i in range(3)]
         caller.send(*paths)
@@ -241,7 +241,7 @@
     _run(scenario)
 
 
-def test_one_caller_cannot_take_all_slots():
+def test_concurrent_requests_of_one_caller_are_limited():
     async def scenario(responder, caller):
         paths = [f"/a{i}/2/0" for i in range(3 * callers.MAX_PENDING_REQUESTS)]
         caller.send(*paths)
@@ -253,7 +253,7 @@
     _run(scenario)
 
 
-def test_answers_that_wait_are_bounded_in_bytes():
+def test_size_of_waiting_responses_is_limited():
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
         size = callers.MAX_FINISHED_BYTES
@@ -273,7 +273,7 @@
     _run(scenario)
 
 
-def test_the_time_of_a_request_counts_from_its_head():
+def test_arrival_time_is_the_time_of_the_head():
     async def scenario(responder, caller):
         count = callers.MAX_CONCURRENT_REQUESTS + 4
         paths = [f"/a{i}/20/0" for i in range(count)]
@@ -286,7 +286,7 @@
     _run(scenario)
 
 
-def test_what_cannot_be_read_takes_nothing_along_that_came_with_it():
+def test_malformed_request_does_not_affect_earlier_ones_in_the_same_read():
     async def scenario(_responder, caller):
         head = "GET /a/5/0 HTTP/1.1\r\nHost: a.example\r\n\r\n"
         caller.writer.write(head.encode() * 2 + b"no request\r\n\r\n")
@@ -297,7 +297,7 @@
     _run(scenario)
 
 
-def test_what_cannot_be_read_is_answered_after_what_could():
+def test_malformed_request_is_answered_after_earlier_ones():
     async def scenario(responder, caller):
         caller.send("/a/20/0")
         await _until(lambda: responder.begun == ["/a/20/0"])
@@ -312,7 +312,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 64])
-def test_requests_in_pieces_are_read_whole(size):
+def test_fragmented_requests_are_parsed(size):
     async def scenario(_responder, caller):
         paths = ["/a/0/0", "/x/0/0", "/b/3/0"]
         head = "GET {} HTTP/1.1\r\nHost: a.example\r\n\r\n"
@@ -339,7 +339,7 @@
 
 @hypothesis.settings(max_examples=30, deadline=None)
 @hypothesis.given(wanted=_requests, split=st.integers(0, 12))
-def test_answers_keep_their_order_and_are_their_requests_own(wanted, split):
+def test_responses_keep_the_order_of_their_requests(wanted, split):
     async def scenario(_responder, caller):
         paths = [
             f"/{name}{i}/{delay_ms}/{size}"
--- a/tests/integration/test_gateway_exchange.py
+++ b/tests/integration/test_gateway_exchange.py
@@ -92,7 +92,7 @@
     asyncio.run(main())
 
 
-def test_a_connection_is_used_again():
+def test_connection_is_reused():
     async def script(number, writer):
         writer.write(_answer(f"a{number}"))
 
@@ -107,7 +107,7 @@
     _run(script, scenario)
 
 
-def test_a_second_answer_at_once_is_not_taken_for_the_next():
+def test_duplicate_response_is_not_taken_for_the_next():
     async def script(number, writer):
         answers = _answer(f"a{number}") * (2 if number == 1 else 1)
         writer.write(answers)
@@ -120,7 +120,7 @@
     _run(script, scenario)
 
 
-def test_a_late_second_answer_before_the_own_is_skipped():
+def test_late_duplicate_response_is_skipped():
     async def script(number, writer):
         if number == 2:
             writer.write(_answer("a1", b"old"))
@@ -136,7 +136,7 @@
     _run(script, scenario)
 
 
-def test_a_late_refusal_of_another_request_is_not_believed():
+def test_late_rejection_of_another_request_is_ignored():
     async def script(number, writer):
         if number == 2:
             writer.write(
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("method", ["DELETE", "PUT", "GET", "POST"])
-def test_a_request_on_a_dying_connection_is_sent_once(method):
+def test_request_on_a_breaking_connection_is_sent_once(method):
     async def script(number, writer):
         if number == 1:
             writer.write(_answer("a1"))
@@ -170,7 +170,7 @@
     _run(script, scenario)
 
 
-def test_a_truncated_answer_is_no_answer():
+def test_truncated_response_is_an_unknown_outcome():
     async def script(_number, writer):
         writer.write(_answer("a1", b"x" * 100)[:-40])
         writer.close()
@@ -188,7 +188,7 @@
 )
 
 
-def test_an_answer_without_length_ends_with_its_connection():
+def test_response_without_length_ends_with_its_connection():
     async def script(_number, writer):
         writer.write(_UNFRAMED)
         writer.close()
@@ -200,7 +200,7 @@
     _run(script, scenario)
 
 
-def test_an_answer_without_length_that_is_reset_is_no_answer():
+def test_reset_response_without_length_is_an_unknown_outcome():
     async def script(_number, writer):
         writer.write(_UNFRAMED)
         await writer.drain()
@@ -225,7 +225,7 @@
         b"Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok",
     ],
 )
-def test_a_success_that_is_not_the_servers_own_is_no_answer(data):
+def test_invalid_successful_response_is_an_unknown_outcome(data):
     async def script(_number, writer):
         writer.write(data)
 
@@ -236,7 +236,7 @@
     _run(script, scenario)
 
 
-def test_a_silent_server_costs_no_more_than_the_time_that_is_left():
+def test_unresponsive_server_times_out_at_the_deadline():
     async def script(_number, _writer):
         await asyncio.sleep(5)
 
@@ -249,7 +249,7 @@
     _run(script, scenario)
 
 
-def test_another_server_at_the_address_is_told_from_a_key_not_held():
+def test_replaced_server_is_distinguished_from_misdirected_key():
     async def script(number, writer):
         instance = "u-9" if number == 1 else "u-1"
         writer.write(
@@ -267,7 +267,7 @@
     _run(script, scenario)
 
 
-def test_nothing_listens():
+def test_refused_connection_is_unreachable():
     async def scenario():
         target = targets.Target(builders.upstream(address="127.0.0.1:1"), 0.0)
         sender = exchange.UpstreamClient(
@@ -279,7 +279,7 @@
     asyncio.run(scenario())
 
 
-def test_after_a_forgotten_connection_rested_ones_carry_nothing_unsafe(
+def test_no_unsafe_request_on_idle_connections_after_one_broke(
     monkeypatch,
 ):
     # Servers that silently dropped an idle connection reset it on the next
@@ -305,7 +305,7 @@
     _run(script, scenario)
 
 
-def test_an_early_answer_to_a_long_body_is_passed_on():
+def test_early_response_to_a_long_body_is_returned():
     async def handle(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(_answer("a1", b"early"))
@@ -330,7 +330,7 @@
     asyncio.run(scenario())
 
 
-def test_grants_and_releases_as_upstreams_read_them():
+def test_wire_format_of_grants_and_releases():
     async def script(number, writer):
         head = b"HTTP/1.1 200 OK\r\nX-Handover: warm\r\n"
         if number == 3:
@@ -361,7 +361,7 @@
     _run(script, scenario)
 
 
-def test_a_grant_without_answer_is_reset():
+def test_unanswered_grant_resets_its_connection():
     gone = asyncio.Event()
 
     async def handle(reader, _writer):
--- a/tests/keyed_load.py
+++ b/tests/keyed_load_simulation.py
@@ -26,12 +26,12 @@
         per_s: Requests/s of all callers together.
         hot_per_s: Additional requests/s for the first owner.
         hot_from_s, hot_until_s: Period of the additional requests.
-        work_s: Mean service time of a request at an owner of speed 1.
+        service_s: Mean service time of a request at an owner of speed 1.
         objective_s: Latency objective.
         wait_s: How long a caller waits.
-        way_s: One-way latency between two VMs, or a VM and an owner.
+        latency_s: One-way latency between two VMs, or a VM and an owner.
         slots: Concurrent requests of an owner.
-        length_s: Duration of arrivals.
+        duration_s: Duration of arrivals.
         seed: Random seed of arrivals and service times.
     """
 
@@ -41,12 +41,12 @@
     hot_per_s: float = 0.0
     hot_from_s: float = 5.0
     hot_until_s: float = 10.0
-    work_s: float = 0.06
+    service_s: float = 0.06
     objective_s: float = 0.2
     wait_s: float = 0.8
-    way_s: float = 0.0014
+    latency_s: float = 0.0014
     slots: int = 2
-    length_s: float = 20.0
+    duration_s: float = 20.0
     seed: int = 1
 
 
@@ -57,24 +57,24 @@
     Attributes:
         in_time: Responses within the objective, counted from the first attempt.
         late: Later responses.
-        refused: Callers that were rejected twice, or too late to retry.
-        returned: Callers that retried after a rejection.
-        held_s: Times that rejected requests waited for their rejection.
+        rejected: Callers that were rejected twice, or too late to retry.
+        retried: Callers that retried after a rejection.
+        rejection_waits_s: Times that requests waited until their rejection.
     """
 
     in_time: int = 0
     late: int = 0
-    refused: int = 0
-    returned: int = 0
-    held_s: list[float] = dataclasses.field(default_factory=list)
+    rejected: int = 0
+    retried: int = 0
+    rejection_waits_s: list[float] = dataclasses.field(default_factory=list)
 
     @property
-    def asked(self) -> int:
-        return self.in_time + self.late + self.refused
+    def total(self) -> int:
+        return self.in_time + self.late + self.rejected
 
-    def worth(self, late_worth: float = 0.5) -> float:
+    def value(self, late_value: float = 0.5) -> float:
         """Returns the value of the responses, relative to the maximum."""
-        return (self.in_time + late_worth * self.late) / self.asked
+        return (self.in_time + late_value * self.late) / self.total
 
 
 class _Owner:
@@ -93,10 +93,10 @@
     first_at: float
     key: int
     wait_s: float
-    returns: int = 0
+    retries: int = 0
 
 
-class KeyedPlayer:
+class KeyedSimulation:
     """Runs one simulation."""
 
     def __init__(self, load: KeyedLoad):
@@ -109,28 +109,28 @@
             )
             for i in range(len(load.speeds))
         ]
-        self._book = builders.book(*specs)
+        self._targets = builders.book(*specs)
         self._owners = {}
         for spec, speed in zip(specs, load.speeds, strict=True):
             self._owners[spec.id] = _Owner(speed, load.slots)
-            self._book.by_id[spec.id].slowness = 1.0 / speed
-        self._decisions = admission.AdmissionController(
-            self._book, builders.HOME, 2.0
+            self._targets.by_id[spec.id].slowness = 1.0 / speed
+        self._controller = admission.AdmissionController(
+            self._targets, builders.HOME, 2.0
         )
         self._callers: dict[int, _Caller] = {}
         self.result = Result()
 
-    def play(self) -> Result:
+    def run(self) -> Result:
         random.seed(self._load.seed)
         self._clock.at(0.0, self._arrive)
         self._clock.at(self._load.hot_from_s, self._arrive_hot)
-        self._clock.at(0.0, self._look)
+        self._clock.at(0.0, self._scan)
         self._clock.run()
         return self.result
 
     def _arrive(self, now: float) -> None:
         load = self._load
-        if now >= load.length_s:
+        if now >= load.duration_s:
             return
         self._clock.at(now + self._random.expovariate(load.per_s), self._arrive)
         owners = list(self._owners)
@@ -138,7 +138,9 @@
         owner = self._random.choices(owners, weights)[0]
         key = self._random.randrange(2000)
         self._clock.at(
-            now + load.way_s, self._ask, self._caller(owner, now, key)
+            now + load.latency_s,
+            self._arrive_at_arbiter,
+            self._caller(owner, now, key),
         )
 
     def _caller(self, owner: str, now: float, key: int) -> _Caller:
@@ -154,88 +156,99 @@
         self._clock.at(now + wait_s, self._arrive_hot)
         owner = next(iter(self._owners))
         self._clock.at(
-            now + load.way_s, self._ask, self._caller(owner, now, -1)
+            now + load.latency_s,
+            self._arrive_at_arbiter,
+            self._caller(owner, now, -1),
         )
 
-    def _look(self, now: float) -> None:
+    def _scan(self, now: float) -> None:
         """Scans the queue periodically, as estimates change over time."""
-        if now < self._load.length_s + self._load.wait_s:
-            self._clock.at(now + 0.02, self._look)
-        self._pump(now)
+        if now < self._load.duration_s + self._load.wait_s:
+            self._clock.at(now + 0.02, self._scan)
+        self._dispatch(now)
 
-    def _ask(self, now: float, caller: _Caller) -> None:
+    def _arrive_at_arbiter(self, now: float, caller: _Caller) -> None:
         load = self._load
-        target = self._book.by_id[caller.owner]
+        target = self._targets.by_id[caller.owner]
         waiter = admission.Waiter(
             builders.route(objective_s=load.objective_s),
             builders.LOOKUPS,
             builders.FixedOwner(target),
-            now - load.way_s,
+            now - load.latency_s,
             caller.first_at + caller.wait_s,
-            load.work_s,
+            load.service_s,
             caller.key,
             caller.first_at + caller.wait_s + self._random.uniform(0, 0.004),
         )
         self._callers[waiter.sequence] = caller
-        self._pump(now)
-        decided = self._decisions.offer(waiter, now)
+        self._dispatch(now)
+        decided = self._controller.offer(waiter, now)
         if isinstance(decided, admission.Rejection):
-            self._refuse(now, waiter, decided)
+            self._reject(now, waiter, decided)
         elif decided is not None:
             self._grant(now, waiter, decided)
 
-    def _refuse(self, now: float, waiter, rejection) -> None:
+    def _reject(self, now: float, waiter, rejection) -> None:
         load = self._load
         caller = self._callers.pop(waiter.sequence)
-        self.result.held_s.append(now - waiter.arrived)
+        self.result.rejection_waits_s.append(now - waiter.arrived)
         left_s = caller.first_at + caller.wait_s - now
         back_s = min(rejection.retry_after_s, left_s / 3)
-        if caller.returns or left_s < 0.05:
-            self.result.refused += 1
+        if caller.retries or left_s < 0.05:
+            self.result.rejected += 1
             return
-        caller.returns = 1
-        self.result.returned += 1
-        self._clock.at(now + load.way_s + back_s, self._ask, caller)
+        caller.retries = 1
+        self.result.retried += 1
+        self._clock.at(
+            now + load.latency_s + back_s, self._arrive_at_arbiter, caller
+        )
 
     def _grant(self, now: float, waiter, target) -> None:
         target.note_sent(waiter.sequence, now, waiter.expected_s)
-        self._clock.at(now + 2 * self._load.way_s, self._reach, waiter, target)
+        self._clock.at(
+            now + 2 * self._load.latency_s,
+            self._arrive_at_owner,
+            waiter,
+            target,
+        )
 
-    def _reach(self, now: float, waiter, target) -> None:
+    def _arrive_at_owner(self, now: float, waiter, target) -> None:
         owner = self._owners[target.id]
         # Gamma distribution of shape 4: the standard deviation is half of the
         # mean, as for the users' requests.
-        work_s = self._random.gammavariate(4, self._load.work_s / 4)
-        owner.queue.append((waiter, target, work_s))
+        service_s = self._random.gammavariate(4, self._load.service_s / 4)
+        owner.queue.append((waiter, target, service_s))
         self._start(now, owner)
 
     def _start(self, now: float, owner: _Owner) -> None:
         while owner.free and owner.queue:
             owner.free -= 1
-            waiter, target, work_s = owner.queue.popleft()
-            end = now + work_s / owner.speed
+            waiter, target, service_s = owner.queue.popleft()
+            end = now + service_s / owner.speed
             self._clock.at(end, self._finish, owner, waiter, target)
 
     def _finish(self, now: float, owner: _Owner, waiter, target) -> None:
         owner.free += 1
         caller = self._callers.pop(waiter.sequence)
-        took_s = now + self._load.way_s - caller.first_at
+        took_s = now + self._load.latency_s - caller.first_at
         if took_s <= self._load.objective_s:
             self.result.in_time += 1
         elif took_s <= caller.wait_s:
             self.result.late += 1
         else:
-            self.result.refused += 1
+            self.result.rejected += 1
         self._start(now, owner)
-        self._clock.at(now + 2 * self._load.way_s, self._free, waiter, target)
+        self._clock.at(
+            now + 2 * self._load.latency_s, self._release, waiter, target
+        )
 
-    def _free(self, now: float, waiter, target) -> None:
+    def _release(self, now: float, waiter, target) -> None:
         target.note_ended(waiter.sequence)
-        self._pump(now)
+        self._dispatch(now)
 
-    def _pump(self, now: float) -> None:
-        assigned, refused = self._decisions.dispatch(now)
+    def _dispatch(self, now: float) -> None:
+        assigned, rejected = self._controller.dispatch(now)
         for waiter, target in assigned:
             self._grant(now, waiter, target)
-        for waiter, rejection in refused:
-            self._refuse(now, waiter, rejection)
+        for waiter, rejection in rejected:
+            self._reject(now, waiter, rejection)
--- a/tests/load_player.py
+++ b/tests/load_simulation.py
@@ -24,17 +24,17 @@
         vms: Number of VMs in one failure domain.
         upstreams: Number of upstreams that they share.
         per_s: Requests/s of all callers together.
-        work_s: Mean service time of a request at an upstream of speed 1.
+        service_s: Mean service time of a request at an upstream of speed 1.
         objective_s: Latency objective.
-        exchange_s: Interval at which VMs exchange counts.
+        report_interval_s: Interval at which VMs exchange counts.
         speeds: Speeds of upstreams, repeated cyclically.
-        length_s: Duration of arrivals.
+        duration_s: Duration of arrivals.
         cold_per_s: Requests/s that a cold upstream can take; 0 for no limit.
         cold_s: How long upstreams are cold after the start.
         cold_upstreams: Number of upstreams that start cold.
         has_arbiter: Whether one VM decides for all, as in `permits.py`.
-        way_s: One-way latency between a VM and the arbiter.
-        queue_room: Queue length of an upstream; it doesn't answer requests
+        latency_s: One-way latency between a VM and the arbiter.
+        queue_length: Queue length of an upstream; it doesn't answer requests
             beyond that.
         seed: Random seed of arrivals and service times.
     """
@@ -42,17 +42,17 @@
     vms: int = 25
     upstreams: int = 17
     per_s: float = 106.0
-    work_s: float = 0.32
+    service_s: float = 0.32
     objective_s: float = 1.09
-    exchange_s: float = 0.25
+    report_interval_s: float = 0.25
     speeds: tuple[float, ...] = (0.7, 0.7, 1.6)
-    length_s: float = 30.0
+    duration_s: float = 30.0
     cold_per_s: float = 0.0
     cold_s: float = 0.0
     cold_upstreams: int = 0
     has_arbiter: bool = False
-    way_s: float = 0.0005
-    queue_room: int = 1000
+    latency_s: float = 0.0005
+    queue_length: int = 1000
     seed: int = 1
 
 
@@ -62,7 +62,7 @@
 
     in_time: int = 0
     late: int = 0
-    refused: int = 0
+    rejected: int = 0
     unanswered: int = 0
     waits: list[float] = dataclasses.field(default_factory=list)
     sends_by_upstream: dict[str, list[float]] = dataclasses.field(
@@ -81,12 +81,12 @@
         )
 
     @property
-    def asked(self) -> int:
-        return self.in_time + self.late + self.refused + self.unanswered
+    def total(self) -> int:
+        return self.in_time + self.late + self.rejected + self.unanswered
 
     @property
     def share_in_time(self) -> float:
-        return self.in_time / self.asked
+        return self.in_time / self.total
 
     @property
     def mean_queued_s(self) -> float:
@@ -117,13 +117,13 @@
         limits.set_services(
             {builders.LOOKUPS: builders.service(cold_per_s=load.cold_per_s)}
         )
-        self.decisions = admission.AdmissionController(
+        self.controller = admission.AdmissionController(
             self.book, builders.HOME, 2.0, limits
         )
-        self.decisions.vm_count = load.vms
+        self.controller.vm_count = load.vms
 
 
-class Player:
+class Simulation:
     """Runs one simulation."""
 
     def __init__(self, load: Load):
@@ -150,18 +150,18 @@
         ]
         self.result = Result()
 
-    def play(self) -> Result:
+    def run(self) -> Result:
         random.seed(self._load.seed)
         self._clock.at(0.0, self._arrive)
         for number, vm in enumerate(self._vms):
-            offset = self._load.exchange_s * number / len(self._vms)
-            self._clock.at(offset, self._tell, vm)
+            offset = self._load.report_interval_s * number / len(self._vms)
+            self._clock.at(offset, self._report, vm)
         self._clock.run()
         return self.result
 
     def _arrive(self, now: float) -> None:
         load = self._load
-        if now >= load.length_s:
+        if now >= load.duration_s:
             return
         self._clock.at(now + self._random.expovariate(load.per_s), self._arrive)
         vm = self._random.choice(self._vms)
@@ -173,18 +173,18 @@
             None,
             now,
             now + 3 * load.objective_s,
-            load.work_s,
+            load.service_s,
         )
         if not load.has_arbiter:
             self._offer(now, vm, waiter)
             return
         waiter.domain = builders.HOME
-        self._clock.at(now + load.way_s, self._offer, vm, waiter)
+        self._clock.at(now + load.latency_s, self._offer, vm, waiter)
 
     def _offer(self, now: float, vm, waiter) -> None:
-        decided = vm.decisions.offer(waiter, now)
+        decided = vm.controller.offer(waiter, now)
         if isinstance(decided, admission.Rejection):
-            self.result.refused += 1
+            self.result.rejected += 1
         elif decided is not None:
             self._send(now, vm, waiter, decided)
 
@@ -193,29 +193,33 @@
         self.result.sends_by_upstream[target.id].append(now)
         if self._load.has_arbiter:
             self._clock.at(
-                now + self._load.way_s, self._reach, vm, waiter, target
+                now + self._load.latency_s,
+                self._arrive_at_upstream,
+                vm,
+                waiter,
+                target,
             )
             return
-        self._reach(now, vm, waiter, target)
+        self._arrive_at_upstream(now, vm, waiter, target)
 
-    def _reach(self, now: float, vm, waiter, target) -> None:
+    def _arrive_at_upstream(self, now: float, vm, waiter, target) -> None:
         upstream = self._upstreams[target.id]
-        if len(upstream.queue) >= self._load.queue_room and not upstream.free:
+        if len(upstream.queue) >= self._load.queue_length and not upstream.free:
             self.result.unanswered += 1
-            self._clock.at(waiter.deadline, self._free, vm, waiter, target)
+            self._clock.at(waiter.deadline, self._release, vm, waiter, target)
             return
         # Gamma distribution of shape 4: the standard deviation is half of the
         # mean, as for the users' requests.
-        work_s = self._random.gammavariate(4, self._load.work_s / 4)
-        upstream.queue.append((vm, waiter, target, work_s, now))
+        service_s = self._random.gammavariate(4, self._load.service_s / 4)
+        upstream.queue.append((vm, waiter, target, service_s, now))
         self._start(now, upstream)
 
     def _start(self, now: float, upstream: _Upstream) -> None:
         while upstream.free and upstream.queue:
             upstream.free -= 1
-            vm, waiter, target, work_s, sent = upstream.queue.popleft()
+            vm, waiter, target, service_s, sent = upstream.queue.popleft()
             self.result.waits.append(now - sent)
-            end = now + work_s / upstream.speed
+            end = now + service_s / upstream.speed
             self._clock.at(end, self._finish, upstream, vm, waiter, target)
 
     def _finish(self, now: float, upstream, vm, waiter, target) -> None:
@@ -227,28 +231,28 @@
         self._start(now, upstream)
         if self._load.has_arbiter:
             self._clock.at(
-                now + self._load.way_s, self._free, vm, waiter, target
+                now + self._load.latency_s, self._release, vm, waiter, target
             )
             return
-        self._free(now, vm, waiter, target)
+        self._release(now, vm, waiter, target)
 
-    def _free(self, now: float, vm, waiter, target) -> None:
+    def _release(self, now: float, vm, waiter, target) -> None:
         target.note_ended(waiter.sequence)
-        self._pump(now, vm)
+        self._dispatch(now, vm)
 
-    def _pump(self, now: float, vm) -> None:
-        assigned, refused = vm.decisions.dispatch(now)
-        self.result.refused += len(refused)
+    def _dispatch(self, now: float, vm) -> None:
+        assigned, rejected = vm.controller.dispatch(now)
+        self.result.rejected += len(rejected)
         for waiter, target in assigned:
             self._send(now, vm, waiter, target)
 
-    def _tell(self, now: float, vm) -> None:
-        if now < self._load.length_s + 2.0:
-            self._clock.at(now + self._load.exchange_s, self._tell, vm)
+    def _report(self, now: float, vm) -> None:
+        if now < self._load.duration_s + 2.0:
+            self._clock.at(now + self._load.report_interval_s, self._report, vm)
         for other in self._vms:
             if other is vm:
                 continue
             for target in vm.book.by_id.values():
                 counted = (target.own, target.waiting, now)
                 other.book.by_id[target.id].peers[vm.name] = counted
-            self._pump(now, other)
+            self._dispatch(now, other)
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -18,35 +18,35 @@
     return admission.AdmissionController(book, builders.HOME, 2.0)
 
 
-def test_a_free_target_is_given_at_once():
+def test_free_target_is_assigned_immediately():
     book = builders.book(builders.upstream())
     assert _admission(book).offer(builders.waiter(), 0.0).id == "u-1"
 
 
-def test_the_own_domain_goes_first_while_it_has_room():
+def test_local_domain_is_preferred_while_it_has_capacity():
     book = builders.book(
         builders.upstream("u-1", failure_domain=builders.AWAY),
         builders.upstream("u-2"),
     )
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(book.by_id["u-2"], 2)
-    assert decisions.offer(builders.waiter(), 0.0).id == "u-2"
+    assert controller.offer(builders.waiter(), 0.0).id == "u-2"
     builders.occupy(book.by_id["u-2"], 2)
-    assert decisions.offer(builders.waiter(), 0.0).id == "u-1"
+    assert controller.offer(builders.waiter(), 0.0).id == "u-1"
 
 
-def test_a_full_target_at_home_is_waited_for_before_a_large_body_leaves():
+def test_large_body_waits_for_full_local_target_before_leaving_domain():
     book = builders.book(
         builders.upstream("u-1", failure_domain=builders.AWAY),
         builders.upstream("u-2"),
     )
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(book.by_id["u-2"], 4)
     large = model.Repeatability.ONCE_LARGE
-    assert decisions.offer(builders.waiter(repeatability=large), 0.0) is None
+    assert controller.offer(builders.waiter(repeatability=large), 0.0) is None
     # A longer queue at home costs more than leaving the domain.
     builders.occupy(book.by_id["u-2"], 9)
-    assigned, _ = decisions.dispatch(0.0)
+    assigned, _ = controller.dispatch(0.0)
     assert [entry.target.id for entry in assigned] == ["u-1"]
 
 
@@ -63,8 +63,8 @@
             for number in range(9)
         )
     )
-    decisions = _admission(book)
-    decisions.vm_count = 20
+    controller = _admission(book)
+    controller.vm_count = 20
     for target in book.by_id.values():
         builders.occupy(target, 5)
     waiting = []
@@ -72,36 +72,36 @@
         waiter = builders.waiter(objective_s=60.0, timeout_s=90.0)
         if number % 3 == 0:
             waiter.excluded.add(f"u-{number}")
-        assert decisions.offer(waiter, 0.0) is None
+        assert controller.offer(waiter, 0.0) is None
         waiting.append(waiter)
     for target in book.by_id.values():
         for token in range(drawn.randrange(4)):
             target.note_ended(-1 - token)
-    return decisions, waiting
+    return controller, waiting
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_those_that_wait_together_are_placed_as_one_by_one(seed):
+def test_batch_dispatch_matches_sequential_selection(seed):
     # One scan groups the targets once for all queued requests. Each slot that
     # it assigns must be visible to the requests that follow.
-    decisions, waiting = _queue_of_eight(seed)
+    controller, waiting = _queue_of_eight(seed)
     random.seed(seed)
-    assigned, _ = decisions.dispatch(0.0)
+    assigned, _ = controller.dispatch(0.0)
     together = {
         waiting.index(entry.waiter): entry.target.id for entry in assigned
     }
-    decisions, waiting = _queue_of_eight(seed)
+    controller, waiting = _queue_of_eight(seed)
     random.seed(seed)
     one_by_one = {}
     for number, waiter in enumerate(waiting):
-        target = decisions.select_target(waiter, 0.0)
+        target = controller.select_target(waiter, 0.0)
         if target is not None:
             target.own += 1
             one_by_one[number] = target.id
     assert together == one_by_one
 
 
-def test_of_many_vms_too_a_large_body_waits_at_home():
+def test_large_body_waits_in_local_domain_with_many_vms():
     # On the enlarged site hbrt-gw, uploads left their domain as soon as all of
     # its targets were full, which sent 0.2 GB between domains.
     book = builders.book(
@@ -119,25 +119,25 @@
             builders.occupy(target, 4)
     large = model.Repeatability.ONCE_LARGE
     for _ in range(20):
-        decisions = _admission(book)
-        decisions.vm_count = 25
+        controller = _admission(book)
+        controller.vm_count = 25
         waiter = builders.waiter(repeatability=large)
-        assert decisions.offer(waiter, 0.0) is None
+        assert controller.offer(waiter, 0.0) is None
 
 
-def test_a_slow_target_is_passed_over():
+def test_slow_target_is_skipped():
     book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
     book.by_id["u-1"].slowness = 8.0
     assert _admission(book).offer(builders.waiter(), 0.0).id == "u-2"
 
 
-def test_requests_of_other_vms_count():
+def test_requests_of_other_vms_count_as_load():
     book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
     book.by_id["u-1"].peers["vm-2"] = (3, 0, 0.0)
     assert _admission(book).offer(builders.waiter(), 0.0).id == "u-2"
 
 
-def test_what_a_silent_peer_told_is_forgotten():
+def test_counts_of_unresponsive_peer_expire():
     book = builders.book(builders.upstream())
     book.by_id["u-1"].peers["vm-2"] = (9, 9, 0.0)
     late = 10.0
@@ -145,202 +145,204 @@
     assert book.by_id["u-1"].waiting_elsewhere(late) == 0
 
 
-def test_a_request_that_cannot_be_in_time_is_refused_at_once():
+def test_request_that_cannot_meet_objective_is_rejected_immediately():
     book = builders.book(builders.upstream())
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(book.by_id["u-1"], 4)
-    refused = None
+    rejected = None
     for _ in range(50):
-        refused = decisions.offer(builders.waiter(), 0.0)
-        if refused is not None:
+        rejected = controller.offer(builders.waiter(), 0.0)
+        if rejected is not None:
             break
-    assert isinstance(refused, admission.Rejection)
+    assert isinstance(rejected, admission.Rejection)
     least_s = admission.MIN_RETRY_AFTER * builders.route().objective_s
-    assert refused.retry_after_s >= least_s
+    assert rejected.retry_after_s >= least_s
     # Its wait would have exceeded the slack before the objective.
-    assert refused.wait_s > 0.25 * builders.route().objective_s
+    assert rejected.wait_s > 0.25 * builders.route().objective_s
 
 
-def test_urgent_requests_go_first():
+def test_requests_of_higher_priority_go_first():
     book = builders.book(builders.upstream())
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(book.by_id["u-1"], 4)
     later = builders.waiter(priority=3)
     urgent = builders.waiter(priority=0)
-    assert decisions.offer(later, 0.0) is None
-    assert decisions.offer(urgent, 0.0) is None
+    assert controller.offer(later, 0.0) is None
+    assert controller.offer(urgent, 0.0) is None
     book.by_id["u-1"].note_ended(-1)
-    assigned, refused = decisions.dispatch(0.0)
+    assigned, rejected = controller.dispatch(0.0)
     assert [entry.waiter for entry in assigned] == [urgent]
-    assert not refused
+    assert not rejected
 
 
-def test_a_waiting_request_without_time_left_is_refused():
+def test_queued_request_without_time_left_is_rejected():
     book = builders.book(builders.upstream())
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(book.by_id["u-1"], 4)
     waiter = builders.waiter()
-    assert decisions.offer(waiter, 0.0) is None
-    _, refused = decisions.dispatch(waiter.deadline - 0.05)
-    assert [entry for entry, _ in refused] == [waiter]
-    assert len(decisions) == 0
+    assert controller.offer(waiter, 0.0) is None
+    _, rejected = controller.dispatch(waiter.deadline - 0.05)
+    assert [entry for entry, _ in rejected] == [waiter]
+    assert len(controller) == 0
 
 
-def _crowded() -> tuple[admission.AdmissionController, admission.Waiter]:
+def _contended() -> tuple[admission.AdmissionController, admission.Waiter]:
     """Returns admission to a full target, and a request late from 100.1 on."""
     book = builders.book(builders.upstream())
     builders.occupy(book.by_id["u-1"], 4, 100.0)
-    decisions = _admission(book)
+    controller = _admission(book)
     late = builders.waiter(99.75)
-    assert decisions.offer(late, 100.0) is None
+    assert controller.offer(late, 100.0) is None
     assert late.is_late(100.1) and not late.is_late(100.0)
-    return decisions, late
+    return controller, late
 
 
-def test_a_late_request_that_others_would_always_overtake_is_refused():
-    decisions, late = _crowded()
-    now, last, refused = 100.1, None, []
-    while not refused:
+def test_late_request_is_rejected_under_continuous_contention():
+    controller, late = _contended()
+    now, last, rejected = 100.1, None, []
+    while not rejected:
         # At each scan, a request that can be in time is waiting.
         fresh = builders.waiter(now)
-        assert decisions.offer(fresh, now) is None
+        assert controller.offer(fresh, now) is None
         if last is not None:
-            decisions.remove(last)
+            controller.remove(last)
         last = fresh
-        _, refused = decisions.dispatch(now)
+        _, rejected = controller.dispatch(now)
         now += 0.05
-    assert [waiter for waiter, _ in refused] == [late]
+    assert [waiter for waiter, _ in rejected] == [late]
     # Rejected once others had waited this long without a break, long before its
     # deadline.
     contested_s = admission.CONTENTION_PERIOD * builders.route().objective_s
     assert 100.1 + contested_s <= now < 100.2 + contested_s < late.deadline
 
 
-def test_a_late_request_waits_on_where_others_are_served_now_and_then():
-    decisions, late = _crowded()
+def test_late_request_keeps_waiting_under_intermittent_contention():
+    controller, late = _contended()
     for step in range(8):
         now = 100.1 + 0.15 * step
         fresh = builders.waiter(now)
-        assert decisions.offer(fresh, now) is None
-        assert decisions.dispatch(now) == ([], [])
+        assert controller.offer(fresh, now) is None
+        assert controller.dispatch(now) == ([], [])
         # The fresh one is served, which interrupts the contention.
-        decisions.remove(fresh)
-        assert decisions.dispatch(now + 0.01) == ([], [])
+        controller.remove(fresh)
+        assert controller.dispatch(now + 0.01) == ([], [])
     assert now > 100.1 + builders.route().objective_s
-    assert len(decisions) == 1
+    assert len(controller) == 1
 
 
-def test_a_late_request_waits_for_an_owner_whoever_else_does():
-    decisions = _admission(builders.book())
+def test_late_request_without_owner_keeps_waiting_despite_others():
+    controller = _admission(builders.book())
     lookup = builders.FixedOwner(None, ready_in_s=0.03)
     late = builders.waiter(99.65, owner=lookup)
-    assert decisions.offer(late, 100.0) is None
+    assert controller.offer(late, 100.0) is None
     for step in range(14):
         now = 100.1 + 0.05 * step
-        assert decisions.offer(builders.waiter(now, owner=lookup), now) is None
-        assert decisions.dispatch(now) == ([], [])
+        assert controller.offer(builders.waiter(now, owner=lookup), now) is None
+        assert controller.dispatch(now) == ([], [])
     assert now > 100.1 + builders.route().objective_s
 
 
-def test_a_late_request_goes_on_waiting_while_nobody_else_does():
+def test_late_request_keeps_waiting_without_competitors():
     book = builders.book(builders.upstream())
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(book.by_id["u-1"], 4)
     late = builders.waiter()
-    assert decisions.offer(late, 0.0) is None
+    assert controller.offer(late, 0.0) is None
     now = late.objective_at
-    assert decisions.dispatch(now) == ([], [])
+    assert controller.dispatch(now) == ([], [])
     book.by_id["u-1"].note_ended(-1)
-    assigned, _ = decisions.dispatch(now)
+    assigned, _ = controller.dispatch(now)
     assert [entry.waiter for entry in assigned] == [late]
 
 
-def test_a_late_request_waits_while_others_wait_for_another_owner():
+def test_late_request_is_unaffected_by_contention_for_another_owner():
     book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
-    decisions = _admission(book)
+    controller = _admission(book)
     for target in book.by_id.values():
         builders.occupy(target, 4)
     owners = [builders.FixedOwner(book.by_id[name]) for name in book.by_id]
     late = builders.waiter(0.0, owner=owners[0])
-    assert decisions.offer(late, 0.0) is None
+    assert controller.offer(late, 0.0) is None
     now = late.objective_at
-    assert decisions.offer(builders.waiter(now, owner=owners[1]), now) is None
-    assert decisions.dispatch(now) == ([], [])
+    assert controller.offer(builders.waiter(now, owner=owners[1]), now) is None
+    assert controller.dispatch(now) == ([], [])
 
 
-def test_a_key_without_owner_is_refused_until_when_it_may_have_one():
-    decisions = _admission(builders.book())
+def test_request_for_key_without_owner_is_rejected_with_retry_time():
+    controller = _admission(builders.book())
     lookup = builders.FixedOwner(None, ready_in_s=5.0)
-    refused = decisions.offer(builders.waiter(owner=lookup), 0.0)
-    assert isinstance(refused, admission.Rejection)
-    assert refused.retry_after_s > 1.0
+    rejected = controller.offer(builders.waiter(owner=lookup), 0.0)
+    assert isinstance(rejected, admission.Rejection)
+    assert rejected.retry_after_s > 1.0
 
 
-def test_one_whose_key_lost_its_owner_meanwhile_is_refused_at_once():
+def test_queued_request_is_rejected_when_its_key_loses_its_owner():
     book = builders.book(builders.upstream())
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(book.by_id["u-1"], 4)
     lookup = builders.FixedOwner(book.by_id["u-1"])
     waiter = builders.waiter(owner=lookup)
-    assert decisions.offer(waiter, 0.0) is None
+    assert controller.offer(waiter, 0.0) is None
     lookup.lose(ready_in_s=0.3)
-    assert decisions.dispatch(0.1) == ([], [])
+    assert controller.dispatch(0.1) == ([], [])
     lookup.lose(ready_in_s=5.0)
-    _, refused = decisions.dispatch(0.1)
-    assert [entry for entry, _ in refused] == [waiter]
+    _, rejected = controller.dispatch(0.1)
+    assert [entry for entry, _ in rejected] == [waiter]
     assert book.by_id["u-1"].waiting == 0
 
 
-def test_a_lookup_waits_for_its_owner_beyond_its_objective():
+def test_lookup_waits_for_its_owner_beyond_its_objective():
     book = builders.book(builders.upstream())
     target = book.by_id["u-1"]
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(target, 12)
     waiter = builders.waiter(owner=builders.FixedOwner(target))
-    assert decisions.expected_wait_s(waiter, 0.0) > builders.route().objective_s
-    assert decisions.offer(waiter, 0.0) is None
+    assert (
+        controller.expected_wait_s(waiter, 0.0) > builders.route().objective_s
+    )
+    assert controller.offer(waiter, 0.0) is None
 
 
-def _crowded_owner():
+def _contended_owner():
     """Returns an owner for which lookups that can be in time keep waiting."""
     book = builders.book(builders.upstream())
     target = book.by_id["u-1"]
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(target, 5, 100.0)
     owner = builders.FixedOwner(target)
     now, last = 100.0, None
     while now < 100.0 + 2 * builders.route().objective_s:
         fresh = builders.waiter(now, owner)
-        assert decisions.offer(fresh, now) is None
+        assert controller.offer(fresh, now) is None
         if last is not None:
-            decisions.remove(last)
+            controller.remove(last)
         last = fresh
-        decisions.dispatch(now)
+        controller.dispatch(now)
         now += 0.05
-    return decisions, target, owner, now
+    return controller, target, owner, now
 
 
-def test_where_others_always_wait_a_lookup_that_would_be_late_is_refused():
-    decisions, target, owner, now = _crowded_owner()
+def test_late_lookup_is_rejected_under_continuous_contention():
+    controller, target, owner, now = _contended_owner()
     builders.occupy(target, 7, now)
-    refused = decisions.offer(builders.waiter(now, owner), now)
-    assert isinstance(refused, admission.Rejection)
+    rejected = controller.offer(builders.waiter(now, owner), now)
+    assert isinstance(rejected, admission.Rejection)
 
 
-def test_a_late_lookup_goes_to_an_idle_slot_only():
+def test_late_lookup_uses_idle_slots_only():
     book = builders.book(builders.upstream())
     target = book.by_id["u-1"]
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(target, 3)
     owner = builders.FixedOwner(target)
     late = builders.waiter(-0.59, owner)
-    assert decisions.offer(late, 0.0) is None
-    assert decisions.offer(builders.waiter(0.0, owner), 0.0) is target
+    assert controller.offer(late, 0.0) is None
+    assert controller.offer(builders.waiter(0.0, owner), 0.0) is target
     target.note_ended(-1)
-    assert [entry.waiter for entry in decisions.dispatch(0.0)[0]] == [late]
+    assert [entry.waiter for entry in controller.dispatch(0.0)[0]] == [late]
 
 
-def test_what_is_late_is_told_by_the_speed_of_its_owner():
+def test_lateness_depends_on_the_speed_of_the_owner():
     book = builders.book(builders.upstream())
     target = book.by_id["u-1"]
     waiter = builders.waiter(owner=builders.FixedOwner(target))
@@ -350,7 +352,7 @@
     assert waiter.is_late(0.2)
 
 
-def test_what_is_in_time_only_by_the_mean_work_is_late():
+def test_request_in_time_only_by_mean_service_time_is_late():
     waiter = builders.waiter()
     left_s = waiter.route.objective_s - waiter.expected_s
     assert waiter.is_late(left_s - 0.05)
@@ -360,40 +362,40 @@
     assert not waiter.is_late(0.0)
 
 
-def _returning(key: int, arrived: float, left_s: float) -> admission.Waiter:
+def _retrying(key: int, arrived: float, left_s: float) -> admission.Waiter:
     waiter = builders.waiter(arrived)
     waiter.key, waiter.gives_up_at = key, arrived + left_s
     return waiter
 
 
-def test_a_caller_that_comes_back_is_known_by_its_key_and_its_patience():
+def test_retry_is_recognised_by_key_and_deadline():
     book = returns.Returns()
-    book.expect(_returning(7, 10.0, 0.8), back_at=10.1)
+    book.expect(_retrying(7, 10.0, 0.8), back_at=10.1)
     others = [
-        _returning(8, 10.1, 0.7),
-        _returning(7, 10.1, 0.75),
-        _returning(7, 10.02, 0.78),
+        _retrying(8, 10.1, 0.7),
+        _retrying(7, 10.1, 0.75),
+        _retrying(7, 10.02, 0.78),
     ]
     for other in others:
         book.recognise(other, other.arrived)
         assert other.arrived > 10.0
-    back = _returning(7, 10.105, 0.693)
+    back = _retrying(7, 10.105, 0.693)
     book.recognise(back, 10.105)
     assert back.arrived == 10.0
-    again = _returning(7, 10.106, 0.694)
+    again = _retrying(7, 10.106, 0.694)
     book.recognise(again, 10.106)
     assert again.arrived == 10.106
 
 
-def test_callers_that_do_not_come_back_are_forgotten():
+def test_expected_retries_that_do_not_arrive_expire():
     book = returns.Returns()
     for number in range(100):
-        book.expect(_returning(number, 10.0, 0.8), back_at=10.1)
-    book.recognise(_returning(500, 11.0, 0.8), 11.0)
+        book.expect(_retrying(number, 10.0, 0.8), back_at=10.1)
+    book.recognise(_retrying(500, 11.0, 0.8), 11.0)
     assert not book._by_key
 
 
-def test_a_target_is_slow_only_beyond_what_is_usual_there():
+def test_target_is_slow_only_beyond_its_usual_service_time():
     book = builders.book(builders.upstream())
     target = book.by_id["u-1"]
     target.slowness = 2.0
@@ -403,23 +405,23 @@
     assert target.slow_factor(2.0) > 6.0
 
 
-def test_a_refusal_names_the_owner_that_was_too_busy():
+def test_rejection_names_the_overloaded_owner():
     book = builders.book(builders.upstream())
     target = book.by_id["u-1"]
     # The queue is longer than the caller waits.
     builders.occupy(target, 40)
     waiter = builders.waiter(owner=builders.FixedOwner(target))
-    refused = _admission(book).offer(waiter, 0.0)
-    assert refused.owner == "u-1"
+    rejected = _admission(book).offer(waiter, 0.0)
+    assert rejected.owner == "u-1"
 
 
-def test_a_key_on_the_move_waits():
-    decisions = _admission(builders.book())
+def test_request_waits_while_its_key_is_being_moved():
+    controller = _admission(builders.book())
     lookup = builders.FixedOwner(None, ready_in_s=0.03)
-    assert decisions.offer(builders.waiter(owner=lookup), 0.0) is None
+    assert controller.offer(builders.waiter(owner=lookup), 0.0) is None
 
 
-def test_a_leaving_target_gets_nothing_new():
+def test_leaving_target_gets_no_new_requests():
     book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
     book.put(
         builders.upstream("u-1", state=model.UpstreamState.DRAINING), now=1.0
@@ -428,20 +430,20 @@
     assert not book.by_id["u-1"].takes_requests(3.1, drain_s=2.0)
 
 
-def test_the_counts_of_a_queue_are_even_after_all_left():
+def test_waiting_count_is_balanced_after_removals():
     book = builders.book(builders.upstream())
     target = book.by_id["u-1"]
-    decisions = _admission(book)
+    controller = _admission(book)
     builders.occupy(target, 4)
     waiter = builders.waiter(owner=builders.FixedOwner(target))
-    assert decisions.offer(waiter, 0.0) is None
+    assert controller.offer(waiter, 0.0) is None
     assert target.waiting == 1
-    decisions.remove(waiter)
-    decisions.remove(waiter)
+    controller.remove(waiter)
+    controller.remove(waiter)
     assert target.waiting == 0
 
 
-def test_an_address_that_another_server_took_is_out_of_use():
+def test_replaced_target_is_not_used():
     book = builders.book(builders.upstream("u-1", address="127.0.0.1:1"))
     book.mark_gone("u-1", 1.0)
     book.put(builders.upstream("u-2", address="127.0.0.1:1"), 1.5)
@@ -452,7 +454,7 @@
     assert book.by_id["u-1"].leaving_since is not None
 
 
-def test_the_retry_budget_is_a_part_of_the_requests():
+def test_retry_budget_is_a_fraction_of_the_requests():
     repeats = budget.RetryBudget(0.2, 50, 10.0)
     repeats.set_vms(10)
     for _ in range(100):
@@ -466,7 +468,7 @@
     assert repeats.can_spend(builders.LOOKUPS, 11.5)
 
 
-def test_speeds_are_learned_from_all_vms_and_forgotten():
+def test_speeds_are_learned_from_all_vms_and_expire():
     book = speeds.SpeedBook()
 
     def ratio(name: str, now: float) -> float:
@@ -483,7 +485,7 @@
     assert speeds.SpeedBook().tell(0.0) == {}
 
 
-def test_speeds_tell_upstreams_apart_only_by_enough_answers():
+def test_speeds_differ_only_after_enough_responses():
     book = speeds.SpeedBook()
     asked, unasked = model.UpstreamId("u-0"), model.UpstreamId("u-1")
     slow = model.UpstreamId("u-2")
@@ -499,7 +501,7 @@
     assert told[asked] < told[unasked] < told[slow]
 
 
-def test_one_request_without_an_answer_makes_a_target_slow():
+def test_one_unanswered_request_makes_a_target_slow():
     book = builders.book(builders.upstream())
     target = book.by_id["u-1"]
     target.note_sent(1, 0.0, 0.2)
@@ -509,7 +511,7 @@
     assert target.slow_factor(2.0) == 1.0
 
 
-class _Looks(admission.AdmissionController):
+class _ScanCounter(admission.AdmissionController):
     """Counts scans of the queue."""
 
     def __init__(self, book, vms: int):
@@ -522,16 +524,16 @@
         return super().dispatch(now, only)
 
 
-@pytest.mark.parametrize(("vms", "looks"), [(4, 6), (25, 1)])
-def test_reports_of_many_vms_do_not_each_make_a_look_at_the_queue(vms, looks):
+@pytest.mark.parametrize(("vms", "scans"), [(4, 6), (25, 1)])
+def test_reports_of_many_vms_do_not_each_trigger_a_queue_scan(vms, scans):
     async def scenario():
         book = builders.book(builders.upstream())
         now = gate.clocks.monotonic()
         builders.occupy(book.by_id["u-1"], 4, now)
-        decisions = _Looks(book, vms)
-        made = gate.Gate(decisions, lambda waiter: None)
+        controller = _ScanCounter(book, vms)
+        made = gate.Gate(controller, lambda waiter: None)
         waiting = asyncio.create_task(made.acquire(builders.waiter(now)))
-        while not len(decisions):
+        while not len(controller):
             await asyncio.sleep(0)
         for _ in range(5):
             made.on_peer_report()
@@ -539,6 +541,6 @@
         book.by_id["u-1"].note_ended(-1)
         made.dispatch()
         assert (await waiting).id == "u-1"
-        assert decisions.count == looks
+        assert controller.count == scans
 
     asyncio.run(scenario())
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -14,7 +14,7 @@
 from swiftstile.gateway import targets
 from tests import gateway_builders as builders
 from tests import keeper_parts
-from tests import load_player
+from tests import load_simulation
 
 _PER_S = 5.9
 _COLD_S = 3.0
@@ -22,21 +22,21 @@
 _ALLOWED = 1.5 * _PER_S + 8
 _NODES = ("vm-1", "vm-2", "vm-3")
 
-_LOAD = load_player.Load(
-    work_s=0.1,
+_LOAD = load_simulation.Load(
+    service_s=0.1,
     per_s=340.0,
     cold_s=_COLD_S,
     cold_upstreams=6,
-    length_s=_COLD_S,
+    duration_s=_COLD_S,
 )
 
 
-def _play(**changes) -> load_player.Result:
-    load = load_player.dataclasses.replace(_LOAD, **changes)
-    return load_player.Player(load).play()
+def _play(**changes) -> load_simulation.Result:
+    load = load_simulation.dataclasses.replace(_LOAD, **changes)
+    return load_simulation.Simulation(load).run()
 
 
-def _most_to_a_cold_one(result: load_player.Result) -> int:
+def _most_to_a_cold_one(result: load_simulation.Result) -> int:
     return max(
         result.most_in_a_second(f"u-{number}", _COLD_S)
         for number in range(_LOAD.cold_upstreams)
--- a/tests/unit/test_gateway_crash_check.py
+++ b/tests/unit/test_gateway_crash_check.py
@@ -80,7 +80,7 @@
     return sender
 
 
-def test_a_request_found_to_crash_upstreams_while_it_waits_is_not_sent():
+def test_request_identified_as_crashing_while_waiting_is_not_sent():
     crashes = _Crashes()
 
     def hear() -> None:
@@ -91,7 +91,7 @@
     assert permits.released == 1
 
 
-def test_a_request_that_is_tried_again_is_sent():
+def test_probe_is_sent():
     crashes = _Crashes()
     crashes.has_suspects = True
     permits = _Permits(lambda: None)
--- a/tests/unit/test_gateway_keyed_load.py
+++ b/tests/unit/test_gateway_keyed_load.py
@@ -12,43 +12,43 @@
 from swiftstile.gateway import admission
 from swiftstile.gateway import returns
 from swiftstile.gateway import targets
-from tests import keyed_load
+from tests import keyed_load_simulation
 
 _SEEDS = (1, 2, 3)
 # Two owners of mean speed, a slow and a fast one: 133 lookups/s in total.
 _CAPACITY_PER_S = 400 / 3
 
 
-def _results(part: float, **changes) -> list[keyed_load.Result]:
+def _results(part: float, **changes) -> list[keyed_load_simulation.Result]:
     """Simulates a fraction of the capacity; shorter when overloaded."""
-    length_s = 20.0 if part < 2.0 else 12.0 / part
+    duration_s = 20.0 if part < 2.0 else 12.0 / part
     return [
-        keyed_load.KeyedPlayer(
-            keyed_load.KeyedLoad(
+        keyed_load_simulation.KeyedSimulation(
+            keyed_load_simulation.KeyedLoad(
                 per_s=part * _CAPACITY_PER_S,
-                length_s=length_s,
+                duration_s=duration_s,
                 seed=seed,
                 **changes,
             )
-        ).play()
+        ).run()
         for seed in _SEEDS
     ]
 
 
 @functools.cache
-def _present(part: float) -> list[keyed_load.Result]:
+def _baseline(part: float) -> list[keyed_load_simulation.Result]:
     """Returns cached results of the unmodified decisions."""
     return _results(part)
 
 
-def _worth(results: list[keyed_load.Result]) -> float:
-    return statistics.mean(result.worth() for result in results)
+def _value(results: list[keyed_load_simulation.Result]) -> float:
+    return statistics.mean(result.value() for result in results)
 
 
 def _in_time(part: float) -> float:
     """Returns responses within the objective, relative to the capacity."""
-    results = _present(part)
-    offered = sum(result.asked for result in results) / part
+    results = _baseline(part)
+    offered = sum(result.total for result in results) / part
     return sum(result.in_time for result in results) / offered
 
 
@@ -56,12 +56,12 @@
     ("part", "floor"),
     [(0.7, 0.94), (0.88, 0.895), (1.0, 0.835), (1.3, 0.68), (2.0, 0.437)],
 )
-def test_worth_by_load(part, floor):
-    assert _worth(_present(part)) >= floor
+def test_value_by_load(part, floor):
+    assert _value(_baseline(part)) >= floor
 
 
 @pytest.mark.parametrize("part", [2.0, 5.0])
-def test_what_is_in_time_under_overload_stays_near_that_at_capacity(part):
+def test_responses_in_time_under_overload_stay_near_capacity(part):
     # With lateness judged by the mean service time: 0.91 and 0.81.
     assert _in_time(part) >= 0.9 * _in_time(1.0)
 
@@ -96,11 +96,13 @@
         (2.0, targets, "OVERDUE", 1.4, 0.015),
     ],
 )
-def test_each_decision_earns(monkeypatch, part, owner, name, old, margin):
-    worth = _worth(_present(part))
+def test_each_decision_rule_adds_value(
+    monkeypatch, part, owner, name, old, margin
+):
+    value = _value(_baseline(part))
     monkeypatch.setattr(owner, name, old)
-    assert _worth(_results(part)) <= worth - margin
+    assert _value(_results(part)) <= value - margin
 
 
-def test_a_hot_key_costs_other_owners_nothing():
-    assert _worth(_results(0.6, hot_per_s=60.0)) >= 0.81
+def test_hot_key_does_not_affect_other_owners():
+    assert _value(_results(0.6, hot_per_s=60.0)) >= 0.81
--- a/tests/unit/test_gateway_suspects.py
+++ b/tests/unit/test_gateway_suspects.py
@@ -9,7 +9,7 @@
 from swiftstile.gateway import fingerprint
 from swiftstile.gateway import model
 from swiftstile.gateway import suspects
-from tests import crash_player
+from tests import crash_simulation
 
 _NOW = 1000.0
 _PASS, _NO_RETRY, _REJECT, _PROBE = suspects.Verdict
@@ -57,12 +57,12 @@
         {"body": b"x"},
     ],
 )
-def test_a_request_is_told_by_all_that_makes_it_the_same(changes):
+def test_digest_depends_on_all_parts_of_a_request(changes):
     assert _digest("x") == _digest("x")
     assert _digest("x") != _digest("x", **changes)
 
 
-def test_parts_that_read_alike_together_are_told_apart():
+def test_digest_separates_adjacent_parts():
     one = _digest("x", host="ab", target="c")
     assert one != _digest("x", host="a", target="bc")
 
@@ -71,19 +71,19 @@
     ("count", "verdict"),
     [(0, _PASS), (1, _PASS), (2, _NO_RETRY), (3, _REJECT), (4, _REJECT)],
 )
-def test_one_that_was_alone_in_crashes_is_their_cause(count, verdict):
+def test_only_suspect_of_crashes_is_their_cause(count, verdict):
     table = _suspect_table({"bad": list(range(count))})
     assert _verdict(table, "bad") is verdict
 
 
-def test_one_crash_counts_once_however_often_it_is_seen():
+def test_crash_reported_repeatedly_counts_once():
     table = _suspect_table({"bad": [1]})
     for _ in range(5):
         table.record_crash(_digest("bad"), _crash(1), 0.1, _NOW)
     assert _verdict(table, "bad") is _PASS
 
 
-def test_an_answer_clears_it():
+def test_response_clears_a_suspect():
     table = _suspect_table({"good": [0, 1]})
     assert table.record_response(_digest("good"), _NOW + 10)
     assert _verdict(table, "good") is _PASS
@@ -91,13 +91,13 @@
     assert not table.record_response(_digest("other"), _NOW + 12)
 
 
-def test_of_two_that_were_always_together_the_last_sent_is_the_cause():
+def test_last_sent_of_two_simultaneous_suspects_is_the_cause():
     table = _suspect_table({"bad": [0, 1, 2], "good": [0, 1, 2]})
     assert _verdict(table, "bad") is _REJECT
     assert _verdict(table, "good") is _NO_RETRY
 
 
-def test_of_two_that_were_sent_last_by_turns_both_pass_until_one_is_answered():
+def test_suspects_sent_last_alternately_pass_until_one_is_answered():
     table = suspects.SuspectTable()
     for number in range(4):
         for place, name in enumerate(("one", "other")):
@@ -113,13 +113,13 @@
     assert _verdict(table, "one") is _REJECT
 
 
-def test_crashes_that_a_cause_explains_count_against_no_other():
+def test_crashes_explained_by_a_cause_do_not_count_for_others():
     table = _suspect_table({"bad": [0, 1, 2, 3, 4], "good": [0, 1, 2]})
     assert _verdict(table, "bad") is _REJECT
     assert _verdict(table, "good") is not _REJECT
 
 
-def test_bystanders_of_several_causes_are_not_taken_for_one():
+def test_bystander_of_several_causes_is_not_a_cause():
     bad = {"bad-1": [0, 3, 4], "bad-2": [1, 5, 6], "bad-3": [2, 7, 8]}
     table = _suspect_table(bad | {"good": [0, 1, 2]})
     for name in bad:
@@ -136,7 +136,7 @@
     assert _verdict(table, "bad-2") is _REJECT
 
 
-def test_after_five_it_is_a_cause_however_many_were_sent_later():
+def test_five_crashes_make_a_cause_whatever_was_sent_later():
     others = {f"other-{n}": [0, 1, 2, 3, 4] for n in range(4)}
     last = {"last": [n + 100 for n in range(2)]}
     crashes = others | last
@@ -145,7 +145,7 @@
     assert _verdict(table, "bad") is _NO_RETRY
 
 
-def test_one_that_was_answered_lately_is_no_suspect():
+def test_recently_answered_request_is_not_suspected():
     table = suspects.SuspectTable()
     table.record_response(_digest("good"), _NOW)
     for number in range(4):
@@ -153,7 +153,7 @@
     assert table.crashes(_digest("good")) == 0
 
 
-def test_whoever_answered_a_suspect_of_others_clears_it_for_all():
+def test_response_at_any_vm_clears_a_suspect_at_all_vms():
     answered, other = suspects.SuspectTable(), _suspect_table(
         {"good": [0, 1, 2]}
     )
@@ -163,21 +163,21 @@
     assert _verdict(other, "good") is _PASS
 
 
-def test_there_is_time_to_contradict_before_anything_is_refused():
+def test_cause_is_rejected_only_after_the_contradiction_period():
     table = _suspect_table({"bad": [0, 1, 2]})
     soon = _NOW + 2 + suspects.CONTRADICTION_PERIOD_S
     assert _verdict(table, "bad", soon - 0.1) is _NO_RETRY
     assert _verdict(table, "bad", soon + 0.1) is _REJECT
 
 
-def test_what_is_remembered_of_answers_is_bounded():
+def test_number_of_remembered_answered_requests_is_bounded():
     table = suspects.SuspectTable()
     for number in range(suspects.MAX_ANSWERED + 10):
         table.record_response(_digest(f"good-{number}"), _NOW)
     assert len(table._answered) == suspects.MAX_ANSWERED
 
 
-def test_after_a_while_one_vm_tries_it_at_most_once_a_minute():
+def test_one_vm_probes_after_quarantine_at_most_once_a_minute():
     table, bad = _suspect_table({"bad": [0, 1, 2]}), _digest("bad")
     at = _NOW + 2 + suspects.FIRST_QUARANTINE_S
     assert table.verdict(bad, at - 1, is_prober=True) is _REJECT
@@ -189,7 +189,7 @@
     assert table.verdict(bad, at + 64) is _PASS
 
 
-def test_one_that_crashed_another_in_its_trial_waits_for_longer():
+def test_crash_during_a_probe_extends_the_quarantine():
     table, bad = _suspect_table({"bad": [0, 1, 2]}), _digest("bad")
     at = _NOW + 3 + suspects.FIRST_QUARANTINE_S
     assert table.verdict(bad, at, is_prober=True) is _PROBE
@@ -199,7 +199,7 @@
     assert table.verdict(bad, later + 1, is_prober=True) is _PROBE
 
 
-def test_a_flood_of_suspects_neither_grows_nor_pushes_out_a_cause():
+def test_flood_of_suspects_is_bounded_and_does_not_evict_a_cause():
     table = _suspect_table({"bad": [0, 1, 2]})
     for number in range(5000):
         name = _digest(f"flood-{number}")
@@ -216,13 +216,13 @@
     assert len(msgspec.msgpack.encode(reported)) < 1500
 
 
-def test_most_that_is_ever_told_is_bounded_in_bytes():
+def test_report_size_is_bounded():
     names = [f"bad-{number}" for number in range(40)]
     table = _suspect_table({name: list(range(12)) for name in names})
     assert len(msgspec.msgpack.encode(table.report(_NOW + 12))) < 1500
 
 
-def test_what_is_told_twice_or_late_changes_nothing():
+def test_repeated_and_late_reports_change_nothing():
     first, second = _suspect_table({"bad": [0, 1]}), suspects.SuspectTable()
     reported = first.report(_NOW + 5)
     for at in (5, 6, 7):
@@ -236,7 +236,7 @@
     assert _verdict(second, "bad") is _PASS
 
 
-def test_suspects_of_one_crash_are_told_of_while_they_are_news():
+def test_suspects_of_one_crash_are_reported_only_while_recent():
     table = _suspect_table({"good": [0], "bad": [0, 1]})
     reported = {one.digest for one in table.report(_NOW + 2)}
     assert reported == {_digest("good"), _digest("bad")}
@@ -251,7 +251,7 @@
     assert reported == {_digest("bad")}
 
 
-def test_one_that_starts_later_is_told_of_all_in_turn():
+def test_vm_that_starts_later_receives_all_suspects_in_rotation():
     names = [f"bad-{number}" for number in range(12)]
     table = _suspect_table(
         {name: [3 * i, 3 * i + 1, 3 * i + 2] for i, name in enumerate(names)}
@@ -264,7 +264,7 @@
 
 
 @pytest.mark.parametrize("vms", [12, 80, 200])
-def test_all_vms_know_within_the_bound(vms):
+def test_all_vms_learn_of_a_cause_within_the_time_limit(vms):
     """The leader relays all reports, every third of a second."""
     tables = [suspects.SuspectTable() for _ in range(vms)]
     for number in range(3):
@@ -284,30 +284,30 @@
     assert at < _NOW + 1.5 + suspects.CONTRADICTION_PERIOD_S
 
 
-_HISTORIES = strategies.builds(
-    crash_player.History,
+_SCENARIOS = strategies.builds(
+    crash_simulation.Scenario,
     seed=strategies.integers(0, 1_000_000),
     vms=strategies.sampled_from([1, 3, 12]),
     upstreams=strategies.integers(3, 12),
     crashers=strategies.integers(0, 4),
     ordinary=strategies.integers(1, 20),
     per_s=strategies.sampled_from([5.0, 20.0, 40.0]),
-    falls_per_s=strategies.sampled_from([0.0, 0.03, 0.07, 0.15]),
-    lost=strategies.sampled_from([0.0, 0.1, 0.3]),
-    owners=strategies.booleans(),
+    crashes_per_s=strategies.sampled_from([0.0, 0.03, 0.07, 0.15]),
+    loss_rate=strategies.sampled_from([0.0, 0.1, 0.3]),
+    has_owners=strategies.booleans(),
 )
 
 
 @hypothesis.settings(max_examples=150)
-@hypothesis.given(_HISTORIES)
-def test_no_ordinary_request_is_refused_and_few_tries_come_late(history):
-    player = crash_player.Player(history)
-    player.play()
-    assert player.refused == []
-    assert player.later_than(3.0) <= 3
+@hypothesis.given(_SCENARIOS)
+def test_no_ordinary_request_is_rejected_and_few_crashes_come_late(scenario):
+    simulation = crash_simulation.Simulation(scenario)
+    simulation.run()
+    assert simulation.rejected == []
+    assert simulation.crashes_after_limit(3.0) <= 3
 
 
-def _refused(count: int = 40) -> tuple[int, int]:
+def _count_rejections(count: int = 40) -> tuple[int, int]:
     """Returns how many histories reject ordinary requests.
 
     Upstreams crash all the time. Counts the histories in which a request was
@@ -316,58 +316,68 @@
     """
     known = unknown = 0
     for seed in range(count):
-        player = crash_player.Player(
-            crash_player.History(
-                seed=seed, vms=3, crashers=3, falls_per_s=0.15, owners=True
+        simulation = crash_simulation.Simulation(
+            crash_simulation.Scenario(
+                seed=seed,
+                vms=3,
+                crashers=3,
+                crashes_per_s=0.15,
+                has_owners=True,
             )
         )
-        player.play()
-        known += bool(player.refused)
-        unknown += bool(player.refused_unknown)
+        simulation.run()
+        known += bool(simulation.rejected)
+        unknown += bool(simulation.rejected_unanswered)
     return known, unknown
 
 
-def test_few_are_refused_where_upstreams_fall_all_the_time():
-    known, unknown = _refused()
+def test_few_requests_are_rejected_when_upstreams_crash_all_the_time():
+    known, unknown = _count_rejections()
     assert known == 0
     assert unknown <= 4
 
 
-def test_without_clearing_by_answers_ordinary_ones_are_refused(monkeypatch):
+def test_ordinary_requests_are_rejected_without_clearing_by_responses(
+    monkeypatch,
+):
     def record_response(self, digest, now):
         return False
 
     monkeypatch.setattr(
         suspects.SuspectTable, "record_response", record_response
     )
-    assert _refused()[0] > 0
+    assert _count_rejections()[0] > 0
 
 
-def test_without_the_order_of_sending_more_are_refused(monkeypatch):
+def test_more_requests_are_rejected_without_send_order(monkeypatch):
     def weights(sent):
         return {digest: len(crashes) for digest, crashes in sent.items()}
 
     monkeypatch.setattr(causes, "_weights", weights)
-    assert _refused()[1] > 4
+    assert _count_rejections()[1] > 4
 
 
-def test_with_fewer_crashes_to_go_by_more_are_refused(monkeypatch):
+def test_more_requests_are_rejected_with_lower_crash_thresholds(monkeypatch):
     monkeypatch.setattr(causes, "MIN_CRASHES", 1)
     monkeypatch.setattr(suspects, "CRASHES_TO_STOP_RESENDS", 1)
     monkeypatch.setattr(causes, "MIN_WEIGHT", 0.9)
-    assert _refused()[1] > 4
+    assert _count_rejections()[1] > 4
 
 
-def test_without_time_to_contradict_some_are_refused(monkeypatch):
+def test_requests_are_rejected_without_contradiction_period(monkeypatch):
     monkeypatch.setattr(suspects, "CONTRADICTION_PERIOD_S", 0.0)
     known = 0
     for seed in range(40):
-        player = crash_player.Player(
-            crash_player.History(
-                seed=seed, vms=12, crashers=5, falls_per_s=0.15, owners=True
+        simulation = crash_simulation.Simulation(
+            crash_simulation.Scenario(
+                seed=seed,
+                vms=12,
+                crashers=5,
+                crashes_per_s=0.15,
+                has_owners=True,
             )
         )
-        player._answered_at = dict.fromkeys(player._ordinary, -10.0)
-        player.play()
-        known += bool(player.refused)
+        simulation._answered_at = dict.fromkeys(simulation._ordinary, -10.0)
+        simulation.run()
+        known += bool(simulation.rejected)
     assert known > 0
