--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -39,7 +39,7 @@
 # A request counts as late unless it would meet its objective even with this
 # fraction of the mean service time added. Service times vary by half, so half
 # of the requests that are just in time by the mean finish late, and use a slot
-# that another request could have used in time. The reserve is capped at the
+# that another request could have used in time. The margin is capped at the
 # second fraction of the slack, or else all requests of a slow owner would count
 # as late.
 LATENESS_MARGIN, MAX_MARGIN_OF_SLACK = 0.6, 0.5
@@ -210,8 +210,8 @@
         """Whether a response would probably miss the objective."""
         work_s = self.service_time_s
         slack_s = max(0.0, self.route.objective_s - work_s)
-        reserve_s = min(LATENESS_MARGIN * work_s, MAX_MARGIN_OF_SLACK * slack_s)
-        return now + work_s + reserve_s > self.objective_at
+        margin_s = min(LATENESS_MARGIN * work_s, MAX_MARGIN_OF_SLACK * slack_s)
+        return now + work_s + margin_s > self.objective_at
 
     def rank(self, now: float) -> tuple[bool, int, float, int]:
         """Returns its sort key in the queue; the lowest goes first."""
@@ -381,21 +381,21 @@
     def _select_target(
         self, waiter: Waiter, now: float, groups: _Groups
     ) -> targets.Target | None:
-        """Like `pick`, with target groups cached for one scan of the queue."""
+        """Like `select_target`, with groups cached during a queue scan."""
         best, best_s = None, waiter.deadline - now
         best_full_s = _INFINITY
         for target in self._sample(waiter, now, groups):
             slots = target.upstream.slots
             ahead = target.occupied(now) - slots
             work_s = waiter.expected_s * target.slow_factor(now)
-            took_s = work_s * (1 + max(0, ahead + 1) / slots)
-            took_s += self._domain_penalty_s(waiter, target)
+            response_s = work_s * (1 + max(0, ahead + 1) / slots)
+            response_s += self._domain_penalty_s(waiter, target)
             if target.is_penalised(now):
-                took_s += waiter.expected_s
+                response_s += waiter.expected_s
             if ahead >= self._max_beyond_slots(waiter, now):
-                best_full_s = min(best_full_s, took_s)
-            elif waiter.owner is not None or took_s < best_s:
-                best, best_s = target, took_s
+                best_full_s = min(best_full_s, response_s)
+            elif waiter.owner is not None or response_s < best_s:
+                best, best_s = target, response_s
         # Waiting for a full target may still give the earliest response.
         return best if best_s <= best_full_s else None
 
@@ -415,7 +415,7 @@
         candidates = self._candidates(waiter, now)
         if not candidates:
             return self._candidate_ready_in_s(waiter, now)
-        rate, elsewhere, above = 0.0, 0, 0
+        rate, elsewhere, excess = 0.0, 0, 0
         for target in candidates:
             slots = target.upstream.slots
             rate += min(
@@ -423,11 +423,11 @@
                 self._limits.per_s(target, now),
             )
             elsewhere += target.waiting_elsewhere(now)
-            above += max(0, target.occupied(now) - slots)
+            excess += max(0, target.occupied(now) - slots)
         ahead = self._count_ahead(waiter, now)
         if not waiter.is_centrally_decided:
             ahead *= self.vm_count
-        return (ahead + elsewhere + above + 1) / rate
+        return (ahead + elsewhere + excess + 1) / rate
 
     def _candidate_ready_in_s(self, waiter: Waiter, now: float) -> float:
         """Returns the expected time until a target exists, in seconds."""
@@ -452,7 +452,7 @@
             # This VM decides on the requests of all VMs there.
             return self._group(waiter, now, groups).home_available
         if self.vm_count <= MAX_VMS_WITHOUT_SAMPLING:
-            return self._open_candidates(waiter, now)
+            return self._sendable_candidates(waiter, now)
         group = self._group(waiter, now, groups)
         if group.home_available:
             return _random_sample(group.home_available)
@@ -462,7 +462,7 @@
             group.home_full
         )
 
-    def _open_candidates(
+    def _sendable_candidates(
         self, waiter: Waiter, now: float
     ) -> list[targets.Target]:
         """Returns the candidates that this VM may send to right now."""
@@ -483,7 +483,7 @@
         if is_shared and name in groups:
             return groups[name]
         group = _Group([], [], [])
-        for target in self._open_candidates(waiter, now):
+        for target in self._sendable_candidates(waiter, now):
             ahead = target.occupied(now) - target.upstream.slots
             if target.upstream.failure_domain != self._domain:
                 if ahead < MAX_QUEUED_AT_TARGET:
@@ -514,8 +514,8 @@
             if self.is_usable(target, waiter, now)
             and not self._is_barred(target, now)
         ]
-        sound = [entry for entry in usable if not entry.is_penalised(now)]
-        return sound or usable
+        unpenalised = [entry for entry in usable if not entry.is_penalised(now)]
+        return unpenalised or usable
 
     def usable_targets(
         self, waiter: Waiter, now: float
--- a/src/swiftstile/gateway/callers.py
+++ b/src/swiftstile/gateway/callers.py
@@ -123,10 +123,10 @@
         if self._pending:
             return False
         if self.head_started_at is not None:
-            slack_s = now - self.head_started_at - header_timeout_s
+            overdue_s = now - self.head_started_at - header_timeout_s
         else:
-            slack_s = now - self.last_response_at - idle_timeout_s
-        return slack_s > _IDLE_TOLERANCE_S
+            overdue_s = now - self.last_response_at - idle_timeout_s
+        return overdue_s > _IDLE_TOLERANCE_S
 
     def close(self) -> None:
         """Closes the connection and cancels its requests."""
@@ -147,10 +147,10 @@
         super().connection_lost(exc)
         self._connections.discard(self)
         self._is_closing = True
-        lost = exc or ConnectionResetError("the caller closed the connection")
+        error = exc or ConnectionResetError("the caller closed the connection")
         for pending in self._pending:
             if not pending.payload.is_eof():
-                pending.payload.set_exception(lost)
+                pending.payload.set_exception(error)
             if pending.task is not None:
                 pending.task.cancel()
         self._task.cancel()
--- a/src/swiftstile/gateway/causes.py
+++ b/src/swiftstile/gateway/causes.py
@@ -26,7 +26,7 @@
 CrashId = typing.NewType("CrashId", int)
 
 # Time from sending a request to a crash, in seconds, by request and crash.
-SendTimes = dict[fingerprint.Digest, dict[CrashId, float]]
+TimesToCrash = dict[fingerprint.Digest, dict[CrashId, float]]
 
 
 def crash_id(upstream: model.UpstreamId, started_ms: int) -> CrashId:
@@ -34,7 +34,7 @@
     return CrashId(zlib.crc32(f"{upstream}/{started_ms}".encode()))
 
 
-def find_causes(sent: SendTimes) -> list[fingerprint.Digest]:
+def find_causes(sent: TimesToCrash) -> list[fingerprint.Digest]:
     """Returns the requests that are regarded as causes, likeliest first.
 
     Args:
@@ -49,7 +49,7 @@
 
 
 def _likeliest(
-    sent: SendTimes, found: list[fingerprint.Digest]
+    sent: TimesToCrash, found: list[fingerprint.Digest]
 ) -> fingerprint.Digest | None:
     """Returns the likeliest cause apart from those already found."""
     unexplained = {
@@ -73,7 +73,7 @@
 def _is_explained(
     crash: CrashId,
     sent_s: float,
-    sent: SendTimes,
+    sent: TimesToCrash,
     found: list[fingerprint.Digest],
 ) -> bool:
     """Whether a known cause was sent after the request, before the crash."""
@@ -82,15 +82,15 @@
     )
 
 
-def _weights(sent: SendTimes) -> dict[fingerprint.Digest, float]:
+def _weights(sent: TimesToCrash) -> dict[fingerprint.Digest, float]:
     """Returns the total weight of the crashes of each suspect."""
     suspects_by_crash: dict[CrashId, list[fingerprint.Digest]] = {}
     for digest, crashes in sent.items():
         for crash in crashes:
             suspects_by_crash.setdefault(crash, []).append(digest)
     weights = dict.fromkeys(sent, 0.0)
-    for crash, there in suspects_by_crash.items():
-        there.sort(key=lambda digest: sent[digest][crash])
-        for place, digest in enumerate(there, 1):
+    for crash, ranked in suspects_by_crash.items():
+        ranked.sort(key=lambda digest: sent[digest][crash])
+        for place, digest in enumerate(ranked, 1):
             weights[digest] += 1 / place
     return weights
--- a/src/swiftstile/gateway/crash_guard.py
+++ b/src/swiftstile/gateway/crash_guard.py
@@ -153,9 +153,10 @@
         """Whether this VM is the one that probes a request."""
         name = digest.hex()
         me = self._peers.me.node
-        own = sharing.affinity(me, name)
+        own_affinity = sharing.affinity(me, name)
         return all(
-            (sharing.affinity(peer.row.node, name), peer.row.node) < (own, me)
+            (sharing.affinity(peer.row.node, name), peer.row.node)
+            < (own_affinity, me)
             for peer in self._peers.by_node.values()
             if not peer.row.is_retired
         )
--- a/src/swiftstile/gateway/exchange.py
+++ b/src/swiftstile/gateway/exchange.py
@@ -124,7 +124,7 @@
             raise outcomes.UpstreamUnreachableError(
                 str(error), step="connect", peer=target.id
             ) from error
-        is_kept = False
+        keeps_connection = False
         try:
             left_s = call.deadline - clocks.monotonic()
             if left_s <= 0:
@@ -135,24 +135,24 @@
                 response = await self._run_exchange(
                     call, target, connection, left_s
                 )
-            is_kept = True
+            keeps_connection = True
             return response
         except TimeoutError as error:
             raise outcomes.TimedOutError(
                 "no answer in time", step="read answer", peer=target.id
             ) from error
         except outcomes.NotRunError:
-            is_kept = True
+            keeps_connection = True
             raise
         except connections.EXCHANGE_ERRORS as error:
             self._pool.on_broken(connection, clocks.monotonic())
-            unknown = outcomes.UnknownOutcomeError(
+            outcome_error = outcomes.UnknownOutcomeError(
                 repr(error), step="read answer", peer=target.id
             )
-            unknown.is_connection_broken = not connection.has_response
-            raise unknown from error
+            outcome_error.is_connection_broken = not connection.has_response
+            raise outcome_error from error
         finally:
-            if not is_kept:
+            if not keeps_connection:
                 connection.abort()
 
     async def _run_exchange(
@@ -200,12 +200,12 @@
         while True:
             head = await connection.next_head()
             verdict = self._dialect.judge(head.status, head.headers)
-            wanted = call.inbound.attempt_id
-            if verdict.attempt_id in ("", wanted):
+            expected_id = call.inbound.attempt_id
+            if verdict.attempt_id in ("", expected_id):
                 break
             # A late duplicate response to an earlier request.
             await head.payload.read()
-        if verdict.attempt_id != wanted:
+        if verdict.attempt_id != expected_id:
             raise outcomes.UnknownOutcomeError(
                 "answer without id", step="check answer", peer=target.id
             )
--- a/src/swiftstile/gateway/fingerprint.py
+++ b/src/swiftstile/gateway/fingerprint.py
@@ -29,12 +29,12 @@
         body: Its body, or the first part of one that is too long to buffer.
         length: Length of the whole body in that case, if known.
     """
-    made = hashlib.blake2b(digest_size=_DIGEST_BYTES)
+    hasher = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     parts = (method, host.lower(), target, caller, str(length or len(body)))
     for part in parts:
         # Length prefixes prevent collisions between different partitions.
         data = part.encode("utf-8", "surrogateescape")
-        made.update(len(data).to_bytes(4, "big"))
-        made.update(data)
-    made.update(body)
-    return Digest(made.digest())
+        hasher.update(len(data).to_bytes(4, "big"))
+        hasher.update(data)
+    hasher.update(body)
+    return Digest(hasher.digest())
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -77,12 +77,12 @@
     def __init__(
         self,
         permits: permits_lib.Permits,
-        sender: exchange.UpstreamClient,
+        client: exchange.UpstreamClient,
         dialect: interfaces.RequestDialect,
         target_table: targets.TargetBook,
         key_owners: owners.KeyOwners,
         retry_budget: budget.RetryBudget,
-        speed_book: speeds.SpeedBook,
+        speed_table: speeds.SpeedBook,
         log: decision_log.BoundedLog,
         store: follow.TableFollower,
         operations: follow.TableFollower,
@@ -92,12 +92,12 @@
         self.config: model.Config | None = None
         self.is_new_config_invalid = False
         self._permits = permits
-        self._sender = sender
+        self._client = client
         self._dialect = dialect
         self._targets = target_table
         self._owners = key_owners
         self._budget = retry_budget
-        self._speeds = speed_book
+        self._speeds = speed_table
         self._log = log
         self._store = store
         self._operations = operations
@@ -306,7 +306,7 @@
             self._record_send(call, waiter, target, state, trace)
             sent = clocks.monotonic()
             try:
-                response = await self._sender.send(call, target)
+                response = await self._client.send(call, target)
             except outcomes.GatewayError as error:
                 now = clocks.monotonic()
                 self._update_target(error, waiter, target, state, call, now)
@@ -408,8 +408,8 @@
         if isinstance(error, outcomes.NotRunError):
             error.retry_after_s = NO_SLOT_RETRY_AFTER_S
             if error.had_free_slot:
-                part = random.uniform(*FREE_SLOT_RETRY_AFTER)
-                error.retry_after_s = part * waiter.route.objective_s
+                fraction = random.uniform(*FREE_SLOT_RETRY_AFTER)
+                error.retry_after_s = fraction * waiter.route.objective_s
         return error
 
     def _record_response(
--- a/src/swiftstile/gateway/suspects.py
+++ b/src/swiftstile/gateway/suspects.py
@@ -138,8 +138,8 @@
         """Whether it is a cause and the time to contradict is over."""
         if self.cause_since is None:
             return False
-        is_plain = len(self.by_crash) >= causes.CERTAIN_CRASHES
-        return is_plain or now - self.cause_since >= CONTRADICTION_PERIOD_S
+        is_certain = len(self.by_crash) >= causes.CERTAIN_CRASHES
+        return is_certain or now - self.cause_since >= CONTRADICTION_PERIOD_S
 
     def add_crash(self, name: causes.CrashId, crash: _Crash) -> bool:
         """Adds a crash; returns whether that changed anything."""
@@ -181,15 +181,15 @@
 
     def crashes(self, digest: fingerprint.Digest) -> int:
         """Returns the number of crashes that a request is a suspect of."""
-        known = self._by_digest.get(digest)
-        return 0 if known is None else len(known.by_crash)
+        suspect = self._by_digest.get(digest)
+        return 0 if suspect is None else len(suspect.by_crash)
 
     def identified_causes(self) -> list[fingerprint.Digest]:
         """Returns the requests identified as causes of crashes."""
         return [
             digest
-            for digest, known in self._by_digest.items()
-            if known.cause_since is not None
+            for digest, suspect in self._by_digest.items()
+            if suspect.cause_since is not None
         ]
 
     def record_crash(
@@ -209,11 +209,11 @@
         """
         if digest in self._answered:
             return
-        known = self._by_digest.get(digest)
-        if known is None:
-            known = self._by_digest[digest] = _Suspect(now)
-        if known.add_crash(crash, _Crash(now, sent_s)):
-            known.changed_at = now
+        suspect = self._by_digest.get(digest)
+        if suspect is None:
+            suspect = self._by_digest[digest] = _Suspect(now)
+        if suspect.add_crash(crash, _Crash(now, sent_s)):
+            suspect.changed_at = now
             self._update_causes(now)
 
     def record_response(self, digest: fingerprint.Digest, now: float) -> bool:
@@ -233,11 +233,11 @@
         return self._record_clearance(digest, now)
 
     def _record_clearance(self, digest: fingerprint.Digest, now: float) -> bool:
-        known = self._by_digest.get(digest)
-        if known is None or not known.by_crash:
+        suspect = self._by_digest.get(digest)
+        if suspect is None or not suspect.by_crash:
             return False
-        known.record_response(now)
-        known.changed_at = now
+        suspect.record_response(now)
+        suspect.changed_at = now
         self._update_causes(now)
         return True
 
@@ -255,32 +255,32 @@
             is_prober: Whether this VM is the one that probes it after its
                 quarantine.
         """
-        known = self._by_digest.get(digest)
-        if known is None or not known.by_crash:
+        suspect = self._by_digest.get(digest)
+        if suspect is None or not suspect.by_crash:
             return Verdict.PASS
-        if known.is_confirmed_cause(now):
-            return self._verdict_on_cause(known, now, is_prober)
-        if len(known.by_crash) >= CRASHES_TO_STOP_RESENDS:
+        if suspect.is_confirmed_cause(now):
+            return self._verdict_on_cause(suspect, now, is_prober)
+        if len(suspect.by_crash) >= CRASHES_TO_STOP_RESENDS:
             return Verdict.PASS_WITHOUT_RETRY
         return Verdict.PASS
 
     @staticmethod
     def _verdict_on_cause(
-        known: _Suspect, now: float, is_prober: bool
+        suspect: _Suspect, now: float, is_prober: bool
     ) -> Verdict:
-        if now < known.quarantined_until or not is_prober:
+        if now < suspect.quarantined_until or not is_prober:
             return Verdict.REJECT
-        if now - known.probed_at < PROBE_INTERVAL_S:
+        if now - suspect.probed_at < PROBE_INTERVAL_S:
             return Verdict.REJECT
-        known.probed_at = now
+        suspect.probed_at = now
         return Verdict.PROBE
 
     def rejected_for_s(self, digest: fingerprint.Digest, now: float) -> float:
         """Returns how much longer a request is rejected, in seconds."""
-        known = self._by_digest.get(digest)
-        if known is None:
+        suspect = self._by_digest.get(digest)
+        if suspect is None:
             return 0.0
-        return max(FIRST_QUARANTINE_S, known.quarantined_until - now)
+        return max(FIRST_QUARANTINE_S, suspect.quarantined_until - now)
 
     def report(self, now: float) -> list[SuspectReport]:
         """Returns the suspects to report to other VMs now."""
@@ -312,26 +312,29 @@
         for _ in range(min(MAX_OTHERS_REPORTED, len(others))):
             self._rotation += 1
             chosen.append(others[self._rotation % len(others)])
-        return [_make_report(digest, known, now) for digest, known in chosen]
+        return [
+            _make_report(digest, suspect, now) for digest, suspect in chosen
+        ]
 
     def receive(self, reports: list[SuspectReport], now: float) -> None:
         """Applies the report of another VM."""
         has_changed = False
-        for one in reports:
-            known = self._by_digest.get(one.digest)
-            if known is None:
-                known = self._by_digest[one.digest] = _Suspect(now)
-            changed = one.answered_ms is not None and known.record_response(
-                now - one.answered_ms / 1000
+        for report in reports:
+            suspect = self._by_digest.get(report.digest)
+            if suspect is None:
+                suspect = self._by_digest[report.digest] = _Suspect(now)
+            changed = (
+                report.answered_ms is not None
+                and suspect.record_response(now - report.answered_ms / 1000)
             )
-            for name, (age_ms, sent_ms) in one.crashes.items():
+            for name, (age_ms, sent_ms) in report.crashes.items():
                 crash = _Crash(now - age_ms / 1000, sent_ms / 1000)
-                changed |= known.add_crash(name, crash)
-            if known.by_crash and one.digest in self._answered:
+                changed |= suspect.add_crash(name, crash)
+            if suspect.by_crash and report.digest in self._answered:
                 # The other VMs don't know that it was answered here.
-                changed |= known.record_response(now)
+                changed |= suspect.record_response(now)
             if changed:
-                known.changed_at = now
+                suspect.changed_at = now
                 has_changed = True
         if has_changed:
             self._update_causes(now)
@@ -343,25 +346,27 @@
         found = causes.find_causes(
             {
                 digest: {
-                    name: crash.sent_s for name, crash in known.by_crash.items()
+                    name: crash.sent_s
+                    for name, crash in suspect.by_crash.items()
                 }
-                for digest, known in self._by_digest.items()
-                if len(known.by_crash) >= CRASHES_TO_STOP_RESENDS
+                for digest, suspect in self._by_digest.items()
+                if len(suspect.by_crash) >= CRASHES_TO_STOP_RESENDS
             }
         )
-        for digest, known in self._by_digest.items():
+        for digest, suspect in self._by_digest.items():
             if digest not in found:
-                known.cause_since = None
-            elif known.cause_since is None:
-                known.cause_since = now
+                suspect.cause_since = None
+            elif suspect.cause_since is None:
+                suspect.cause_since = now
 
     def _expire(self, now: float) -> None:
-        old = [
+        expired = [
             digest
-            for digest, known in self._by_digest.items()
-            if now - max(known.last_event_at, known.probed_at) > _ttl_s(known)
+            for digest, suspect in self._by_digest.items()
+            if now - max(suspect.last_event_at, suspect.probed_at)
+            > _ttl_s(suspect)
         ]
-        for digest in old:
+        for digest in expired:
             del self._by_digest[digest]
 
     def _evict(self) -> None:
@@ -380,22 +385,22 @@
             del self._by_digest[digest]
 
 
-def _ttl_s(known: _Suspect) -> float:
-    is_weak = len(known.by_crash) < CRASHES_TO_STOP_RESENDS
+def _ttl_s(suspect: _Suspect) -> float:
+    is_weak = len(suspect.by_crash) < CRASHES_TO_STOP_RESENDS
     return WEAK_SUSPECT_TTL_S if is_weak else SUSPECT_TTL_S
 
 
 def _make_report(
-    digest: fingerprint.Digest, known: _Suspect, now: float
+    digest: fingerprint.Digest, suspect: _Suspect, now: float
 ) -> SuspectReport:
     answered_ms = None
-    if known.answered_at > float("-inf"):
-        answered_ms = round((now - known.answered_at) * 1000)
+    if suspect.answered_at > float("-inf"):
+        answered_ms = round((now - suspect.answered_at) * 1000)
     return SuspectReport(
         digest,
         {
             name: (round((now - crash.at) * 1000), round(crash.sent_s * 1000))
-            for name, crash in known.by_crash.items()
+            for name, crash in suspect.by_crash.items()
         },
         answered_ms,
     )
--- a/tests/unit/test_gateway_crash_check.py
+++ b/tests/unit/test_gateway_crash_check.py
@@ -58,7 +58,7 @@
     sender = _Sender()
     made = types.SimpleNamespace(
         _permits=permits,
-        _sender=sender,
+        _client=sender,
         _crashes=crashes,
         _record_send=lambda *_: None,
         _update_target=lambda *_: None,
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -164,12 +164,12 @@
 def _handler(operations: follow.TableFollower) -> handler_lib.RequestHandler:
     made = handler_lib.RequestHandler(
         permits=_NoPermits(),
-        sender=None,
+        client=None,
         dialect=_Dialect(),
         target_table=builders.book(),
         key_owners=None,
         retry_budget=None,
-        speed_book=None,
+        speed_table=None,
         log=decision_log.BoundedLog(fd=1),
         store=_follower(),
         operations=operations,
