--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -1,8 +1,9 @@
-"""Which request may use which slot next, and which is refused at once.
+"""Admission control: which request gets which slot, and which is rejected.
 
-No network, task or clock of its own: callers pass the time. The load it
-answers: targets with few slots that several VMs share, more work than they
-can do, and callers that gain little from an answer after their objective.
+Pure decision code: it does no I/O, starts no tasks and takes the current time
+as an argument. It is designed for targets with few slots that are shared by
+several VMs and overloaded, and for callers to which a response after its
+latency objective is worth little.
 """
 
 import abc
@@ -17,69 +18,73 @@
 from swiftstile.gateway import targets
 
 __all__ = [
-    "Admission",
+    "AdmissionController",
     "Assignment",
-    "Contest",
-    "Overload",
     "OwnerLookup",
+    "QueueKey",
+    "Rejection",
     "Waiter",
-    "crossing_s",
+    "cross_domain_penalty_s",
 ]
 
-# Requests sent to a target beyond its slots: hides the time that our view of
-# it lags behind (a round trip and a message of a peer, about 30 ms).
-QUEUE_AHEAD = 1
-# A wait that uses more than this part of the slack before the objective is
-# refused instead: estimates are off by a third or so.
-SLACK_USED = 0.8
-# Least wait that is allowed, as a part of the objective: a request is never
-# refused for an estimate that is within the noise.
-LEAST_WAIT = 0.25
-# A request counts as late unless it could also take so much more than the mean
-# work: work varies by half, so half of those that are just in time by the mean
-# are late, and take a slot from one that wouldn't be. Never more than the
-# latter part of the slack, so that a slow owner's requests aren't all late.
-LATE_RESERVE, RESERVED_SLACK = 0.6, 0.5
-# Where requests that can be in time have been waiting for the same for so long,
-# in objectives, late ones are refused. Later refusals serve no more.
-CROWDED_AFTER = 0.5
-# A request that has less than this part of its expected time left is refused.
-LEAST_TIME_LEFT = 0.6
-# What sending to another failure domain counts for, in objectives: bytes
-# between domains are dear, and an answer that comes a little later within its
+# Requests sent to a target beyond its slots. Keeps its slots busy although this
+# VM's view of it is about 30 ms old (a round trip and a report of a peer).
+MAX_QUEUED_AT_TARGET = 1
+# A request is rejected if its expected wait exceeds this fraction of the slack
+# before its objective. Estimates are off by about a third.
+MAX_SLACK_FRACTION = 0.8
+# Waits up to this fraction of the objective are allowed in any case (unless the
+# deadline is nearer), so that no request is rejected for estimation noise.
+MIN_WAIT_FRACTION = 0.25
+# A request counts as late unless it would meet its objective even with this
+# fraction of the mean service time added. Service times vary by half, so half
+# of the requests that are just in time by the mean finish late, and use a slot
+# that another request could have used in time. The margin is capped at the
+# second fraction of the slack, or else all requests of a slow owner would count
+# as late.
+LATENESS_MARGIN, MAX_MARGIN_OF_SLACK = 0.6, 0.5
+# Late requests are rejected once requests that can still be in time have waited
+# for the same targets for this long without a break, in objectives. Rejecting
+# them later than this doesn't serve more requests.
+CONTENTION_PERIOD = 0.5
+# A request with less than this fraction of its expected service time left is
+# rejected.
+MIN_TIME_LEFT_FRACTION = 0.6
+# Cost of sending to another failure domain, in objectives. Traffic between
+# domains is expensive, and a response that is slower but still within its
 # objective is worth the same.
-OTHER_DOMAIN = 0.2
-# The same for large bodies: such a request goes to another domain only where
-# it would miss its objective at home.
-OTHER_DOMAIN_LARGE = 0.75
-# Shortest time after which a caller is asked back, in objectives: about the
-# time in which a slot comes free.
-LEAST_RETRY_AFTER = 0.25
-# A service without any target: about two heartbeats of the upstreams.
-TARGETLESS_RETRY_AFTER_S = 1.0
-# Callers spread their return over this part of the time they are told.
-RETRY_SPREAD = 0.4
-# Up to so many VMs that share targets, each knows of all requests there within
-# a fraction of the time that these take.
-FEW_VMS = 6
-# Targets that a VM compares where there are more VMs. By counts that are older
-# than the time between two requests, all would choose the same best one.
-SAMPLE = 2
-_FOREVER = float("inf")
-
-# What requests wait for: any upstream of a service, or the one that owns a key.
-Contest = tuple[ids.ServiceName, model.UpstreamId | None]
-
-
-class Overload(typing.NamedTuple):
-    """A refusal: when to come back, and what decided it.
+CROSS_DOMAIN_COST = 0.2
+# The same for large bodies, which leave the local domain only if they would
+# miss their objective there.
+CROSS_DOMAIN_COST_LARGE = 0.75
+# Minimum Retry-After, in objectives: about the time until a slot becomes free.
+MIN_RETRY_AFTER = 0.25
+# Retry-After for a service without targets: about two upstream heartbeats.
+NO_TARGET_RETRY_AFTER_S = 1.0
+# Random fraction added to Retry-After, so that callers don't retry all at once.
+RETRY_JITTER = 0.4
+# Up to this many VMs, each learns of the others' requests at shared targets
+# within a fraction of their service time.
+MAX_VMS_WITHOUT_SAMPLING = 6
+# Number of random targets that a VM compares when there are more VMs. Their
+# counts are older than the time between two requests, so that all VMs would
+# otherwise choose the same target.
+SAMPLE_SIZE = 2
+_INFINITY = float("inf")
+
+# What a request queues for: any upstream of a service, or the owner of a key.
+QueueKey = tuple[ids.ServiceName, model.UpstreamId | None]
+
+
+class Rejection(typing.NamedTuple):
+    """The rejection of a request, with its reason.
 
     Attributes:
-        retry_after_s: When to come back, in seconds.
-        wait_s: How long it would have waited, or did.
-        owner: The one upstream that could have served it; None without a key
-            or an owner.
-        is_ownerless: Whether its key has no owner that can be asked.
+        retry_after_s: When the caller should retry, in seconds from now.
+        wait_s: How long the request waited or would have had to wait.
+        owner: The only upstream that could have served it; None if it has no
+            key or its key has no owner.
+        is_ownerless: Whether its key has no reachable owner.
     """
 
     retry_after_s: float
@@ -89,62 +94,62 @@
 
 
 class _Group(typing.NamedTuple):
-    """Targets of a service, by where they are and whether they have room."""
+    """Targets of a service by failure domain and spare capacity."""
 
-    home_open: list[targets.Target]
+    home_available: list[targets.Target]
     home_full: list[targets.Target]
-    far_open: list[targets.Target]
+    remote_available: list[targets.Target]
 
 
-# Groups that were found at one scan of the queue, by service and domain.
+# Groups computed during one scan of the queue, by service and domain.
 _Groups = dict[tuple[ids.ServiceName, ids.FailureDomain | None], _Group]
 
 
 class Assignment(typing.NamedTuple):
-    """A request that may be sent now, and where to."""
+    """A request that may be sent now, and its target."""
 
     waiter: "Waiter"
     target: targets.Target
 
 
-def crossing_s(route: model.Route) -> float:
-    """Returns what an answer of another failure domain counts for longer."""
+def cross_domain_penalty_s(route: model.Route) -> float:
+    """Returns the latency penalty for sending to another failure domain."""
     if route.repeatability is model.Repeatability.ONCE_LARGE:
-        return OTHER_DOMAIN_LARGE * route.objective_s
-    return OTHER_DOMAIN * route.objective_s
+        return CROSS_DOMAIN_COST_LARGE * route.objective_s
+    return CROSS_DOMAIN_COST * route.objective_s
 
 
 class OwnerLookup(abc.ABC):
-    """Finds the owner of one key."""
+    """Looks up the owner of one key."""
 
     @abc.abstractmethod
     def target(self, now: float) -> targets.Target | None:
-        """Returns the owner, if it can be asked now."""
+        """Returns the owner, or None if it can't take requests now."""
 
     @abc.abstractmethod
     def ready_in_s(self, now: float) -> float:
-        """Returns when there is likely to be an owner, in seconds."""
+        """Returns the expected time until the key has an owner, in seconds."""
 
 
 class Waiter:
-    """A request that asks for a slot.
+    """A request that needs a slot.
 
     Attributes:
         route: Its route.
-        service: The service that was drawn for it.
-        owner: Finds the target that owns its key; None without a key.
-        arrived: When it came, on the steady clock.
-        end: When its answer is of no use any more.
-        expected_s: Time of a target of mean speed for it.
-        excluded: Targets that already refused or failed it.
-        awaited: The one target that it waits for, if its key has an owner.
+        service: The service selected by the route's traffic split.
+        owner: Looks up the target that owns its key; None without a key.
+        arrived: Arrival time, on the monotonic clock.
+        deadline: Time after which a response is useless.
+        expected_s: Expected service time at a target of mean speed.
+        excluded: Targets that already rejected it or failed.
+        awaited: The target that owns its key, if it waits for that one.
         occupied: Other requests at its target when it was sent there.
-        key: Its key, if it has one.
-        gives_up_at: When its caller stops waiting, if it said so.
-        domain: The failure domain whose upstreams alone it may use; all if
-            None. One VM decides for all requests that name a domain.
-        most_wait_s: Longest that it may wait for a slot, in seconds; as long as
-            it is of use if None.
+        key: Its key, if any.
+        gives_up_at: When its caller stops waiting, if the caller said so.
+        domain: The only failure domain whose upstreams it may use; None for
+            all. One VM decides for all requests with a domain.
+        max_wait_s: Maximum wait for a slot, in seconds; None for no limit
+            besides the deadline.
     """
 
     _sequence = itertools.count()
@@ -155,7 +160,7 @@
         service: ids.ServiceName,
         owner: "OwnerLookup | None",
         arrived: float,
-        end: float,
+        deadline: float,
         expected_s: float,
         key: int | None = None,
         gives_up_at: float | None = None,
@@ -164,7 +169,7 @@
         self.service = service
         self.owner = owner
         self.arrived = arrived
-        self.end = end
+        self.deadline = deadline
         self.expected_s = expected_s
         self.excluded: set[model.UpstreamId] = set()
         self.awaited: targets.Target | None = None
@@ -172,44 +177,44 @@
         self.key = key
         self.gives_up_at = gives_up_at
         self.domain: ids.FailureDomain | None = None
-        self.most_wait_s: float | None = None
+        self.max_wait_s: float | None = None
         self.sequence = next(self._sequence)
 
     @property
     def objective_at(self) -> float:
-        """Until when an answer is of full use."""
+        """Time by which a response meets the objective."""
         return self.arrived + self.route.objective_s
 
     @property
-    def is_decided_for_all(self) -> bool:
-        """Whether one VM decides for all that wait for the same."""
+    def is_centrally_decided(self) -> bool:
+        """Whether one VM decides for all requests that compete with it."""
         return self.owner is not None or self.domain is not None
 
     @property
-    def contest(self) -> Contest | None:
-        """What it waits for: any of a service, or the owner of its key.
+    def queue_key(self) -> QueueKey | None:
+        """What it queues for: any target of a service, or its key's owner.
 
-        None if its key has no owner: nobody overtakes it there.
+        None if its key has no owner, as no other request can overtake it then.
         """
         if self.owner is None:
             return self.service, None
         return None if self.awaited is None else (self.service, self.awaited.id)
 
     @property
-    def work_s(self) -> float:
-        """Time for it at the one target that it waits for, or at a mean one."""
+    def service_time_s(self) -> float:
+        """Expected service time at the awaited target, or at a mean one."""
         slowness = 1.0 if self.awaited is None else self.awaited.slowness
         return self.expected_s * slowness
 
     def is_late(self, now: float) -> bool:
-        """Whether an answer would likely come too late to be of full use."""
-        work_s = self.work_s
+        """Whether a response would probably miss the objective."""
+        work_s = self.service_time_s
         slack_s = max(0.0, self.route.objective_s - work_s)
-        reserve_s = min(LATE_RESERVE * work_s, RESERVED_SLACK * slack_s)
-        return now + work_s + reserve_s > self.objective_at
+        margin_s = min(LATENESS_MARGIN * work_s, MAX_MARGIN_OF_SLACK * slack_s)
+        return now + work_s + margin_s > self.objective_at
 
     def rank(self, now: float) -> tuple[bool, int, float, int]:
-        """Returns its place in the queue; the least goes first."""
+        """Returns its sort key in the queue; the lowest goes first."""
         return (
             self.is_late(now),
             self.route.priority,
@@ -218,194 +223,199 @@
         )
 
 
-class Admission:
-    """Shares the slots of targets out to the requests of one VM.
+class AdmissionController:
+    """Assigns slots of targets to the requests of one VM.
 
     Attributes:
-        vms: VMs that send to the same targets, this one included.
+        vms: Number of VMs that send to the same targets, including this one.
     """
 
     def __init__(
         self,
-        book: targets.TargetBook,
+        target_table: targets.TargetBook,
         domain: ids.FailureDomain,
         drain_s: float,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
     ):
-        self._book = book
+        self._targets = target_table
         self._domain = domain
         self._drain_s = drain_s
         self._limits = limits
         self._waiters: dict[int, Waiter] = {}
-        # Since when requests that can be in time have been waiting for the
-        # same, without a break.
-        self._contested_since: dict[Contest, float] = {}
+        # Start of the current uninterrupted period in which requests that can
+        # still be in time have been waiting, by what they queue for.
+        self._contention_started: dict[QueueKey, float] = {}
         self._returns = returns.Returns()
-        self.vms = 1
+        self.vm_count = 1
 
     def __len__(self) -> int:
         return len(self._waiters)
 
     def offer(
         self, waiter: Waiter, now: float
-    ) -> targets.Target | Overload | None:
-        """Decides on a request that just came, or came back from a target.
+    ) -> targets.Target | Rejection | None:
+        """Decides on a request that just arrived or that a target rejected.
 
         Returns:
-            A target, if it may be sent now; a refusal, if waiting is hopeless;
-            or None, if it has to wait and was put into the queue.
+            A target if the request may be sent now, a rejection if it couldn't
+            be served in time, or None if it was put into the queue.
         """
         if waiter.owner is not None:
             waiter.awaited = waiter.owner.target(now)
         self._returns.recognise(waiter, now)
-        if not self._is_overtaking(waiter, now):
-            target = self.pick(waiter, now)
+        if not self._is_preceded(waiter, now):
+            target = self.select_target(waiter, now)
             if target is not None:
                 self._limits.note_sent(target, now)
                 return target
         wait_s = self.expected_wait_s(waiter, now)
-        limit_s = self._longest_wait_s(waiter, now)
-        if waiter.most_wait_s is not None:
-            limit_s = min(limit_s, waiter.most_wait_s)
+        limit_s = self._max_wait_s(waiter, now)
+        if waiter.max_wait_s is not None:
+            limit_s = min(limit_s, waiter.max_wait_s)
         if wait_s > limit_s:
-            return self._refusal(waiter, wait_s - limit_s, wait_s, now)
+            return self._rejection(waiter, wait_s - limit_s, wait_s, now)
         self._waiters[waiter.sequence] = waiter
         if waiter.awaited is not None:
             waiter.awaited.waiting += 1
         return None
 
-    def leave(self, waiter: Waiter) -> None:
-        """Takes a request out of the queue, if it is there."""
+    def remove(self, waiter: Waiter) -> None:
+        """Removes a request from the queue, if it is queued."""
         if self._waiters.pop(waiter.sequence, None) is None:
             return
         if not self._waiters:
-            self._contested_since.clear()
+            self._contention_started.clear()
         if waiter.awaited is not None:
             waiter.awaited.waiting -= 1
             waiter.awaited = None
 
-    def pump(
-        self, now: float, only: Contest | None = None
-    ) -> tuple[list[Assignment], list[tuple[Waiter, Overload]]]:
-        """Returns waiting requests that may be sent, and those to refuse.
+    def dispatch(
+        self, now: float, only: QueueKey | None = None
+    ) -> tuple[list[Assignment], list[tuple[Waiter, Rejection]]]:
+        """Returns queued requests that may be sent, and those to reject.
 
         Args:
-            now: The time.
-            only: Looks at the requests that wait for this alone; all if left
-                out.
+            now: The current time.
+            only: Restricts the scan to the requests that queue for this.
         """
-        assigned, refused = [], []
-        # For what requests wait that can be in time.
-        contested: set[Contest] = set()
+        assigned, rejected = [], []
+        # What requests that can still be in time keep waiting for.
+        contested: set[QueueKey] = set()
         groups: _Groups = {}
-        looked_at = [
+        scanned = [
             waiter
             for waiter in self._waiters.values()
-            if only is None or waiter.contest == only
+            if only is None or waiter.queue_key == only
         ]
-        for waiter in sorted(looked_at, key=lambda entry: entry.rank(now)):
-            if waiter.end - now < LEAST_TIME_LEFT * waiter.expected_s:
-                refused.append((waiter, self._turn_away(waiter, now)))
+        for waiter in sorted(scanned, key=lambda entry: entry.rank(now)):
+            if (
+                waiter.deadline - now
+                < MIN_TIME_LEFT_FRACTION * waiter.expected_s
+            ):
+                rejected.append((waiter, self._reject_queued(waiter, now)))
                 continue
-            target = self._pick(waiter, now, groups)
+            target = self._select_target(waiter, now, groups)
             if target is not None:
-                self.leave(waiter)
-                # Counted here, so that the next one sees the slot taken.
+                self.remove(waiter)
+                # Counted temporarily, so that later requests of this scan see
+                # the slot as taken.
                 target.own += 1
                 self._limits.note_sent(target, now)
                 groups.pop((waiter.service, waiter.domain), None)
                 assigned.append(Assignment(waiter, target))
                 continue
-            if self._is_hopeless(waiter, now):
-                refused.append((waiter, self._turn_away(waiter, now)))
+            if self._has_no_owner_in_time(waiter, now):
+                rejected.append((waiter, self._reject_queued(waiter, now)))
                 continue
-            if waiter.contest is None:
+            if waiter.queue_key is None:
                 continue
             if not waiter.is_late(now):
-                contested.add(waiter.contest)
+                contested.add(waiter.queue_key)
             elif self._is_starved(waiter, contested, now):
-                refused.append((waiter, self._turn_away(waiter, now)))
-        self._note_contested(contested, only, now)
+                rejected.append((waiter, self._reject_queued(waiter, now)))
+        self._update_contention(contested, only, now)
         for assignment in assigned:
             assignment.target.own -= 1
-        return assigned, refused
+        return assigned, rejected
 
     @staticmethod
-    def _is_hopeless(waiter: Waiter, now: float) -> bool:
-        """Whether its key gets no owner within the time that it has left."""
+    def _has_no_owner_in_time(waiter: Waiter, now: float) -> bool:
+        """Whether its key won't have an owner before its deadline."""
         if waiter.owner is None or waiter.owner.target(now) is not None:
             return False
-        return waiter.owner.ready_in_s(now) > waiter.end - now
+        return waiter.owner.ready_in_s(now) > waiter.deadline - now
 
-    def _note_contested(
-        self, contested: set[Contest], only: Contest | None, now: float
+    def _update_contention(
+        self, contested: set[QueueKey], only: QueueKey | None, now: float
     ) -> None:
-        """Notes since when requests that can be in time wait for the same."""
+        """Updates the start times of periods of contention."""
         kept = {
-            contest: since
-            for contest, since in self._contested_since.items()
-            if contest in contested or (only is not None and contest != only)
+            key: since
+            for key, since in self._contention_started.items()
+            if key in contested or (only is not None and key != only)
         }
-        self._contested_since = dict.fromkeys(contested, now) | kept
+        self._contention_started = dict.fromkeys(contested, now) | kept
 
-    def _turn_away(self, waiter: Waiter, now: float) -> Overload:
-        """Takes a request out of the queue that waited in vain."""
-        overload = self._refusal(waiter, 0.0, now - waiter.arrived, now)
-        self.leave(waiter)
-        return overload
+    def _reject_queued(self, waiter: Waiter, now: float) -> Rejection:
+        """Removes a queued request and returns its rejection."""
+        rejection = self._rejection(waiter, 0.0, now - waiter.arrived, now)
+        self.remove(waiter)
+        return rejection
 
     def _is_starved(
-        self, waiter: Waiter, contested: set[Contest], now: float
+        self, waiter: Waiter, contested: set[QueueKey], now: float
     ) -> bool:
-        """Whether a late request would wait in vain.
+        """Whether a late request would never get a slot.
 
-        Those that can be in time go first. Where some have been waiting for
-        long, more will come.
+        Requests that can be in time go first. Where these have been queueing
+        for a while, newer ones will keep overtaking it.
         """
-        return waiter.contest in contested and self._is_crowded(waiter, now)
+        return waiter.queue_key in contested and self._is_contended(waiter, now)
 
-    def pick(self, waiter: Waiter, now: float) -> targets.Target | None:
-        """Returns the target with room that is expected to answer first."""
-        return self._pick(waiter, now, {})
+    def select_target(
+        self, waiter: Waiter, now: float
+    ) -> targets.Target | None:
+        """Returns the available target with the earliest expected response."""
+        return self._select_target(waiter, now, {})
 
-    def _pick(
+    def _select_target(
         self, waiter: Waiter, now: float, groups: _Groups
     ) -> targets.Target | None:
-        """The same, by what is known of all that wait at the same moment."""
-        best, best_s = None, waiter.end - now
-        best_full_s = _FOREVER
+        """Like `select_target`, with groups cached during a queue scan."""
+        best, best_s = None, waiter.deadline - now
+        best_full_s = _INFINITY
         for target in self._sample(waiter, now, groups):
             slots = target.upstream.slots
             ahead = target.occupied(now) - slots
             work_s = waiter.expected_s * target.slow_factor(now)
-            took_s = work_s * (1 + max(0, ahead + 1) / slots)
-            took_s += self._distance_s(waiter, target)
+            response_s = work_s * (1 + max(0, ahead + 1) / slots)
+            response_s += self._domain_penalty_s(waiter, target)
             if target.is_penalised(now):
-                took_s += waiter.expected_s
-            if ahead >= self._room_beyond_slots(waiter, now):
-                best_full_s = min(best_full_s, took_s)
-            elif waiter.owner is not None or took_s < best_s:
-                best, best_s = target, took_s
-        # One that is full now may still be the first to answer.
+                response_s += waiter.expected_s
+            if ahead >= self._max_beyond_slots(waiter, now):
+                best_full_s = min(best_full_s, response_s)
+            elif waiter.owner is not None or response_s < best_s:
+                best, best_s = target, response_s
+        # Waiting for a full target may still give the earliest response.
         return best if best_s <= best_full_s else None
 
     @staticmethod
-    def _room_beyond_slots(waiter: Waiter, now: float) -> int:
+    def _max_beyond_slots(waiter: Waiter, now: float) -> int:
         """Returns how many requests a target may have beyond its slots.
 
-        One that is late anyway goes to an owner only when a slot is idle: what
-        it would gain by queueing there, the next one that can be in time loses.
+        A late request is sent to an owner only if a slot is idle. Queueing it
+        there would delay the next request that can still be in time.
         """
         if waiter.owner is not None and waiter.is_late(now):
             return 0
-        return QUEUE_AHEAD
+        return MAX_QUEUED_AT_TARGET
 
     def expected_wait_s(self, waiter: Waiter, now: float) -> float:
-        """Returns how long a request would wait for a slot, in seconds."""
+        """Returns the expected wait of a request for a slot, in seconds."""
         candidates = self._candidates(waiter, now)
         if not candidates:
-            return self._no_candidate_for_s(waiter, now)
-        rate, elsewhere, above = 0.0, 0, 0
+            return self._candidate_ready_in_s(waiter, now)
+        rate, elsewhere, excess = 0.0, 0, 0
         for target in candidates:
             slots = target.upstream.slots
             rate += min(
@@ -413,16 +423,16 @@
                 self._limits.per_s(target, now),
             )
             elsewhere += target.waiting_elsewhere(now)
-            above += max(0, target.occupied(now) - slots)
-        ahead = self._ahead(waiter, now)
-        if not waiter.is_decided_for_all:
-            ahead *= self.vms
-        return (ahead + elsewhere + above + 1) / rate
-
-    def _no_candidate_for_s(self, waiter: Waiter, now: float) -> float:
-        """Returns how long there is likely to be nowhere to send to."""
+            excess += max(0, target.occupied(now) - slots)
+        ahead = self._count_ahead(waiter, now)
+        if not waiter.is_centrally_decided:
+            ahead *= self.vm_count
+        return (ahead + elsewhere + excess + 1) / rate
+
+    def _candidate_ready_in_s(self, waiter: Waiter, now: float) -> float:
+        """Returns the expected time until a target exists, in seconds."""
         if waiter.owner is None:
-            return _FOREVER
+            return _INFINITY
         owner = waiter.owner.target(now)
         if owner is not None and self._limits.is_barred(owner, now):
             return owner.cold_until - now
@@ -433,25 +443,29 @@
     ) -> list[targets.Target]:
         """Returns the targets to compare for a request.
 
-        Where many VMs share the targets, what one knows of them is older than
-        the time in which the others send there. If all chose the best of all,
-        all would choose the same one, so each compares a few drawn at random.
+        With many VMs, the counts that one VM has of a target are older than the
+        interval between requests of the others. If each chose the best of all
+        targets, all would choose the same one, so each compares a small random
+        sample.
         """
         if waiter.domain is not None:
-            # This VM knows the requests of all VMs there.
-            return self._group(waiter, now, groups).home_open
-        if self.vms <= FEW_VMS:
-            return self._open_candidates(waiter, now)
+            # This VM decides on the requests of all VMs there.
+            return self._group(waiter, now, groups).home_available
+        if self.vm_count <= MAX_VMS_WITHOUT_SAMPLING:
+            return self._sendable_candidates(waiter, now)
         group = self._group(waiter, now, groups)
-        if group.home_open:
-            return _some_of(group.home_open)
-        # A full one at home may still be the first to answer; it is waited for.
-        return _some_of(group.far_open) + _some_of(group.home_full)
+        if group.home_available:
+            return _random_sample(group.home_available)
+        # Waiting for a full target at home may still give the earliest
+        # response.
+        return _random_sample(group.remote_available) + _random_sample(
+            group.home_full
+        )
 
-    def _open_candidates(
+    def _sendable_candidates(
         self, waiter: Waiter, now: float
     ) -> list[targets.Target]:
-        """Returns the candidates to which this VM may send at this moment."""
+        """Returns the candidates that this VM may send to right now."""
         return [
             target
             for target in self._candidates(waiter, now)
@@ -459,23 +473,23 @@
         ]
 
     def _group(self, waiter: Waiter, now: float, groups: _Groups) -> _Group:
-        """Returns the targets of a request, in groups.
+        """Returns the targets of a request, grouped.
 
-        Requests that wait for the same service share them: a queue looks often,
-        and would go through all targets for each request.
+        Requests for the same service share one group, as the queue is scanned
+        often and would otherwise iterate over all targets for each request.
         """
         is_shared = waiter.owner is None and not waiter.excluded
         name = waiter.service, waiter.domain
         if is_shared and name in groups:
             return groups[name]
         group = _Group([], [], [])
-        for target in self._open_candidates(waiter, now):
+        for target in self._sendable_candidates(waiter, now):
             ahead = target.occupied(now) - target.upstream.slots
             if target.upstream.failure_domain != self._domain:
-                if ahead < QUEUE_AHEAD:
-                    group.far_open.append(target)
-            elif ahead < QUEUE_AHEAD:
-                group.home_open.append(target)
+                if ahead < MAX_QUEUED_AT_TARGET:
+                    group.remote_available.append(target)
+            elif ahead < MAX_QUEUED_AT_TARGET:
+                group.home_available.append(target)
             else:
                 group.home_full.append(target)
         if is_shared:
@@ -487,7 +501,7 @@
             owner = waiter.owner.target(now)
             found = [] if owner is None else [owner]
         else:
-            group = self._book.by_service.get(waiter.service, {})
+            group = self._targets.by_service.get(waiter.service, {})
             found = [
                 target
                 for target in group.values()
@@ -500,12 +514,14 @@
             if self.is_usable(target, waiter, now)
             and not self._is_barred(target, now)
         ]
-        sound = [entry for entry in usable if not entry.is_penalised(now)]
-        return sound or usable
+        unpenalised = [entry for entry in usable if not entry.is_penalised(now)]
+        return unpenalised or usable
 
-    def staying(self, waiter: Waiter, now: float) -> list[targets.Target]:
-        """Returns the targets of a request's service that it may be sent to."""
-        group = self._book.by_service.get(waiter.service, {})
+    def usable_targets(
+        self, waiter: Waiter, now: float
+    ) -> list[targets.Target]:
+        """Returns usable targets of a request's service that aren't leaving."""
+        group = self._targets.by_service.get(waiter.service, {})
         return [
             target
             for target in group.values()
@@ -516,7 +532,7 @@
     def is_usable(
         self, target: targets.Target, waiter: Waiter, now: float
     ) -> bool:
-        """Whether a target may get a request, as far as this VM knows."""
+        """Whether a target may be sent a request, as far as this VM knows."""
         return target.id not in waiter.excluded and target.takes_requests(
             now, self._drain_s
         )
@@ -524,20 +540,20 @@
     def _is_barred(self, target: targets.Target, now: float) -> bool:
         return now < target.cold_until and self._limits.is_barred(target, now)
 
-    def _distance_s(self, waiter, target) -> float:
+    def _domain_penalty_s(self, waiter, target) -> float:
         if target.upstream.failure_domain == self._domain:
             return 0.0
-        return crossing_s(waiter.route)
+        return cross_domain_penalty_s(waiter.route)
 
-    def _is_overtaking(self, waiter: Waiter, now: float) -> bool:
-        """Whether one that waits for the same target should go first."""
+    def _is_preceded(self, waiter: Waiter, now: float) -> bool:
+        """Whether a competing request in the queue goes first."""
         rank = waiter.rank(now)
         return any(
             self._competes(other, waiter) and other.rank(now) < rank
             for other in self._waiters.values()
         )
 
-    def _ahead(self, waiter: Waiter, now: float) -> int:
+    def _count_ahead(self, waiter: Waiter, now: float) -> int:
         rank = waiter.rank(now)
         return sum(
             self._competes(other, waiter) and other.rank(now) < rank
@@ -551,37 +567,38 @@
             return other.owner is None and waiter.owner is None
         return other.awaited is waiter.awaited
 
-    def _longest_wait_s(self, waiter: Waiter, now: float) -> float:
-        possible_s = waiter.end - now - waiter.expected_s
-        if waiter.is_decided_for_all and not self._is_crowded(waiter, now):
-            # It would be served late rather than not at all. Where no VM knows
-            # all that wait, late requests of one would go before those of
-            # another.
+    def _max_wait_s(self, waiter: Waiter, now: float) -> float:
+        possible_s = waiter.deadline - now - waiter.expected_s
+        if waiter.is_centrally_decided and not self._is_contended(waiter, now):
+            # A late response is better than none. Only allowed where one VM
+            # knows the whole queue: otherwise late requests of one VM would
+            # overtake requests of another that can still be in time.
             return possible_s
-        slack_s = waiter.objective_at - now - waiter.work_s
+        slack_s = waiter.objective_at - now - waiter.service_time_s
         useful_s = max(
-            SLACK_USED * slack_s, LEAST_WAIT * waiter.route.objective_s
+            MAX_SLACK_FRACTION * slack_s,
+            MIN_WAIT_FRACTION * waiter.route.objective_s,
         )
         return min(useful_s, possible_s)
 
-    def _is_crowded(self, waiter: Waiter, now: float) -> bool:
-        """Whether requests that can be in time always wait for the same."""
-        since = self._contested_since.get(waiter.contest, now)
-        return now - since >= CROWDED_AFTER * waiter.route.objective_s
+    def _is_contended(self, waiter: Waiter, now: float) -> bool:
+        """Whether requests that can be in time have long been competing."""
+        since = self._contention_started.get(waiter.queue_key, now)
+        return now - since >= CONTENTION_PERIOD * waiter.route.objective_s
 
-    def _refusal(
+    def _rejection(
         self, waiter, excess_s: float, wait_s: float, now: float
-    ) -> Overload:
-        if excess_s == _FOREVER:
-            excess_s = TARGETLESS_RETRY_AFTER_S
-        base_s = max(LEAST_RETRY_AFTER * waiter.route.objective_s, excess_s)
-        spread = 1 + random.uniform(0, RETRY_SPREAD)
+    ) -> Rejection:
+        if excess_s == _INFINITY:
+            excess_s = NO_TARGET_RETRY_AFTER_S
+        base_s = max(MIN_RETRY_AFTER * waiter.route.objective_s, excess_s)
+        spread = 1 + random.uniform(0, RETRY_JITTER)
         owner = None if waiter.awaited is None else waiter.awaited.id
-        if waiter.most_wait_s is None:
+        if waiter.max_wait_s is None:
             self._returns.expect(waiter, now + base_s * spread)
         is_ownerless = waiter.owner is not None and owner is None
-        return Overload(base_s * spread, wait_s, owner, is_ownerless)
+        return Rejection(base_s * spread, wait_s, owner, is_ownerless)
 
 
-def _some_of(pool: list[targets.Target]) -> list[targets.Target]:
-    return random.sample(pool, min(SAMPLE, len(pool)))
+def _random_sample(pool: list[targets.Target]) -> list[targets.Target]:
+    return random.sample(pool, min(SAMPLE_SIZE, len(pool)))
--- a/src/swiftstile/gateway/causes.py
+++ b/src/swiftstile/gateway/causes.py
@@ -1,8 +1,9 @@
-"""Which requests are the cause of crashes: decisions only.
+"""Attributes crashes of upstreams to the requests that caused them.
 
-Several requests may be at an upstream when it falls. The last that was sent is
-the likeliest cause, as it just began. It errs where an ordinary request that
-never had an answer is sent right behind a cause several times in a row.
+Pure decision code without I/O. Several requests may be in progress at an
+upstream when it crashes. The most recently sent one is the likeliest cause, as
+it has just started. The heuristic is wrong if an ordinary request that was
+never answered is sent directly after a cause several times in a row.
 """
 
 import typing
@@ -11,33 +12,33 @@
 from swiftstile.gateway import fingerprint
 from swiftstile.gateway import model
 
-__all__ = ["CrashId", "crash_id", "find"]
+__all__ = ["CrashId", "crash_id", "find_causes"]
 
-# Crashes after which a request may be taken for their cause.
-LEAST_CRASHES = 3
-# Weight that its crashes must exceed together. One counts 1 for the last that
-# was sent, 1/2 for the one before, and so on.
-LEAST_WEIGHT = 2.5
-# It is taken for their cause after so many, whatever else was there.
-MOST_CRASHES = 5
+# Minimum crashes before a request can be regarded as their cause.
+MIN_CRASHES = 3
+# Weight that the sum over its crashes must exceed. A crash counts 1 for the
+# most recently sent request, 1/2 for the one before, and so on.
+MIN_WEIGHT = 2.5
+# After this many crashes it is regarded as their cause whatever the weight.
+CERTAIN_CRASHES = 5
 
-# One crash of one life of an upstream.
+# Identifies the crash of one process of an upstream.
 CrashId = typing.NewType("CrashId", int)
 
-# How long before a crash a request was sent, in seconds, by request and crash.
-Sent = dict[fingerprint.Digest, dict[CrashId, float]]
+# Time from sending a request to a crash, in seconds, by request and crash.
+TimesToCrash = dict[fingerprint.Digest, dict[CrashId, float]]
 
 
 def crash_id(upstream: model.UpstreamId, started_ms: int) -> CrashId:
-    """Returns the name of the crash that ends a life of an upstream."""
+    """Returns the id of the crash of an upstream's current process."""
     return CrashId(zlib.crc32(f"{upstream}/{started_ms}".encode()))
 
 
-def find(sent: Sent) -> list[fingerprint.Digest]:
-    """Returns the requests that are taken for causes, the likeliest first.
+def find_causes(sent: TimesToCrash) -> list[fingerprint.Digest]:
+    """Returns the requests that are regarded as causes, likeliest first.
 
     Args:
-        sent: The suspects of several crashes.
+        sent: Suspects of several crashes.
     """
     found: list[fingerprint.Digest] = []
     while True:
@@ -48,9 +49,9 @@
 
 
 def _likeliest(
-    sent: Sent, found: list[fingerprint.Digest]
+    sent: TimesToCrash, found: list[fingerprint.Digest]
 ) -> fingerprint.Digest | None:
-    """Returns the likeliest cause besides those that were found."""
+    """Returns the likeliest cause apart from those already found."""
     unexplained = {
         digest: {
             crash: sent_s
@@ -63,8 +64,8 @@
     best, best_weight = None, 0.0
     for digest, weight in _weights(unexplained).items():
         count = len(unexplained[digest])
-        is_cause = weight > LEAST_WEIGHT or count >= MOST_CRASHES
-        if is_cause and count >= LEAST_CRASHES and weight > best_weight:
+        is_cause = weight > MIN_WEIGHT or count >= CERTAIN_CRASHES
+        if is_cause and count >= MIN_CRASHES and weight > best_weight:
             best, best_weight = digest, weight
     return best
 
@@ -72,24 +73,24 @@
 def _is_explained(
     crash: CrashId,
     sent_s: float,
-    sent: Sent,
+    sent: TimesToCrash,
     found: list[fingerprint.Digest],
 ) -> bool:
-    """Whether a known cause was sent there later than a request."""
+    """Whether a known cause was sent after the request, before the crash."""
     return any(
         crash in sent[cause] and sent[cause][crash] <= sent_s for cause in found
     )
 
 
-def _weights(sent: Sent) -> dict[fingerprint.Digest, float]:
-    """Returns what the crashes of each suspect count for, together."""
+def _weights(sent: TimesToCrash) -> dict[fingerprint.Digest, float]:
+    """Returns the total weight of the crashes of each suspect."""
     suspects_by_crash: dict[CrashId, list[fingerprint.Digest]] = {}
     for digest, crashes in sent.items():
         for crash in crashes:
             suspects_by_crash.setdefault(crash, []).append(digest)
     weights = dict.fromkeys(sent, 0.0)
-    for crash, there in suspects_by_crash.items():
-        there.sort(key=lambda digest: sent[digest][crash])
-        for place, digest in enumerate(there, 1):
+    for crash, ranked in suspects_by_crash.items():
+        ranked.sort(key=lambda digest: sent[digest][crash])
+        for place, digest in enumerate(ranked, 1):
             weights[digest] += 1 / place
     return weights
--- a/src/swiftstile/gateway/connections.py
+++ b/src/swiftstile/gateway/connections.py
@@ -1,7 +1,8 @@
-"""Connections to upstreams: one request at a time on each.
+"""Pooled HTTP/1.1 connections to upstreams, without pipelining.
 
-A connection is only used again if nothing unexpected was ever read from it;
-one that was given up is reset, so that bytes still under way are lost.
+A connection is reused only if no unexpected data was ever read from it. An
+abandoned connection is closed with a TCP reset, which discards data that is
+still in transit.
 """
 
 import asyncio
@@ -19,51 +20,53 @@
 from swiftstile import errors
 
 __all__ = [
-    "AnswerHead",
     "ConnectionPool",
+    "ResponseHead",
     "UpstreamConnection",
     "reset_on_close",
 ]
 
-# A new connection that isn't up after this long is given up: two round trips
-# in a region are under 10 ms, a lost opening packet is sent again after 1 s.
+# Timeout for opening a connection. Two round trips within a region take less
+# than 10 ms; a lost SYN is retransmitted after 1 s only.
 CONNECT_TIMEOUT_S = 0.4
-# Bytes that nobody acknowledges for this long break a connection. Longer than
-# one retransmission on a lossy link, shorter than the shortest route timeout.
+# TCP_USER_TIMEOUT: a connection fails if sent data isn't acknowledged for this
+# long. Longer than one retransmission on a lossy link, shorter than the
+# shortest route timeout.
 UNACKNOWLEDGED_TIMEOUT_S = 1.5
-# An idle connection isn't used in the last part of the time that the server
-# keeps it, when a request may cross its close.
+# An idle connection isn't reused if the server may close it within this time,
+# as the request could cross the close.
 IDLE_MARGIN_S = 1.5
-# Used when a server doesn't say how long it keeps idle connections.
-DEFAULT_IDLE_S = 5.0
-# Idle connections kept to one upstream: its slots and some that queue.
-MAX_IDLE = 6
-# After a kept connection turned out to be forgotten by its server, others that
-# rested longer than RESTED_S aren't used for what may run only once, for so
-# long: a reset doesn't say whether the request ran. Servers that forget do so
-# after 0.3 s or more, for some seconds.
-DISTRUST_S = 10.0
-RESTED_S = 0.2
+# Assumed idle timeout of a server that doesn't announce one.
+DEFAULT_IDLE_TIMEOUT_S = 5.0
+# Maximum idle connections to one upstream: its slots and some queued requests.
+MAX_IDLE_PER_ADDRESS = 6
+# After a reused connection broke before any response, connections that have
+# been idle for more than MAX_SAFE_IDLE_S aren't used for non-idempotent
+# requests for UNSAFE_REUSE_PAUSE_S: servers may have dropped them silently, and
+# a reset doesn't tell whether the request ran. Affected servers drop
+# connections that were idle for 0.3 s or more, over a period of some seconds.
+UNSAFE_REUSE_PAUSE_S = 10.0
+MAX_SAFE_IDLE_S = 0.2
 _LINGER_RESET = struct.pack("ii", 1, 0)
 _MAX_HEAD_BYTES = 32768
 _INFORMATIONAL = range(100, 200)
 
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
-    """Makes the end of a connection, of our process too, a reset."""
+    """Makes the socket send a TCP reset on close, even if the process dies."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
 
 
-class AnswerHead:
-    """Status and headers of an answer, and the stream of its body."""
+class ResponseHead:
+    """Status and headers of a response, and the stream of its body."""
 
     def __init__(self, message, payload: aiohttp.StreamReader):
         self.status: int = message.code
         self.reason: str = message.reason
         self.headers = message.headers
-        self.closes: bool = message.should_close
+        self.should_close: bool = message.should_close
         self.payload = payload
 
 
@@ -72,10 +75,10 @@
 
     Attributes:
         is_usable: Whether another request may be sent on it.
-        is_reused: Whether it was idle before the present request.
-        has_answered: Whether anything came back for the present request.
-        idle_since: When it became idle, on the steady clock.
-        idle_s: How long the server keeps it when idle.
+        is_reused: Whether it came from the pool for the current request.
+        has_response: Whether any response to the current request was received.
+        idle_since: When it became idle, on the monotonic clock.
+        idle_timeout_s: Idle timeout of the server.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, peer: str):
@@ -84,14 +87,15 @@
         self.peer = peer
         self.is_usable = True
         self.is_reused = False
-        self.has_answered = False
+        self.has_response = False
         self.idle_since = 0.0
-        self.idle_s = DEFAULT_IDLE_S
-        self._heads: collections.deque[AnswerHead] = collections.deque()
+        self.idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
+        self._heads: collections.deque[ResponseHead] = collections.deque()
         self._payload: aiohttp.StreamReader | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._error: BaseException | None = None
-        # Of the last exchange, while idle, and whether its answer has a body.
+        # Parser of the last exchange while idle, and whether responses to the
+        # current method have a body.
         self._idle_parser: http.HttpResponseParser | None = None
         self._has_body = True
 
@@ -111,7 +115,7 @@
         """See base class."""
         if self._parser is None:
             if data:
-                # Nothing was asked: whatever this is, it answers no request.
+                # Unsolicited data, as no request is in progress.
                 self.abort()
             return
         try:
@@ -121,11 +125,11 @@
             self.abort()
             return
         for message, payload in messages:
-            self.has_answered = True
+            self.has_response = True
             self._payload = payload
-            self._heads.append(AnswerHead(message, payload))
+            self._heads.append(ResponseHead(message, payload))
         if messages:
-            self._wake()
+            self._notify()
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """See base class."""
@@ -144,14 +148,14 @@
         payload = self._payload
         if payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(repr(error)))
-        self._wake()
+        self._notify()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def start(self, method: str, data: bytes) -> None:
-        """Sends the head of a request and what there is of its body.
+    def send_request(self, method: str, data: bytes) -> None:
+        """Sends the head of a request and the available part of its body.
 
         Raises:
             PeerUnavailableError: The connection is closed; nothing was sent.
@@ -161,11 +165,12 @@
                 "closed before use", step="send", peer=self.peer
             )
         self._heads.clear()
-        self.has_answered = False
+        self.has_response = False
         self._payload = None
         has_body = method != "HEAD"
         if has_body and self._idle_parser is not None:
-            # It ended with a whole answer; making one costs much of a renewal.
+            # Reused after a complete response, as creating a parser is a large
+            # part of the cost of a renewal.
             self._parser = self._idle_parser
         else:
             self._parser = self._new_parser(has_body)
@@ -186,19 +191,19 @@
             auto_decompress=False,
         )
 
-    async def send_more(self, data: bytes) -> None:
-        """Sends more of a body, waiting for room."""
+    async def send_body(self, data: bytes) -> None:
+        """Sends more of a body, waiting while the send buffer is full."""
         if self.transport is None:
             raise ConnectionResetError("closed while the body was sent")
         self.transport.write(data)
         await self._drain_helper()
 
-    async def next_head(self) -> AnswerHead:
-        """Returns the next final answer's head.
+    async def next_head(self) -> ResponseHead:
+        """Returns the head of the next final response.
 
         Raises:
-            ConnectionError: It ended first.
-            HttpProcessingError: What came isn't HTTP.
+            ConnectionError: The connection ended first.
+            HttpProcessingError: The received data isn't valid HTTP.
         """
         while True:
             while self._heads:
@@ -213,33 +218,33 @@
             finally:
                 self._waiter = None
 
-    def finish(self, head: AnswerHead) -> None:
-        """Ends an exchange whose answer was read to its end."""
+    def finish(self, head: ResponseHead) -> None:
+        """Ends an exchange whose response was read completely."""
         unsent = self.transport and self.transport.get_write_buffer_size()
-        if unsent or self._heads or head.closes or not self.is_usable:
+        if unsent or self._heads or head.should_close or not self.is_usable:
             self.abort()
             return
         self._idle_parser = self._parser if self._has_body else None
         self._parser = None
         self.idle_since = clocks.monotonic()
-        self.idle_s = _keep_alive_s(head.headers)
+        self.idle_timeout_s = _keep_alive_s(head.headers)
 
     def can_reuse(self, now: float) -> bool:
-        """Whether a request sent now won't cross the server's close."""
+        """Whether it is open and the server isn't about to close it."""
         return (
             self.is_usable
             and self.transport is not None
             and not self.transport.is_closing()
-            and now - self.idle_since < self.idle_s - IDLE_MARGIN_S
+            and now - self.idle_since < self.idle_timeout_s - IDLE_MARGIN_S
         )
 
-    def expire(self) -> None:
-        """Ends what waits for an answer, as its time is over."""
+    def fail_with_timeout(self) -> None:
+        """Fails the current exchange with a timeout and aborts."""
         self._fail(TimeoutError("no answer in time"))
         self.abort()
 
     def abort(self) -> None:
-        """Resets the connection: what wasn't delivered yet is lost."""
+        """Resets the connection, discarding data that isn't delivered yet."""
         self.is_usable = False
         if self.transport is not None:
             self.transport.abort()
@@ -255,7 +260,7 @@
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
             return float(value)
-    return DEFAULT_IDLE_S
+    return DEFAULT_IDLE_TIMEOUT_S
 
 
 class ConnectionPool:
@@ -266,42 +271,45 @@
             str, collections.deque[UpstreamConnection]
         ] = {}
         self.opened = 0
-        self._distrusted_until = 0.0
+        self._restricted_until = 0.0
 
-    async def take(
-        self, address: str, is_repeatable: bool
+    async def acquire(
+        self, address: str, is_idempotent: bool
     ) -> UpstreamConnection:
         """Returns an idle connection, or a new one.
 
         Args:
-            address: Where to.
-            is_repeatable: Whether what is to be sent may be sent once more.
+            address: Address of the upstream.
+            is_idempotent: Whether the request may be sent more than once.
 
         Raises:
-            PeerUnavailableError: It can't be opened; nothing was sent.
+            PeerUnavailableError: No connection could be opened; nothing was
+                sent.
         """
         now = clocks.monotonic()
-        is_wary = not is_repeatable and now < self._distrusted_until
+        is_restricted = not is_idempotent and now < self._restricted_until
         idle = self._idle_by_address.get(address)
         while idle:
             connection = idle.pop()
-            has_rested = now - connection.idle_since > RESTED_S
-            if connection.can_reuse(now) and not (is_wary and has_rested):
+            was_idle_long = now - connection.idle_since > MAX_SAFE_IDLE_S
+            if connection.can_reuse(now) and not (
+                is_restricted and was_idle_long
+            ):
                 connection.is_reused = True
                 return connection
             connection.abort()
         return await self._open(address)
 
-    async def is_refused(self, address: str) -> bool:
-        """Returns whether nothing listens at an address.
+    async def refuses_connections(self, address: str) -> bool:
+        """Returns whether an address refuses connections.
 
-        False where it can't be told: the address may be cut off.
+        Returns False if this is unknown, as the address may be unreachable.
         """
         try:
             connection = await self._open(address)
         except errors.PeerUnreachableError as error:
             return isinstance(error.__cause__, ConnectionRefusedError)
-        self.give_back(address, connection)
+        self.release(address, connection)
         return False
 
     async def _open(self, address: str) -> UpstreamConnection:
@@ -319,27 +327,27 @@
         self.opened += 1
         return connection
 
-    def note_broken(self, connection: UpstreamConnection, now: float) -> None:
-        """A connection broke while an answer was waited for."""
-        if connection.is_reused and not connection.has_answered:
-            self._distrusted_until = now + DISTRUST_S
+    def on_broken(self, connection: UpstreamConnection, now: float) -> None:
+        """Records that a connection broke before its response was complete."""
+        if connection.is_reused and not connection.has_response:
+            self._restricted_until = now + UNSAFE_REUSE_PAUSE_S
 
-    def give_back(self, address: str, connection: UpstreamConnection) -> None:
-        """Keeps a connection whose exchange is finished, if it is usable."""
+    def release(self, address: str, connection: UpstreamConnection) -> None:
+        """Returns a connection to the pool if it can be reused."""
         if not connection.is_usable:
             return
         idle = self._idle_by_address.setdefault(address, collections.deque())
         idle.append(connection)
-        while len(idle) > MAX_IDLE:
+        while len(idle) > MAX_IDLE_PER_ADDRESS:
             idle.popleft().abort()
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Closes the idle connections to an address."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.abort()
 
 
-# Errors of an exchange after which it isn't known whether the request ran.
+# Errors of an exchange that leave it unknown whether the request ran.
 EXCHANGE_ERRORS = (
     OSError,
     aiohttp.ClientError,
--- /dev/null
+++ b/src/swiftstile/gateway/crash_guard.py
@@ -0,0 +1,162 @@
+"""Protects upstreams from requests that crash them.
+
+Detects whether an upstream crashed when an exchange broke, and applies the
+resulting decisions of `suspects.py`.
+"""
+
+import asyncio
+
+from swiftstile import logs
+from swiftstile import metrics
+from swiftstile.gateway import causes
+from swiftstile.gateway import connections
+from swiftstile.gateway import fingerprint
+from swiftstile.gateway import gossip
+from swiftstile.gateway import outcomes
+from swiftstile.gateway import sharing
+from swiftstile.gateway import suspects as suspects_lib
+from swiftstile.gateway import targets
+
+__all__ = ["CrashGuard"]
+
+# Requests with bodies up to this size are always hashed, to remember which ones
+# were answered.
+MAX_HASHED_BODY_BYTES = 1 << 14
+
+
+class CrashGuard:
+    """Detects crashes and rejects the requests that cause them.
+
+    Args:
+        suspects: Suspects that are known to all VMs.
+        peers: The other VMs.
+        pool: Opens connections to upstreams.
+        meters: Counts suspects and rejections.
+    """
+
+    def __init__(
+        self,
+        suspects: suspects_lib.SuspectTable,
+        peers: gossip.Peers,
+        pool: connections.ConnectionPool,
+        meters: metrics.Meters,
+    ):
+        self._suspects = suspects
+        self._peers = peers
+        self._pool = pool
+        self._meters = meters
+        self._checks_by_address: dict[str, asyncio.Task[bool]] = {}
+
+    @property
+    def has_suspects(self) -> bool:
+        """Whether any request is a suspect."""
+        return len(self._suspects) > 0
+
+    def should_remember(self, body_bytes: int) -> bool:
+        """Whether it is worth the time to remember that a request was answered.
+
+        Args:
+            body_bytes: Size of its body. Requests with large bodies are rarely
+                repeated.
+        """
+        return self.has_suspects or body_bytes <= MAX_HASHED_BODY_BYTES
+
+    def check(self, digest: fingerprint.Digest, now: float) -> bool:
+        """Raises an error if a request must not be sent.
+
+        Returns:
+            Whether it is a probe, sent to test if it still crashes upstreams.
+
+        Raises:
+            CrashingRequestError: It must not be sent to any upstream.
+        """
+        verdict = self._suspects.verdict(digest, now, self._is_prober(digest))
+        if verdict is suspects_lib.Verdict.REJECT:
+            self._meters.crashes.add("refused")
+            raise self._rejected_error(digest, now)
+        if verdict is suspects_lib.Verdict.PROBE:
+            self._meters.crashes.add("tried")
+            logs.logger.info("crashing request tried", request=digest.hex())
+            return True
+        return False
+
+    def _rejected_error(
+        self, digest: fingerprint.Digest, now: float
+    ) -> outcomes.CrashingRequestError:
+        crashes = self._suspects.crashes(digest)
+        error = outcomes.CrashingRequestError(
+            f"{crashes} upstreams fell while they had request {digest.hex()}",
+            step="look for suspects",
+        )
+        error.retry_after_s = self._suspects.rejected_for_s(digest, now)
+        return error
+
+    async def has_crashed(self, target: targets.Target) -> bool:
+        """Returns whether an upstream whose connection broke has crashed.
+
+        A planned exit isn't a crash. An unreachable upstream may be partitioned
+        from this VM; only a refused connection shows that nothing runs there.
+        """
+        if target.leaving_since is not None:
+            return False
+        address = target.upstream.address
+        check = self._checks_by_address.get(address)
+        if check is None:
+            check = asyncio.create_task(self._pool.refuses_connections(address))
+            self._checks_by_address[address] = check
+            check.add_done_callback(
+                lambda _: self._checks_by_address.pop(address, None)
+            )
+        return await asyncio.shield(check) and target.leaving_since is None
+
+    def record_crash(
+        self,
+        digest: fingerprint.Digest,
+        target: targets.Target,
+        sent_s: float,
+        now: float,
+    ) -> None:
+        """Records that an upstream crashed while it had a request.
+
+        Args:
+            digest: The request.
+            target: The upstream.
+            sent_s: Time from sending the request to the crash, in seconds.
+            now: The current time.
+        """
+        upstream = target.upstream
+        crash = causes.crash_id(upstream.id, upstream.started_ms)
+        self._suspects.record_crash(digest, crash, sent_s, now)
+        self._meters.crashes.add("suspected")
+        logs.logger.info(
+            "request suspected of a crash",
+            request=digest.hex(),
+            upstream=upstream.id,
+            crashes=self._suspects.crashes(digest),
+            is_cause=digest in self._suspects.identified_causes(),
+        )
+
+    def may_resend(self, digest: fingerprint.Digest) -> bool:
+        """Whether a request whose upstream crashed may be sent to another."""
+        return (
+            self._suspects.crashes(digest)
+            < suspects_lib.CRASHES_TO_STOP_RESENDS
+        )
+
+    def record_response(self, digest: fingerprint.Digest, now: float) -> None:
+        """Records that an upstream answered a request."""
+        if self._suspects.record_response(digest, now):
+            self._meters.crashes.add("cleared")
+            logs.logger.info("suspect answered", request=digest.hex())
+
+    def _is_prober(self, digest: fingerprint.Digest) -> bool:
+        """Whether this VM is the one that probes a request."""
+        name = digest.hex()
+        me = self._peers.me.node
+        own_affinity = sharing.affinity(me, name)
+        return all(
+            (sharing.affinity(peer.row.node, name), peer.row.node)
+            < (own_affinity, me)
+            for peer in self._peers.by_node.values()
+            if not peer.row.is_retired
+        )
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -13,7 +13,7 @@
 from swiftstile.gateway import authority
 from swiftstile.gateway import budget
 from swiftstile.gateway import coldstart
-from swiftstile.gateway import decisions
+from swiftstile.gateway import decision_log
 from swiftstile.gateway import follow
 from swiftstile.gateway import front as front_lib
 from swiftstile.gateway import gate as gate_lib
@@ -58,7 +58,7 @@
         node: reports.NodeRow,
         front: front_lib.Front,
         ready_listen: str,
-        handler: handler_lib.Handler,
+        handler: handler_lib.RequestHandler,
         gate: gate_lib.Gate,
         arbiter: arbiter_lib.Arbiter,
         book: targets.TargetBook,
@@ -77,15 +77,15 @@
         speed_book: speeds.SpeedBook,
         heat_book: key_load.KeyLoadTable,
         cold_limits: coldstart.ColdLimits,
-        suspect_book: suspects.Suspects,
-        log: decisions.BoundedLines,
+        suspect_book: suspects.SuspectTable,
+        log: decision_log.BoundedLog,
         make_keeper,
         grace_s: float,
         meters: metrics.Meters,
     ):
         self._node = node
         self._front = front
-        self._ready = front_lib.ReadyPage(ready_listen, self._is_ready)
+        self._ready = front_lib.ReadinessServer(ready_listen, self._is_ready)
         self._handler = handler
         self._gate = gate
         self._arbiter = arbiter
@@ -129,7 +129,7 @@
             self._gate.run(),
             self._arbiter.run(),
             self._log.run(),
-            self._front.enforce_limits(),
+            self._front.enforce_timeouts(),
             self._housekeeping(),
             self._lead(),
         ]
@@ -213,7 +213,7 @@
             *self._peers.circulation.to_tell(now),
             up_s=round(now - self._started, 3),
             grants_end_s=self._renewing.grants_end_s(now),
-            suspicions=self._suspects.tell(now),
+            suspicions=self._suspects.report(now),
         )
 
     def _tables_to_tell(self, now: float) -> dict[str, reports.TableWord]:
@@ -246,8 +246,8 @@
         if peer.report.speeds:
             self._speeds.hear(node, peer.report.speeds, now)
         if peer.report.suspicions:
-            self._suspects.hear(peer.report.suspicions, peer.heard_at)
-        self._gate.note_report()
+            self._suspects.receive(peer.report.suspicions, peer.heard_at)
+        self._gate.on_peer_report()
 
     def _note_counts(
         self, peer: reports.Peer, counts: reports.Counts, now: float
@@ -274,7 +274,9 @@
                     target.slowness = ratios.get(
                         target.id, speeds.UNKNOWN_RATIO
                     )
-            self._gate.decisions.vms = self._peers.circulation.near_heard(now)
+            self._gate.admission.vm_count = self._peers.circulation.near_heard(
+                now
+            )
             self._budget.set_vms(len(self._peers.by_node) + 1)
 
     async def _lead(self) -> None:
@@ -304,7 +306,7 @@
 
     def apply_config(self, config: model.Config) -> None:
         """Puts a configuration in force, unless a newer one is."""
-        self._handler.is_config_unread = False
+        self._handler.is_new_config_invalid = False
         known = self._handler.config
         if known is not None and known.version >= config.version:
             return
@@ -322,7 +324,7 @@
 
     def note_bad_config(self, error: errors.SwiftstileError) -> None:
         """Says that a configuration can't be used; the last one stays."""
-        self._handler.is_config_unread = True
+        self._handler.is_new_config_invalid = True
         self.meters.refusals.add("bad-config")
         logs.logger.error("configuration refused", error=str(error))
 
@@ -341,7 +343,7 @@
                 for name, key_map in self._maps.by_service.items()
             },
             "crashing_requests": [
-                digest.hex() for digest in self._suspects.blamed()
+                digest.hex() for digest in self._suspects.identified_causes()
             ],
             "meters": self.meters.snapshot(),
         }
--- a/src/swiftstile/gateway/exchange.py
+++ b/src/swiftstile/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request to one upstream, and the check that the answer is its own."""
+"""Sends one request to one upstream and validates the response."""
 
 import asyncio
 import collections.abc
@@ -15,13 +15,13 @@
 from swiftstile.gateway import outcomes
 from swiftstile.gateway import targets
 
-__all__ = ["Answer", "Call", "Exchange"]
+__all__ = ["Call", "UpstreamClient", "UpstreamResponse"]
 
-# Answers up to this size are read whole before their head goes to the caller,
-# so that a broken one can be told from a whole one.
-WHOLE_BYTES = 1 << 20
-# How much longer to wait for an upstream that ends at the deadline it got: its
-# own word on what became of the request is worth more than ours.
+# Responses up to this size are read completely before their head is sent to the
+# caller, so that a truncated one can still be reported as an error.
+MAX_BUFFERED_BYTES = 1 << 20
+# Extra wait for the response of an upstream that stops at the deadline it was
+# given. Its own report of the outcome is more precise than a timeout here.
 DEADLINE_GRACE_S = 0.04
 
 
@@ -32,15 +32,15 @@
         method: HTTP method.
         target: Path and query, as received.
         headers: The caller's headers.
-        inbound: What they say.
-        body: The body; None if it is too long to keep.
-        stream: The body in pieces, where `body` is None. It can be read once.
-        length: Length of a streamed body, if the caller said.
-        end: When its answer is of no use any more, on the steady clock.
-        is_repeatable: Whether it may run more than once.
-        first_part: What was read of a streamed body before it is sent.
-        caller: Who sent it.
-        is_trial: Whether it is sent to find out if it still crashes upstreams.
+        inbound: Values parsed from the headers.
+        body: The body; None if it is too long to buffer.
+        stream: Chunks of the body if `body` is None. It can be read once.
+        length: Length of a streamed body, if known.
+        end: Deadline after which a response is useless, on the monotonic clock.
+        is_idempotent: Whether it may run more than once.
+        first_part: Start of a streamed body that was read before sending.
+        caller: Identity or address of the caller.
+        is_probe: Whether it is sent to test if it still crashes upstreams.
     """
 
     method: str
@@ -50,14 +50,14 @@
     body: bytes | None
     stream: collections.abc.AsyncIterator[bytes] | None
     length: int | None
-    end: float
-    is_repeatable: bool = False
+    deadline: float
+    is_idempotent: bool = False
     first_part: bytes = b""
     caller: str = ""
-    is_trial: bool = False
+    is_probe: bool = False
 
     def digest(self) -> fingerprint.Digest:
-        """Returns what tells it from other requests, when it comes again."""
+        """Returns a digest that recognises repetitions of the request."""
         return fingerprint.digest(
             self.method,
             self.headers.get("Host", ""),
@@ -68,32 +68,33 @@
         )
 
     @property
-    def can_repeat(self) -> bool:
+    def can_resend(self) -> bool:
         """Whether the body can be sent more than once."""
         return self.body is not None
 
 
-class Answer(msgspec.Struct):
-    """An upstream's answer.
+class UpstreamResponse(msgspec.Struct):
+    """An upstream's response.
 
     Attributes:
         status: HTTP status.
         headers: Headers for the caller.
-        body: The whole body, or None if it is passed on as it comes.
-        rest: The stream of the body, where `body` is None.
-        verdict: What its head said.
-        finish: Ends the exchange once the rest was passed on.
+        body: The complete body, or None if it is streamed.
+        stream: The stream of the body if `body` is None.
+        verdict: Interpretation of its status and headers.
+        finish: Ends the exchange after streaming. Takes whether the body was
+            relayed completely.
     """
 
     status: int
     headers: list[tuple[str, str]]
     body: bytes | None
-    rest: object
+    stream: object
     verdict: interfaces.Verdict
     finish: collections.abc.Callable[[bool], None]
 
 
-class Exchange:
+class UpstreamClient:
     """Sends requests over pooled connections."""
 
     def __init__(
@@ -104,55 +105,62 @@
         self._pool = pool
         self._dialect = dialect
 
-    async def send(self, call: Call, target: targets.Target) -> Answer:
-        """Sends a request and returns its answer.
+    async def send(
+        self, call: Call, target: targets.Target
+    ) -> UpstreamResponse:
+        """Sends a request and returns the response.
 
         Raises:
             UpstreamUnreachableError: Nothing was sent.
-            NotRunError: The upstream said that it didn't run it.
-            TimedOutError: No answer in time; it may have run.
-            UnknownOutcomeError: No whole answer of its own; it may have run.
+            NotRunError: The upstream reported that it didn't run the request.
+            TimedOutError: No response in time; the request may have run.
+            UnknownOutcomeError: No complete and valid response; the request may
+                have run.
         """
         address = target.upstream.address
         try:
-            connection = await self._pool.take(address, call.is_repeatable)
+            connection = await self._pool.acquire(address, call.is_idempotent)
         except errors.PeerUnavailableError as error:
             raise outcomes.UpstreamUnreachableError(
                 str(error), step="connect", peer=target.id
             ) from error
-        is_kept = False
+        keeps_connection = False
         try:
-            left_s = call.end - clocks.monotonic()
+            left_s = call.deadline - clocks.monotonic()
             if left_s <= 0:
                 raise outcomes.UpstreamUnreachableError(
                     "no time left", step="connect", peer=target.id
                 )
             async with asyncio.timeout(left_s + DEADLINE_GRACE_S):
-                answer = await self._converse(call, target, connection, left_s)
-            is_kept = True
-            return answer
+                response = await self._run_exchange(
+                    call, target, connection, left_s
+                )
+            keeps_connection = True
+            return response
         except TimeoutError as error:
             raise outcomes.TimedOutError(
                 "no answer in time", step="read answer", peer=target.id
             ) from error
         except outcomes.NotRunError:
-            is_kept = True
+            keeps_connection = True
             raise
         except connections.EXCHANGE_ERRORS as error:
-            self._pool.note_broken(connection, clocks.monotonic())
-            unknown = outcomes.UnknownOutcomeError(
+            self._pool.on_broken(connection, clocks.monotonic())
+            outcome_error = outcomes.UnknownOutcomeError(
                 repr(error), step="read answer", peer=target.id
             )
-            unknown.is_broken = not connection.has_answered
-            raise unknown from error
+            outcome_error.is_connection_broken = not connection.has_response
+            raise outcome_error from error
         finally:
-            if not is_kept:
+            if not keeps_connection:
                 connection.abort()
 
-    async def _converse(self, call, target, connection, left_s) -> Answer:
+    async def _run_exchange(
+        self, call, target, connection, left_s
+    ) -> UpstreamResponse:
         data = self._encode(call, target, left_s)
         try:
-            connection.start(call.method, data)
+            connection.send_request(call.method, data)
         except errors.PeerUnavailableError as error:
             raise outcomes.UpstreamUnreachableError(
                 str(error), step="send", peer=target.id
@@ -161,11 +169,11 @@
             return await self._receive(call, target, connection)
         sender = asyncio.create_task(_send_stream(call, connection))
         try:
-            answer = await self._receive(call, target, connection)
+            response = await self._receive(call, target, connection)
             if not sender.done():
-                # The rest of the body would be due on this connection.
+                # Not reusable before the rest of the body was sent.
                 connection.is_usable = False
-            return answer
+            return response
         finally:
             if not sender.done():
                 sender.cancel()
@@ -188,30 +196,30 @@
         head = "\r\n".join(lines) + "\r\n\r\n"
         return head.encode("utf-8", "surrogateescape") + body
 
-    async def _receive(self, call, target, connection) -> Answer:
+    async def _receive(self, call, target, connection) -> UpstreamResponse:
         while True:
             head = await connection.next_head()
             verdict = self._dialect.judge(head.status, head.headers)
-            wanted = call.inbound.attempt_id
-            if verdict.attempt_id in ("", wanted):
+            expected_id = call.inbound.attempt_id
+            if verdict.attempt_id in ("", expected_id):
                 break
-            # A late second answer to an earlier request.
+            # A late duplicate response to an earlier request.
             await head.payload.read()
-        if verdict.attempt_id != wanted:
+        if verdict.attempt_id != expected_id:
             raise outcomes.UnknownOutcomeError(
                 "answer without id", step="check answer", peer=target.id
             )
         if verdict.load is not None:
             target.note_load(verdict.load, clocks.monotonic())
         if verdict.kind is not interfaces.AnswerKind.RAN:
-            await self._refusal(head, verdict, connection, target)
+            await self._raise_not_run(head, verdict, connection, target)
         if not verdict.is_sound:
             raise outcomes.UnknownOutcomeError(
                 "unsigned or encoded", step="check answer", peer=target.id
             )
-        return await self._body(head, verdict, target, connection)
+        return await self._read_response(head, verdict, target, connection)
 
-    async def _refusal(self, head, verdict, connection, target) -> None:
+    async def _raise_not_run(self, head, verdict, connection, target) -> None:
         kind = outcomes.NotRunError
         if verdict.kind is interfaces.AnswerKind.MISDIRECTED:
             kind = outcomes.MisdirectedError
@@ -220,25 +228,27 @@
         try:
             await head.payload.read()
             connection.finish(head)
-            self._pool.give_back(target.upstream.address, connection)
+            self._pool.release(target.upstream.address, connection)
         except connections.EXCHANGE_ERRORS:
-            # The head was whole, and it says all there is to know.
+            # The head was complete, and only that is needed.
             connection.abort()
         error = kind(f"status {head.status}", step="send", peer=target.id)
         load = verdict.load
-        error.had_room = load is not None and load.running < load.slots
+        error.had_free_slot = load is not None and load.running < load.slots
         raise error
 
-    async def _body(self, head, verdict, target, connection) -> Answer:
+    async def _read_response(
+        self, head, verdict, target, connection
+    ) -> UpstreamResponse:
         headers = self._dialect.answer_headers(head.headers)
         address = target.upstream.address
         length = head.headers.get("Content-Length", "")
-        is_long = length.isdigit() and int(length) > WHOLE_BYTES
+        is_long = length.isdigit() and int(length) > MAX_BUFFERED_BYTES
 
         def finish(is_whole: bool) -> None:
             if is_whole:
                 connection.finish(head)
-                self._pool.give_back(address, connection)
+                self._pool.release(address, connection)
             else:
                 connection.abort()
 
@@ -246,7 +256,9 @@
         if not is_long:
             body = await head.payload.read()
             finish(True)
-        return Answer(head.status, headers, body, head.payload, verdict, finish)
+        return UpstreamResponse(
+            head.status, headers, body, head.payload, verdict, finish
+        )
 
 
 async def _send_stream(call: Call, connection) -> None:
@@ -254,32 +266,34 @@
     async for piece in call.stream:
         if is_chunked:
             piece = b"%x\r\n%b\r\n" % (len(piece), piece)
-        await connection.send_more(piece)
+        await connection.send_body(piece)
     if is_chunked:
-        await connection.send_more(b"0\r\n\r\n")
+        await connection.send_body(b"0\r\n\r\n")
 
 
-async def relay(
-    request: web_request.BaseRequest, answer: Answer
+async def stream_response(
+    request: web_request.BaseRequest, upstream_response: UpstreamResponse
 ) -> web_response.StreamResponse:
-    """Passes a long answer on as it comes.
+    """Streams a long response to the caller.
 
-    A break on either side breaks the caller's connection, so that the answer
-    doesn't look whole.
+    If either side fails, the caller's connection is aborted, so that the
+    truncated response doesn't appear complete.
     """
-    response = web_response.StreamResponse(status=answer.status)
-    for name, value in answer.headers:
+    response = web_response.StreamResponse(status=upstream_response.status)
+    for name, value in upstream_response.headers:
         response.headers.add(name, value)
-    response.content_length = int(dict(answer.headers).get("Content-Length", 0))
+    response.content_length = int(
+        dict(upstream_response.headers).get("Content-Length", 0)
+    )
     is_whole = False
     try:
         await response.prepare(request)
-        async for piece in answer.rest.iter_any():
+        async for piece in upstream_response.stream.iter_any():
             await response.write(piece)
         await response.write_eof()
         is_whole = True
         return response
     finally:
-        answer.finish(is_whole)
+        upstream_response.finish(is_whole)
         if not is_whole and request.transport is not None:
             request.transport.abort()
--- a/src/swiftstile/gateway/front.py
+++ b/src/swiftstile/gateway/front.py
@@ -1,4 +1,4 @@
-"""The side of the gateway that faces callers and the platform's balancer."""
+"""HTTP servers for callers and for the platform's load balancer."""
 
 import asyncio
 
@@ -14,13 +14,13 @@
 from swiftstile import metrics
 from swiftstile import pacing
 from swiftstile import settings as settings_lib
-from swiftstile.gateway import arrivals
+from swiftstile.gateway import caller_requests
 from swiftstile.gateway import callers
 from swiftstile.gateway import handler as handler_lib
 from swiftstile.gateway import model
 from swiftstile.gateway import outcomes
 
-__all__ = ["Front", "ReadyPage"]
+__all__ = ["Front", "ReadinessServer"]
 
 _HEADER_TOO_LARGE = 431
 _BAD_REQUEST = 400
@@ -35,18 +35,19 @@
     message: str
 
 
-class Front(arrivals.Responder):
+class Front(caller_requests.Responder):
     """Serves callers over HTTP.
 
     Attributes:
-        is_leaving: Connections end as soon as what was begun is answered.
-        is_closed: New requests are turned away.
+        is_leaving: Whether connections are closed once the requests in progress
+            have been answered.
+        is_closed: Whether new requests are rejected.
     """
 
     def __init__(
         self,
         listen: str,
-        handler: handler_lib.Handler,
+        handler: handler_lib.RequestHandler,
         meters: metrics.Meters,
     ):
         self._listen = listen
@@ -59,14 +60,14 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that were read and have no answer yet."""
-        return sum(connection.active for connection in self._connections)
+        """Number of requests that have been read but not answered."""
+        return sum(connection.pending_count for connection in self._connections)
 
     async def start(self) -> None:
         """Starts to listen.
 
         Raises:
-            SettingsError: It can't, as when the port is taken.
+            SettingsError: Listening failed, for example as the port is in use.
         """
         loop = asyncio.get_running_loop()
         self._listener = await _listen(
@@ -76,32 +77,35 @@
         )
 
     def stop_listening(self) -> None:
-        """Takes no new connections."""
+        """Stops accepting connections."""
         self._listener.close()
 
     def close_idle(self) -> None:
-        """Closes connections on which no request is being served."""
+        """Closes connections without requests in progress."""
         for connection in list(self._connections):
-            if not connection.active and connection.head_at is None:
+            if (
+                not connection.pending_count
+                and connection.head_started_at is None
+            ):
                 connection.close()
 
-    async def enforce_limits(self) -> None:
-        """Closes connections that are idle or slow beyond the limits."""
+    async def enforce_timeouts(self) -> None:
+        """Closes connections that exceed the idle or header timeout."""
         while True:
             await pacing.pause(_SWEEP_INTERVAL_S)
             config = self._handler.config
             limits = model.Limits() if config is None else config.limits
             now = clocks.monotonic()
             for connection in list(self._connections):
-                if connection.is_overdue(
+                if connection.has_timed_out(
                     limits.header_timeout_s, limits.idle_timeout_s, now
                 ):
                     self._meters.refusals.add("connection-limit")
                     connection.close()
 
-    def may_overlap(self, request: web_request.BaseRequest) -> bool:
+    def may_run_concurrently(self, request: web_request.BaseRequest) -> bool:
         """See base class."""
-        return self._handler.may_overlap(request)
+        return self._handler.may_run_concurrently(request)
 
     def respond_malformed(
         self, error: Exception
@@ -113,26 +117,26 @@
         return web_response.Response(status=status, text="malformed request")
 
     async def respond(
-        self, arrival: arrivals.Arrival
+        self, incoming: caller_requests.IncomingRequest
     ) -> web_response.StreamResponse:
         """See base class."""
         try:
             if self.is_closed:
                 raise outcomes.NotReadyError("about to stop", step="accept")
-            response = await self._handler.answer(arrival)
+            response = await self._handler.handle(incoming)
             outcome = "answered"
         except outcomes.GatewayError as error:
-            response = _failure(error)
+            response = _error_response(error)
             outcome = error.reason
         except asyncio.CancelledError:
             self._meters.requests.add("cancelled")
             raise
         except Exception as error:
             logs.logger.exception("request failed")
-            response = _failure(_internal(error))
+            response = _error_response(_internal_error(error))
             outcome = "internal"
         self._meters.requests.add(outcome)
-        self._meters.durations.record(clocks.monotonic() - arrival.arrived)
+        self._meters.durations.record(clocks.monotonic() - incoming.arrived)
         return response
 
 
@@ -148,7 +152,7 @@
         ) from error
 
 
-def _failure(error: outcomes.GatewayError) -> web_response.Response:
+def _error_response(error: outcomes.GatewayError) -> web_response.Response:
     body = _ErrorBody(error.reason, error.step, error.peer, str(error))
     response = web_response.Response(
         status=error.status,
@@ -160,12 +164,12 @@
     return response
 
 
-def _internal(error: Exception) -> outcomes.UnknownOutcomeError:
+def _internal_error(error: Exception) -> outcomes.UnknownOutcomeError:
     return outcomes.UnknownOutcomeError(repr(error), step="handle request")
 
 
-class ReadyPage:
-    """Tells the balancer whether this VM should get new connections."""
+class ReadinessServer:
+    """Readiness endpoint: whether this VM should get new connections."""
 
     def __init__(self, listen: str, is_ready):
         self._listen = listen
@@ -175,7 +179,7 @@
         """Starts to listen.
 
         Raises:
-            SettingsError: It can't, as when the port is taken.
+            SettingsError: Listening failed, for example as the port is in use.
         """
         server = web_server.Server(self._handle, access_log=None)
         await _listen(server, self._listen, "serve the ready page")
--- a/src/swiftstile/gateway/suspects.py
+++ b/src/swiftstile/gateway/suspects.py
@@ -1,13 +1,13 @@
-"""Which requests crash the upstreams that run them: decisions only.
+"""Identifies requests that crash the upstreams that run them.
 
-A request is a suspect of a crash if it was being worked on there when the
-upstream fell. It is no longer one as soon as any upstream answers it. One that
-was there in several crashes and never got an answer is taken for their cause,
-unless another one explains them as well (causes.py).
+Pure decision code without I/O. A request is a suspect of a crash if it was in
+progress at the upstream when that crashed. It is cleared as soon as any
+upstream answers it. A suspect of several crashes that was never answered is
+regarded as their cause, unless another request explains them (causes.py).
 
-Assumed: a request that was ever answered crashes nothing. Each VM remembers
-what it answered lately, so one that comes often is cleared by whichever VM
-answered it.
+This assumes that a request that was ever answered doesn't crash upstreams. Each
+VM remembers the requests that it answered recently, so that a frequent request
+is cleared by any VM that answered it.
 """
 
 import enum
@@ -18,54 +18,56 @@
 from swiftstile.gateway import causes
 from swiftstile.gateway import fingerprint
 
-__all__ = ["Suspects", "Suspicion", "Verdict"]
-
-# A suspect of so many crashes isn't sent again by us in the same attempt.
-CRASHES_TO_STOP = 2
-# A cause is refused from so long after it was found: a VM that answered it
-# lately has told so by then. After the most crashes nobody is waited for.
-CONTRADICTED_WITHIN_S = 1.2
-# No upstream gets it for so long after its last crash; then one VM tries it. By
-# the least crashes it may yet be an ordinary one.
+__all__ = ["SuspectReport", "SuspectTable", "Verdict"]
+
+# A suspect of this many crashes isn't resent within the same attempt.
+CRASHES_TO_STOP_RESENDS = 2
+# A cause is rejected only this long after it was identified, so that a VM that
+# answered it recently has time to report this. There is no such delay after
+# causes.CERTAIN_CRASHES.
+CONTRADICTION_PERIOD_S = 1.2
+# A cause isn't sent to any upstream for this long after its last crash; then
+# one VM probes it. The first value applies up to causes.MIN_CRASHES, when it
+# may still be an ordinary request.
 FIRST_QUARANTINE_S, QUARANTINE_S = 20.0, 300.0
-# At most so often, and until it is forgotten.
-TRIAL_EVERY_S = 60.0
-FORGOTTEN_AFTER_S = 1800.0
-# A suspect of a single crash, or an answered one, is forgotten sooner.
-WEAK_LIFE_S = 60.0
-# Answered requests that are remembered, the newest.
-MOST_ANSWERED = 4096
-# Suspects that are kept; those of the fewest crashes go first.
-MOST_KEPT = 512
-# Crashes that are kept of one request.
-MOST_CRASHES_KEPT = 8
-# News of a suspect are told in each report for so long.
-NEWS_S = 3.0
-# Told by several VMs, the time of one answer differs by less than this.
-_SAME_ANSWER_S = 1.0
-# Suspects in one report: the newest, and some of the others in turn.
-MOST_NEWS, MOST_OTHERS = 8, 2
+# Minimum interval of probes, and when an unchanged suspect is dropped.
+PROBE_INTERVAL_S = 60.0
+SUSPECT_TTL_S = 1800.0
+# When a suspect of a single crash, or one that was answered, is dropped.
+WEAK_SUSPECT_TTL_S = 60.0
+# Maximum answered requests that are remembered.
+MAX_ANSWERED = 4096
+# Maximum suspects; those of the fewest crashes are dropped first.
+MAX_SUSPECTS = 512
+# Maximum crashes that are stored for one suspect.
+MAX_CRASHES_PER_SUSPECT = 8
+# How long a change of a suspect is included in every report.
+CHANGE_REPORT_PERIOD_S = 3.0
+# Maximum difference of the times that several VMs report for one response.
+_RESPONSE_TIME_TOLERANCE_S = 1.0
+# Maximum suspects in one report: recently changed ones, and others in rotation.
+MAX_CHANGED_REPORTED, MAX_OTHERS_REPORTED = 8, 2
 
 
 class Verdict(enum.Enum):
     """What to do with a request."""
 
     PASS = "pass"
-    # Sent, but not once more by us.
-    PASS_ONCE = "pass-once"
-    REFUSE = "refuse"
-    # It was refused for long; one VM may find out whether it still crashes.
-    TRY = "try"
+    # Sent once, without retries by the gateway.
+    PASS_WITHOUT_RETRY = "pass-without-retry"
+    REJECT = "reject"
+    # Sent after a quarantine, to test whether it still crashes upstreams.
+    PROBE = "probe"
 
 
-class Suspicion(msgspec.Struct, array_like=True):
-    """What a VM tells of a suspect.
+class SuspectReport(msgspec.Struct, array_like=True):
+    """A VM's report on a suspect.
 
     Attributes:
         digest: The request.
-        crashes: How long ago each of its crashes was, and how long before that
-            it was sent, in milliseconds.
-        answered_ms: How long ago it was answered; None if it wasn't.
+        crashes: Age of each of its crashes, and the time from sending it to the
+            crash, in milliseconds.
+        answered_ms: Age of its last response; None if it wasn't answered.
     """
 
     digest: fingerprint.Digest
@@ -74,11 +76,11 @@
 
 
 class _Crash(typing.NamedTuple):
-    """A crash at which a request was there.
+    """A crash during which a request was in progress.
 
     Attributes:
-        at: When it was, on the steady clock.
-        sent_s: How long before that the request was sent.
+        at: Time of the crash, on the monotonic clock.
+        sent_s: Time from sending the request to the crash, in seconds.
     """
 
     at: float
@@ -86,296 +88,319 @@
 
 
 class _Suspect:
-    """What is known of one request."""
+    """State of one suspected request."""
 
     __slots__ = (
         "answered_at",
         "by_crash",
         "cause_since",
-        "most_crashes",
-        "news_at",
-        "tried_at",
+        "changed_at",
+        "max_crashes",
+        "probed_at",
     )
 
     def __init__(self, now: float):
         self.by_crash: dict[causes.CrashId, _Crash] = {}
         self.answered_at = float("-inf")
-        # Since when it is taken for a cause; None if it isn't.
+        # When it was identified as a cause; None if it isn't one.
         self.cause_since: float | None = None
-        # Most crashes that it was ever a suspect of, also before an answer.
-        self.most_crashes = 0
-        self.news_at = now
-        self.tried_at = float("-inf")
+        # Highest number of crashes it was a suspect of, including crashes that
+        # a response has cleared since.
+        self.max_crashes = 0
+        self.changed_at = now
+        self.probed_at = float("-inf")
 
     @property
-    def last_at(self) -> float:
-        """When anything was last known to happen to it."""
+    def last_event_at(self) -> float:
+        """Time of its last crash or response."""
         times = [crash.at for crash in self.by_crash.values()]
         return max([*times, self.answered_at])
 
     @property
     def is_serious(self) -> bool:
-        """Whether it was a suspect of several crashes, ever."""
-        return self.most_crashes >= CRASHES_TO_STOP
+        """Whether it was ever a suspect of several crashes."""
+        return self.max_crashes >= CRASHES_TO_STOP_RESENDS
 
     @property
-    def matters(self) -> bool:
-        """Whether other VMs decide otherwise for knowing of it."""
+    def is_relevant(self) -> bool:
+        """Whether it influences decisions of other VMs."""
         return self.is_serious or bool(self.by_crash)
 
     @property
     def quarantined_until(self) -> float:
-        """Until when no upstream gets it."""
-        is_new = len(self.by_crash) <= causes.LEAST_CRASHES
-        return self.last_at + (FIRST_QUARANTINE_S if is_new else QUARANTINE_S)
+        """Time until which it isn't sent to any upstream."""
+        is_new = len(self.by_crash) <= causes.MIN_CRASHES
+        return self.last_event_at + (
+            FIRST_QUARANTINE_S if is_new else QUARANTINE_S
+        )
 
-    def is_surely_cause(self, now: float) -> bool:
-        """Whether it is taken for a cause, and nobody contradicted."""
+    def is_confirmed_cause(self, now: float) -> bool:
+        """Whether it is a cause and the time to contradict is over."""
         if self.cause_since is None:
             return False
-        is_plain = len(self.by_crash) >= causes.MOST_CRASHES
-        return is_plain or now - self.cause_since >= CONTRADICTED_WITHIN_S
+        is_certain = len(self.by_crash) >= causes.CERTAIN_CRASHES
+        return is_certain or now - self.cause_since >= CONTRADICTION_PERIOD_S
 
-    def add(self, name: causes.CrashId, crash: _Crash) -> bool:
-        """Takes in a crash; returns whether it is news."""
+    def add_crash(self, name: causes.CrashId, crash: _Crash) -> bool:
+        """Adds a crash; returns whether that changed anything."""
         if crash.at <= self.answered_at or name in self.by_crash:
             return False
-        if len(self.by_crash) >= MOST_CRASHES_KEPT:
+        if len(self.by_crash) >= MAX_CRASHES_PER_SUSPECT:
             oldest = min(self.by_crash, key=self.by_crash.get)
             del self.by_crash[oldest]
         self.by_crash[name] = crash
-        self.most_crashes = max(self.most_crashes, len(self.by_crash))
+        self.max_crashes = max(self.max_crashes, len(self.by_crash))
         return True
 
-    def answer(self, at: float) -> bool:
-        """Takes in an answer; returns whether it is news."""
+    def record_response(self, at: float) -> bool:
+        """Records a response; returns whether that changed anything."""
         later = {
             name: crash
             for name, crash in self.by_crash.items()
             if crash.at > at
         }
         clears = len(later) < len(self.by_crash)
-        if not clears and at <= self.answered_at + _SAME_ANSWER_S:
+        if not clears and at <= self.answered_at + _RESPONSE_TIME_TOLERANCE_S:
             return False
         self.answered_at = max(self.answered_at, at)
         self.by_crash = later
         return True
 
 
-class Suspects:
-    """Finds the requests that crash upstreams, by what all VMs saw."""
+class SuspectTable:
+    """Identifies requests that crash upstreams, from reports of all VMs."""
 
     def __init__(self):
         self._by_digest: dict[fingerprint.Digest, _Suspect] = {}
-        # In the order of the last answer.
+        # Ordered by the time of the last response.
         self._answered: dict[fingerprint.Digest, None] = {}
-        self._turn = 0
+        self._rotation = 0
 
     def __len__(self) -> int:
         return len(self._by_digest)
 
     def crashes(self, digest: fingerprint.Digest) -> int:
-        """Returns the crashes of which a request is a suspect."""
-        known = self._by_digest.get(digest)
-        return 0 if known is None else len(known.by_crash)
+        """Returns the number of crashes that a request is a suspect of."""
+        suspect = self._by_digest.get(digest)
+        return 0 if suspect is None else len(suspect.by_crash)
 
-    def blamed(self) -> list[fingerprint.Digest]:
-        """Returns the requests that are taken for causes."""
+    def identified_causes(self) -> list[fingerprint.Digest]:
+        """Returns the requests identified as causes of crashes."""
         return [
             digest
-            for digest, known in self._by_digest.items()
-            if known.cause_since is not None
+            for digest, suspect in self._by_digest.items()
+            if suspect.cause_since is not None
         ]
 
-    def note_crash(
+    def record_crash(
         self,
         digest: fingerprint.Digest,
         crash: causes.CrashId,
         sent_s: float,
         now: float,
     ) -> None:
-        """An upstream fell while it had a request.
+        """Records that an upstream crashed while it had a request.
 
         Args:
             digest: The request.
             crash: The crash.
-            sent_s: How long before it the request was sent, in seconds.
-            now: The time.
+            sent_s: Time from sending the request to the crash, in seconds.
+            now: The current time.
         """
         if digest in self._answered:
             return
-        known = self._by_digest.get(digest)
-        if known is None:
-            known = self._by_digest[digest] = _Suspect(now)
-        if known.add(crash, _Crash(now, sent_s)):
-            known.news_at = now
-            self._judge(now)
-
-    def note_answer(self, digest: fingerprint.Digest, now: float) -> bool:
-        """A request was answered; returns whether it was a suspect."""
+        suspect = self._by_digest.get(digest)
+        if suspect is None:
+            suspect = self._by_digest[digest] = _Suspect(now)
+        if suspect.add_crash(crash, _Crash(now, sent_s)):
+            suspect.changed_at = now
+            self._update_causes(now)
+
+    def record_response(self, digest: fingerprint.Digest, now: float) -> bool:
+        """Records a response to a request; returns whether it was suspected."""
         self._answered.pop(digest, None)
         self._answered[digest] = None
-        if len(self._answered) > MOST_ANSWERED:
+        if len(self._answered) > MAX_ANSWERED:
             del self._answered[next(iter(self._answered))]
-        return self._clear(digest, now)
+        return self._record_clearance(digest, now)
 
-    def forget(self, digest: fingerprint.Digest, now: float) -> bool:
-        """An operator clears a request; returns whether it was a suspect."""
-        return self._clear(digest, now)
+    def clear(self, digest: fingerprint.Digest, now: float) -> bool:
+        """Clears a request on behalf of an operator.
 
-    def _clear(self, digest: fingerprint.Digest, now: float) -> bool:
-        known = self._by_digest.get(digest)
-        if known is None or not known.by_crash:
+        Returns:
+            Whether it was suspected.
+        """
+        return self._record_clearance(digest, now)
+
+    def _record_clearance(self, digest: fingerprint.Digest, now: float) -> bool:
+        suspect = self._by_digest.get(digest)
+        if suspect is None or not suspect.by_crash:
             return False
-        known.answer(now)
-        known.news_at = now
-        self._judge(now)
+        suspect.record_response(now)
+        suspect.changed_at = now
+        self._update_causes(now)
         return True
 
     def verdict(
         self,
         digest: fingerprint.Digest,
         now: float,
-        is_trier: bool = False,
+        is_prober: bool = False,
     ) -> Verdict:
-        """Returns what to do with a request that came.
+        """Returns what to do with a request.
 
         Args:
             digest: The request.
-            now: The time.
-            is_trier: Whether this VM is the one that tries it after long.
+            now: The current time.
+            is_prober: Whether this VM is the one that probes it after its
+                quarantine.
         """
-        known = self._by_digest.get(digest)
-        if known is None or not known.by_crash:
+        suspect = self._by_digest.get(digest)
+        if suspect is None or not suspect.by_crash:
             return Verdict.PASS
-        if known.is_surely_cause(now):
-            return self._verdict_on_cause(known, now, is_trier)
-        if len(known.by_crash) >= CRASHES_TO_STOP:
-            return Verdict.PASS_ONCE
+        if suspect.is_confirmed_cause(now):
+            return self._verdict_on_cause(suspect, now, is_prober)
+        if len(suspect.by_crash) >= CRASHES_TO_STOP_RESENDS:
+            return Verdict.PASS_WITHOUT_RETRY
         return Verdict.PASS
 
     @staticmethod
     def _verdict_on_cause(
-        known: _Suspect, now: float, is_trier: bool
+        suspect: _Suspect, now: float, is_prober: bool
     ) -> Verdict:
-        if now < known.quarantined_until or not is_trier:
-            return Verdict.REFUSE
-        if now - known.tried_at < TRIAL_EVERY_S:
-            return Verdict.REFUSE
-        known.tried_at = now
-        return Verdict.TRY
-
-    def refused_for_s(self, digest: fingerprint.Digest, now: float) -> float:
-        """Returns how much longer a request is refused, in seconds."""
-        known = self._by_digest.get(digest)
-        if known is None:
+        if now < suspect.quarantined_until or not is_prober:
+            return Verdict.REJECT
+        if now - suspect.probed_at < PROBE_INTERVAL_S:
+            return Verdict.REJECT
+        suspect.probed_at = now
+        return Verdict.PROBE
+
+    def rejected_for_s(self, digest: fingerprint.Digest, now: float) -> float:
+        """Returns how much longer a request is rejected, in seconds."""
+        suspect = self._by_digest.get(digest)
+        if suspect is None:
             return 0.0
-        return max(FIRST_QUARANTINE_S, known.quarantined_until - now)
+        return max(FIRST_QUARANTINE_S, suspect.quarantined_until - now)
 
-    def tell(self, now: float) -> list[Suspicion]:
-        """Returns what to tell other VMs now."""
+    def report(self, now: float) -> list[SuspectReport]:
+        """Returns the suspects to report to other VMs now."""
         if not self._by_digest:
             return []
-        self._forget_old(now)
-        # Those of several crashes first: word of the others changes little, and
-        # that one of them was answered changes nothing.
+        self._expire(now)
+        # Suspects of several crashes go first. Reports on others have little
+        # effect, and reports that these were answered have none.
         by_weight = sorted(
-            (entry for entry in self._by_digest.items() if entry[1].matters),
-            key=lambda entry: (entry[1].most_crashes, entry[1].news_at),
+            (
+                entry
+                for entry in self._by_digest.items()
+                if entry[1].is_relevant
+            ),
+            key=lambda entry: (entry[1].max_crashes, entry[1].changed_at),
             reverse=True,
         )
-        news = [e for e in by_weight if now - e[1].news_at <= NEWS_S]
-        told = news[:MOST_NEWS]
+        changed_recently = [
+            e
+            for e in by_weight
+            if now - e[1].changed_at <= CHANGE_REPORT_PERIOD_S
+        ]
+        chosen = changed_recently[:MAX_CHANGED_REPORTED]
         others = [
             entry
             for entry in by_weight
-            if entry[1].is_serious and entry not in told
+            if entry[1].is_serious and entry not in chosen
+        ]
+        for _ in range(min(MAX_OTHERS_REPORTED, len(others))):
+            self._rotation += 1
+            chosen.append(others[self._rotation % len(others)])
+        return [
+            _make_report(digest, suspect, now) for digest, suspect in chosen
         ]
-        for _ in range(min(MOST_OTHERS, len(others))):
-            self._turn += 1
-            told.append(others[self._turn % len(others)])
-        return [_told(digest, known, now) for digest, known in told]
-
-    def hear(self, told: list[Suspicion], now: float) -> None:
-        """Takes in what another VM tells."""
-        is_news = False
-        for one in told:
-            known = self._by_digest.get(one.digest)
-            if known is None:
-                known = self._by_digest[one.digest] = _Suspect(now)
-            changed = one.answered_ms is not None and known.answer(
-                now - one.answered_ms / 1000
+
+    def receive(self, reports: list[SuspectReport], now: float) -> None:
+        """Applies the report of another VM."""
+        has_changed = False
+        for report in reports:
+            suspect = self._by_digest.get(report.digest)
+            if suspect is None:
+                suspect = self._by_digest[report.digest] = _Suspect(now)
+            changed = (
+                report.answered_ms is not None
+                and suspect.record_response(now - report.answered_ms / 1000)
             )
-            for name, (age_ms, sent_ms) in one.crashes.items():
+            for name, (age_ms, sent_ms) in report.crashes.items():
                 crash = _Crash(now - age_ms / 1000, sent_ms / 1000)
-                changed |= known.add(name, crash)
-            if known.by_crash and one.digest in self._answered:
-                # Others don't know that it was answered.
-                changed |= known.answer(now)
+                changed |= suspect.add_crash(name, crash)
+            if suspect.by_crash and report.digest in self._answered:
+                # The other VMs don't know that it was answered here.
+                changed |= suspect.record_response(now)
             if changed:
-                known.news_at = now
-                is_news = True
-        if is_news:
-            self._judge(now)
-
-    def _judge(self, now: float) -> None:
-        """Finds anew which requests are causes."""
-        self._forget_old(now)
-        self._bound()
-        found = causes.find(
+                suspect.changed_at = now
+                has_changed = True
+        if has_changed:
+            self._update_causes(now)
+
+    def _update_causes(self, now: float) -> None:
+        """Recomputes which requests are causes."""
+        self._expire(now)
+        self._evict()
+        found = causes.find_causes(
             {
                 digest: {
-                    name: crash.sent_s for name, crash in known.by_crash.items()
+                    name: crash.sent_s
+                    for name, crash in suspect.by_crash.items()
                 }
-                for digest, known in self._by_digest.items()
-                if len(known.by_crash) >= CRASHES_TO_STOP
+                for digest, suspect in self._by_digest.items()
+                if len(suspect.by_crash) >= CRASHES_TO_STOP_RESENDS
             }
         )
-        for digest, known in self._by_digest.items():
+        for digest, suspect in self._by_digest.items():
             if digest not in found:
-                known.cause_since = None
-            elif known.cause_since is None:
-                known.cause_since = now
+                suspect.cause_since = None
+            elif suspect.cause_since is None:
+                suspect.cause_since = now
 
-    def _forget_old(self, now: float) -> None:
-        old = [
+    def _expire(self, now: float) -> None:
+        expired = [
             digest
-            for digest, known in self._by_digest.items()
-            if now - max(known.last_at, known.tried_at) > _life_s(known)
+            for digest, suspect in self._by_digest.items()
+            if now - max(suspect.last_event_at, suspect.probed_at)
+            > _ttl_s(suspect)
         ]
-        for digest in old:
+        for digest in expired:
             del self._by_digest[digest]
 
-    def _bound(self) -> None:
-        """Drops the weakest suspects, the least recent first."""
-        surplus = len(self._by_digest) - MOST_KEPT
+    def _evict(self) -> None:
+        """Drops surplus suspects: those of fewest crashes, oldest first."""
+        surplus = len(self._by_digest) - MAX_SUSPECTS
         if surplus <= 0:
             return
         weakest = sorted(
             self._by_digest,
             key=lambda digest: (
                 len(self._by_digest[digest].by_crash),
-                self._by_digest[digest].last_at,
+                self._by_digest[digest].last_event_at,
             ),
         )
         for digest in weakest[:surplus]:
             del self._by_digest[digest]
 
 
-def _life_s(known: _Suspect) -> float:
-    is_weak = len(known.by_crash) < CRASHES_TO_STOP
-    return WEAK_LIFE_S if is_weak else FORGOTTEN_AFTER_S
+def _ttl_s(suspect: _Suspect) -> float:
+    is_weak = len(suspect.by_crash) < CRASHES_TO_STOP_RESENDS
+    return WEAK_SUSPECT_TTL_S if is_weak else SUSPECT_TTL_S
 
 
-def _told(digest: fingerprint.Digest, known: _Suspect, now: float) -> Suspicion:
+def _make_report(
+    digest: fingerprint.Digest, suspect: _Suspect, now: float
+) -> SuspectReport:
     answered_ms = None
-    if known.answered_at > float("-inf"):
-        answered_ms = round((now - known.answered_at) * 1000)
-    return Suspicion(
+    if suspect.answered_at > float("-inf"):
+        answered_ms = round((now - suspect.answered_at) * 1000)
+    return SuspectReport(
         digest,
         {
             name: (round((now - crash.at) * 1000), round(crash.sent_s * 1000))
-            for name, crash in known.by_crash.items()
+            for name, crash in suspect.by_crash.items()
         },
         answered_ms,
     )
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -15,9 +15,9 @@
 from swiftstile.gateway import budget
 from swiftstile.gateway import coldstart
 from swiftstile.gateway import connections
-from swiftstile.gateway import crash_watch
+from swiftstile.gateway import crash_guard
 from swiftstile.gateway import daemon as daemon_lib
-from swiftstile.gateway import decisions
+from swiftstile.gateway import decision_log
 from swiftstile.gateway import exchange
 from swiftstile.gateway import follow
 from swiftstile.gateway import front
@@ -90,7 +90,7 @@
 def gateway(
     settings: settings_lib.GatewaySettings,
     adapters: Adapters,
-    lines: decisions.BoundedLines,
+    lines: decision_log.BoundedLog,
 ) -> daemon_lib.GatewayDaemon:
     """Returns the gateway daemon of one VM.
 
@@ -116,7 +116,7 @@
         self,
         settings: settings_lib.GatewaySettings,
         adapters: Adapters,
-        lines: decisions.BoundedLines,
+        lines: decision_log.BoundedLog,
     ):
         self._lines = lines
         lines.vm = settings.vm.id
@@ -139,7 +139,7 @@
         self._maps = renewals.KeyMaps()
         self._speeds = speeds.SpeedBook()
         self._heat = key_load.KeyLoadTable()
-        self._suspects = suspects.Suspects()
+        self._suspects = suspects.SuspectTable()
         self._peers = gossip.Peers(
             self._node,
             self._on_report,
@@ -197,13 +197,13 @@
             self._drain_s,
         )
         gate = gate_lib.Gate(
-            admission.Admission(
+            admission.AdmissionController(
                 self._book, self._node.domain, self._drain_s, self._cold_limits
             ),
             key_owners.count_request,
         )
         self._registry = registry = registry_lib.Registry(
-            self._book, adapters.decode_upstream, gate.pump, self._meters
+            self._book, adapters.decode_upstream, gate.dispatch, self._meters
         )
         registrations = follow.TableFollower(
             "registrations",
@@ -235,7 +235,7 @@
             self._meters,
         )
         pool = connections.ConnectionPool()
-        self._handler = handler = handler_lib.Handler(
+        self._handler = handler = handler_lib.RequestHandler(
             permits.Permits(
                 self._peers,
                 gate,
@@ -244,7 +244,7 @@
                 self._meters,
                 self._cold_limits,
             ),
-            exchange.Exchange(pool, adapters.dialect),
+            exchange.UpstreamClient(pool, adapters.dialect),
             adapters.dialect,
             self._book,
             key_owners,
@@ -253,7 +253,7 @@
             self._lines,
             self._state,
             operations,
-            crash_watch.CrashWatch(
+            crash_guard.CrashGuard(
                 self._suspects, self._peers, pool, self._meters
             ),
             self._meters,
@@ -322,7 +322,7 @@
                 self._book,
                 self._speeds,
                 self._heat,
-                self._handler.work_s,
+                self._handler.mean_service_time_s,
                 self._now(),
                 self._cold_limits,
                 self._most_ranges,
--- a/tests/integration/test_gateway_callers.py
+++ b/tests/integration/test_gateway_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send further requests before the first is answered."""
+"""Tests connections of callers that pipeline requests."""
 
 import asyncio
 import contextlib
@@ -8,19 +8,21 @@
 from hypothesis import strategies as st
 import pytest
 
-from swiftstile.gateway import arrivals
+from swiftstile.gateway import caller_requests
 from swiftstile.gateway import callers
 
-# Long enough that an order that isn't kept shows.
+# Long enough to reveal responses in the wrong order.
 _SLOW_S = 0.05
 
 
-class _Scripted(arrivals.Responder):
-    """Answers by the path: `/NAME/DELAY_MS/BYTES`, `/x...` on its own only.
+class _Scripted(caller_requests.Responder):
+    """Responds as given by the path, `/NAME/DELAY_MS/BYTES`.
+
+    Requests for `/x...` may not run concurrently with others.
 
     Attributes:
-        begun: Paths in the order in which they were begun.
-        cancelled: Paths that were given up.
+        begun: Paths in the order in which their handling started.
+        cancelled: Paths whose handling was cancelled.
         arrivals: Times of arrival by path.
     """
 
@@ -32,23 +34,23 @@
         self.at_once = 0
         self.most_at_once = 0
 
-    async def respond(self, arrival):
-        path = arrival.request.path
+    async def respond(self, incoming):
+        path = incoming.request.path
         self.begun.append(path)
-        self.arrivals[path] = arrival.arrived
+        self.arrivals[path] = incoming.arrived
         self.at_once += 1
         self.most_at_once = max(self.at_once, self.most_at_once)
         try:
-            return await self._answer(arrival, path)
+            return await self._answer(incoming, path)
         except asyncio.CancelledError:
             self.cancelled.append(path)
             raise
         finally:
             self.at_once -= 1
 
-    async def _answer(self, arrival, path):
+    async def _answer(self, incoming, path):
         _, name, delay_ms, size = path.split("/")
-        body = await arrival.request.read()
+        body = await incoming.request.read()
         gate = self.gates.get(path)
         if gate is not None:
             await gate.wait()
@@ -57,10 +59,10 @@
             return web.Response(status=503, text=path)
         if not name.startswith("long"):
             return web.Response(text=path + "." * int(size) + str(len(body)))
-        await arrival.turn()
+        await incoming.wait_for_turn()
         response = web.StreamResponse()
         response.content_length = len(path)
-        await response.prepare(arrival.request)
+        await response.prepare(incoming.request)
         for byte in path.encode():
             await response.write(bytes([byte]))
         await response.write_eof()
@@ -69,7 +71,7 @@
     def respond_malformed(self, error):
         return web.Response(status=400, text="malformed")
 
-    def may_overlap(self, request):
+    def may_run_concurrently(self, request):
         return request.method == "GET" and not request.path.startswith("/x")
 
 
@@ -85,7 +87,7 @@
         self.writer.write(data.encode())
 
     async def answer(self) -> tuple[int, str, bool]:
-        """Returns status, body and whether the connection ends with it."""
+        """Returns status, body and whether the connection will be closed."""
         head = (await self._reader.readuntil(b"\r\n\r\n")).decode().lower()
         status = int(head.split()[1])
         length = int(head.split("content-length: ")[1].split("\r\n")[0])
@@ -131,7 +133,7 @@
     return responder.gates.setdefault(path, asyncio.Event())
 
 
-def test_a_slow_request_does_not_hold_up_the_work_of_those_behind_it():
+def test_slow_request_does_not_delay_handling_of_later_ones():
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
         paths = ["/slow/0/0", "/a/0/0", "/b/0/0"]
@@ -145,12 +147,12 @@
     _run(scenario)
 
 
-def test_a_request_behind_one_that_runs_once_waits_for_its_turn():
+def test_request_behind_a_non_idempotent_one_waits_for_its_turn():
     async def scenario(responder, caller):
         gate = _gate(responder, "/x1/0/0")
         caller.send("/x1/0/0", "/a/0/0", "/x2/0/0", "/b/0/0")
         await _until(lambda: responder.begun == ["/x1/0/0"])
-        # One that may overlap doesn't begin beside one that may not, either.
+        # A request that may overlap doesn't start beside one that may not.
         await asyncio.sleep(0)
         assert responder.begun == ["/x1/0/0"]
         gate.set()
@@ -161,7 +163,7 @@
     _run(scenario)
 
 
-def test_a_request_behind_one_with_a_body_waits_for_its_turn():
+def test_request_behind_one_with_a_body_waits_for_its_turn():
     async def scenario(responder, caller):
         caller.writer.write(
             b"POST /p/20/0 HTTP/1.1\r\nHost: a.example\r\n"
@@ -175,7 +177,7 @@
     _run(scenario)
 
 
-def test_nothing_behind_a_request_that_closes_is_begun():
+def test_requests_behind_a_closing_one_are_not_started():
     async def scenario(responder, caller):
         caller.send("/a/20/0", extra="Connection: close\r\n")
         caller.send("/b/0/0")
@@ -186,7 +188,7 @@
     _run(scenario)
 
 
-def test_what_was_begun_is_answered_before_a_leaving_vm_closes():
+def test_started_requests_are_answered_before_a_draining_vm_closes():
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
         caller.send("/slow/0/0", "/a/0/0")
@@ -198,13 +200,13 @@
         assert await caller.answer() == (200, "/slow/0/00", False)
         assert await caller.answer() == (200, "/a/0/00", True)
         assert await caller.has_ended()
-        # Behind the answer that closes: to be taken as not read.
+        # Requests behind the closing response were not handled.
         assert responder.begun == ["/slow/0/0", "/a/0/0"]
 
     _run(scenario)
 
 
-def test_a_failure_between_two_answers_leaves_both_whole():
+def test_error_between_two_responses_leaves_both_complete():
     async def scenario(responder, caller):
         caller.send("/a/30/0", "/fail/0/0", "/b/10/5")
         assert await caller.answer() == (200, "/a/30/00", False)
@@ -214,7 +216,7 @@
     _run(scenario)
 
 
-def test_a_long_answer_is_written_at_its_turn():
+def test_streamed_response_is_written_at_its_turn():
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
         caller.send("/slow/0/0", "/long/0/0", "/b/0/0")
@@ -228,7 +230,7 @@
     _run(scenario)
 
 
-def test_a_caller_that_leaves_ends_all_work():
+def test_disconnect_of_a_caller_cancels_all_its_requests():
     async def scenario(responder, caller):
         paths = [f"/a{i}/5000/0" for i in range(3)]
         caller.send(*paths)
@@ -239,29 +241,29 @@
     _run(scenario)
 
 
-def test_one_caller_cannot_take_all_slots():
+def test_concurrent_requests_of_one_caller_are_limited():
     async def scenario(responder, caller):
-        paths = [f"/a{i}/2/0" for i in range(3 * callers.MAX_UNANSWERED)]
+        paths = [f"/a{i}/2/0" for i in range(3 * callers.MAX_PENDING_REQUESTS)]
         caller.send(*paths)
         for path in paths:
             assert (await caller.answer())[1] == path + "0"
         assert responder.begun == paths
-        assert 1 < responder.most_at_once <= callers.MAX_OVERLAPPING
+        assert 1 < responder.most_at_once <= callers.MAX_CONCURRENT_REQUESTS
 
     _run(scenario)
 
 
-def test_answers_that_wait_are_bounded_in_bytes():
+def test_size_of_waiting_responses_is_limited():
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
-        size = callers.MAX_HELD_BYTES
+        size = callers.MAX_FINISHED_BYTES
         paths = [f"/a{i}/0/{size}" for i in range(4)]
         caller.send("/slow/0/0", paths[0])
         await _until(lambda: len(responder.begun) == 2)
         await asyncio.sleep(_SLOW_S)
         caller.send(*paths[1:])
         await asyncio.sleep(_SLOW_S)
-        # One answer fills the room: none of the others is begun.
+        # One response fills the buffer, so that no other request is started.
         assert responder.begun == ["/slow/0/0", paths[0]]
         gate.set()
         assert (await caller.answer())[1] == "/slow/0/00"
@@ -271,9 +273,9 @@
     _run(scenario)
 
 
-def test_the_time_of_a_request_counts_from_its_head():
+def test_arrival_time_is_the_time_of_the_head():
     async def scenario(responder, caller):
-        count = callers.MAX_OVERLAPPING + 4
+        count = callers.MAX_CONCURRENT_REQUESTS + 4
         paths = [f"/a{i}/20/0" for i in range(count)]
         caller.send(*paths)
         for _ in paths:
@@ -284,7 +286,7 @@
     _run(scenario)
 
 
-def test_what_cannot_be_read_takes_nothing_along_that_came_with_it():
+def test_malformed_request_does_not_affect_earlier_ones_in_the_same_read():
     async def scenario(_responder, caller):
         head = "GET /a/5/0 HTTP/1.1\r\nHost: a.example\r\n\r\n"
         caller.writer.write(head.encode() * 2 + b"no request\r\n\r\n")
@@ -295,7 +297,7 @@
     _run(scenario)
 
 
-def test_what_cannot_be_read_is_answered_after_what_could():
+def test_malformed_request_is_answered_after_earlier_ones():
     async def scenario(responder, caller):
         caller.send("/a/20/0")
         await _until(lambda: responder.begun == ["/a/20/0"])
@@ -310,7 +312,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 64])
-def test_requests_in_pieces_are_read_whole(size):
+def test_fragmented_requests_are_parsed(size):
     async def scenario(_responder, caller):
         paths = ["/a/0/0", "/x/0/0", "/b/3/0"]
         head = "GET {} HTTP/1.1\r\nHost: a.example\r\n\r\n"
@@ -337,7 +339,7 @@
 
 @hypothesis.settings(max_examples=30, deadline=None)
 @hypothesis.given(wanted=_requests, split=st.integers(0, 12))
-def test_answers_keep_their_order_and_are_their_requests_own(wanted, split):
+def test_responses_keep_the_order_of_their_requests(wanted, split):
     async def scenario(_responder, caller):
         paths = [
             f"/{name}{i}/{delay_ms}/{size}"
--- a/tests/load_player.py
+++ b/tests/load_simulation.py
@@ -1,8 +1,8 @@
-"""Plays a load on the decision code of many VMs, on a clock of its own.
+"""Simulates the admission code of many VMs under load.
 
-VMs share upstreams and tell each other their counts now and then. Upstreams
-work on `slots` requests at a time, each at its own speed, and queue the rest
-in order. Nothing is random but what the seed draws, so a run repeats.
+VMs share upstreams and periodically exchange their counts. Upstreams run three
+requests concurrently, each upstream at its own speed, and queue others in
+order. A simulation is determined by its seed, so that it is reproducible.
 """
 
 import collections
@@ -18,50 +18,51 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """What is played.
+    """Parameters of a simulation.
 
     Attributes:
-        vms: VMs of one domain.
-        upstreams: Upstreams that they share.
+        vms: Number of VMs in one failure domain.
+        upstreams: Number of upstreams that they share.
         per_s: Requests/s of all callers together.
-        work_s: Mean work of a request at an upstream of speed 1.
-        objective_s: Time within which an answer is of full use.
-        exchange_s: Between two tellings of counts.
-        speeds: Speeds of upstreams, in turn.
-        length_s: How long callers come.
-        cold_per_s: Requests/s that a cold upstream bears; 0 for no limit.
-        cold_s: How long upstreams are cold, from the start on.
-        cold_upstreams: So many of them are.
-        has_arbiter: Whether one VM decides for all, as `permits.py` has it.
-        way_s: One way between a VM and the arbiter.
-        queue_room: Requests that an upstream queues; it doesn't answer others.
-        seed: Draws arrivals and work.
+        service_s: Mean service time of a request at an upstream of speed 1.
+        objective_s: Latency objective.
+        report_interval_s: Interval at which VMs exchange counts.
+        speeds: Speeds of upstreams, repeated cyclically.
+        duration_s: Duration of arrivals.
+        cold_per_s: Requests/s that a cold upstream can take; 0 for no limit.
+        cold_s: How long upstreams are cold after the start.
+        cold_upstreams: Number of upstreams that start cold.
+        has_arbiter: Whether one VM decides for all, as in `permits.py`.
+        latency_s: One-way latency between a VM and the arbiter.
+        queue_length: Queue length of an upstream; it doesn't answer requests
+            beyond that.
+        seed: Random seed of arrivals and service times.
     """
 
     vms: int = 25
     upstreams: int = 17
     per_s: float = 106.0
-    work_s: float = 0.32
+    service_s: float = 0.32
     objective_s: float = 1.09
-    exchange_s: float = 0.25
+    report_interval_s: float = 0.25
     speeds: tuple[float, ...] = (0.7, 0.7, 1.6)
-    length_s: float = 30.0
+    duration_s: float = 30.0
     cold_per_s: float = 0.0
     cold_s: float = 0.0
     cold_upstreams: int = 0
     has_arbiter: bool = False
-    way_s: float = 0.0005
-    queue_room: int = 1000
+    latency_s: float = 0.0005
+    queue_length: int = 1000
     seed: int = 1
 
 
 @dataclasses.dataclass
 class Result:
-    """What callers got."""
+    """Results of callers."""
 
     in_time: int = 0
     late: int = 0
-    refused: int = 0
+    rejected: int = 0
     unanswered: int = 0
     waits: list[float] = dataclasses.field(default_factory=list)
     sends_by_upstream: dict[str, list[float]] = dataclasses.field(
@@ -69,7 +70,7 @@
     )
 
     def most_in_a_second(self, upstream: str, until: float) -> int:
-        """Returns the most sends to an upstream within any second."""
+        """Returns the maximum number of sends to an upstream in one second."""
         sends = [at for at in self.sends_by_upstream[upstream] if at < until]
         return max(
             (
@@ -80,16 +81,16 @@
         )
 
     @property
-    def asked(self) -> int:
-        return self.in_time + self.late + self.refused + self.unanswered
+    def total(self) -> int:
+        return self.in_time + self.late + self.rejected + self.unanswered
 
     @property
     def share_in_time(self) -> float:
-        return self.in_time / self.asked
+        return self.in_time / self.total
 
     @property
     def mean_queued_s(self) -> float:
-        """Mean time that requests waited at upstreams, in seconds."""
+        """Mean time that requests were queued at upstreams, in seconds."""
         return sum(self.waits) / len(self.waits)
 
 
@@ -116,14 +117,14 @@
         limits.set_services(
             {builders.LOOKUPS: builders.service(cold_per_s=load.cold_per_s)}
         )
-        self.decisions = admission.Admission(
+        self.controller = admission.AdmissionController(
             self.book, builders.HOME, 2.0, limits
         )
-        self.decisions.vms = load.vms
+        self.controller.vm_count = load.vms
 
 
-class Player:
-    """Plays one load."""
+class Simulation:
+    """Runs one simulation."""
 
     def __init__(self, load: Load):
         self._load = load
@@ -149,18 +150,18 @@
         ]
         self.result = Result()
 
-    def play(self) -> Result:
+    def run(self) -> Result:
         random.seed(self._load.seed)
         self._clock.at(0.0, self._arrive)
         for number, vm in enumerate(self._vms):
-            offset = self._load.exchange_s * number / len(self._vms)
-            self._clock.at(offset, self._tell, vm)
+            offset = self._load.report_interval_s * number / len(self._vms)
+            self._clock.at(offset, self._report, vm)
         self._clock.run()
         return self.result
 
     def _arrive(self, now: float) -> None:
         load = self._load
-        if now >= load.length_s:
+        if now >= load.duration_s:
             return
         self._clock.at(now + self._random.expovariate(load.per_s), self._arrive)
         vm = self._random.choice(self._vms)
@@ -172,18 +173,18 @@
             None,
             now,
             now + 3 * load.objective_s,
-            load.work_s,
+            load.service_s,
         )
         if not load.has_arbiter:
             self._offer(now, vm, waiter)
             return
         waiter.domain = builders.HOME
-        self._clock.at(now + load.way_s, self._offer, vm, waiter)
+        self._clock.at(now + load.latency_s, self._offer, vm, waiter)
 
     def _offer(self, now: float, vm, waiter) -> None:
-        decided = vm.decisions.offer(waiter, now)
-        if isinstance(decided, admission.Overload):
-            self.result.refused += 1
+        decided = vm.controller.offer(waiter, now)
+        if isinstance(decided, admission.Rejection):
+            self.result.rejected += 1
         elif decided is not None:
             self._send(now, vm, waiter, decided)
 
@@ -192,28 +193,33 @@
         self.result.sends_by_upstream[target.id].append(now)
         if self._load.has_arbiter:
             self._clock.at(
-                now + self._load.way_s, self._reach, vm, waiter, target
+                now + self._load.latency_s,
+                self._arrive_at_upstream,
+                vm,
+                waiter,
+                target,
             )
             return
-        self._reach(now, vm, waiter, target)
+        self._arrive_at_upstream(now, vm, waiter, target)
 
-    def _reach(self, now: float, vm, waiter, target) -> None:
+    def _arrive_at_upstream(self, now: float, vm, waiter, target) -> None:
         upstream = self._upstreams[target.id]
-        if len(upstream.queue) >= self._load.queue_room and not upstream.free:
+        if len(upstream.queue) >= self._load.queue_length and not upstream.free:
             self.result.unanswered += 1
-            self._clock.at(waiter.end, self._free, vm, waiter, target)
+            self._clock.at(waiter.deadline, self._release, vm, waiter, target)
             return
-        # Gamma of shape 4: a spread of 0.5 of the mean, as the users' work.
-        work_s = self._random.gammavariate(4, self._load.work_s / 4)
-        upstream.queue.append((vm, waiter, target, work_s, now))
+        # Gamma distribution of shape 4: the standard deviation is half of the
+        # mean, as for the users' requests.
+        service_s = self._random.gammavariate(4, self._load.service_s / 4)
+        upstream.queue.append((vm, waiter, target, service_s, now))
         self._start(now, upstream)
 
     def _start(self, now: float, upstream: _Upstream) -> None:
         while upstream.free and upstream.queue:
             upstream.free -= 1
-            vm, waiter, target, work_s, sent = upstream.queue.popleft()
+            vm, waiter, target, service_s, sent = upstream.queue.popleft()
             self.result.waits.append(now - sent)
-            end = now + work_s / upstream.speed
+            end = now + service_s / upstream.speed
             self._clock.at(end, self._finish, upstream, vm, waiter, target)
 
     def _finish(self, now: float, upstream, vm, waiter, target) -> None:
@@ -225,28 +231,28 @@
         self._start(now, upstream)
         if self._load.has_arbiter:
             self._clock.at(
-                now + self._load.way_s, self._free, vm, waiter, target
+                now + self._load.latency_s, self._release, vm, waiter, target
             )
             return
-        self._free(now, vm, waiter, target)
+        self._release(now, vm, waiter, target)
 
-    def _free(self, now: float, vm, waiter, target) -> None:
+    def _release(self, now: float, vm, waiter, target) -> None:
         target.note_ended(waiter.sequence)
-        self._pump(now, vm)
+        self._dispatch(now, vm)
 
-    def _pump(self, now: float, vm) -> None:
-        assigned, refused = vm.decisions.pump(now)
-        self.result.refused += len(refused)
+    def _dispatch(self, now: float, vm) -> None:
+        assigned, rejected = vm.controller.dispatch(now)
+        self.result.rejected += len(rejected)
         for waiter, target in assigned:
             self._send(now, vm, waiter, target)
 
-    def _tell(self, now: float, vm) -> None:
-        if now < self._load.length_s + 2.0:
-            self._clock.at(now + self._load.exchange_s, self._tell, vm)
+    def _report(self, now: float, vm) -> None:
+        if now < self._load.duration_s + 2.0:
+            self._clock.at(now + self._load.report_interval_s, self._report, vm)
         for other in self._vms:
             if other is vm:
                 continue
             for target in vm.book.by_id.values():
                 counted = (target.own, target.waiting, now)
                 other.book.by_id[target.id].peers[vm.name] = counted
-            self._pump(now, other)
+            self._dispatch(now, other)
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -14,7 +14,7 @@
 from swiftstile.gateway import targets
 from tests import assigner_parts
 from tests import gateway_builders as builders
-from tests import load_player
+from tests import load_simulation
 
 _PER_S = 5.9
 _COLD_S = 3.0
@@ -22,21 +22,21 @@
 _ALLOWED = 1.5 * _PER_S + 8
 _NODES = ("vm-1", "vm-2", "vm-3")
 
-_LOAD = load_player.Load(
-    work_s=0.1,
+_LOAD = load_simulation.Load(
+    service_s=0.1,
     per_s=340.0,
     cold_s=_COLD_S,
     cold_upstreams=6,
-    length_s=_COLD_S,
+    duration_s=_COLD_S,
 )
 
 
-def _play(**changes) -> load_player.Result:
-    load = load_player.dataclasses.replace(_LOAD, **changes)
-    return load_player.Player(load).play()
+def _play(**changes) -> load_simulation.Result:
+    load = load_simulation.dataclasses.replace(_LOAD, **changes)
+    return load_simulation.Simulation(load).run()
 
 
-def _most_to_a_cold_one(result: load_player.Result) -> int:
+def _most_to_a_cold_one(result: load_simulation.Result) -> int:
     return max(
         result.most_in_a_second(f"u-{number}", _COLD_S)
         for number in range(_LOAD.cold_upstreams)
@@ -178,7 +178,7 @@
         sender = _senders(self.target, self.book)[0]
         others = [name for name in _NODES if name != sender]
         limits = _limits(self.book, sender if is_sender else others[0])
-        self.decisions = admission.Admission(
+        self.decisions = admission.AdmissionController(
             self.book, builders.HOME, 2.0, limits
         )
 
@@ -192,9 +192,9 @@
     owned = _Owned(is_sender=True)
     assert owned.offer(0.1) is owned.target
     assert owned.offer(0.1) is None
-    assert owned.decisions.pump(0.2) == ([], [])
+    assert owned.decisions.dispatch(0.2) == ([], [])
     spaced_at = 0.1 + 1 / (coldstart.RATE_PART * _PER_S)
-    assigned, _ = owned.decisions.pump(spaced_at)
+    assigned, _ = owned.decisions.dispatch(spaced_at)
     assert len(assigned) == 1
 
 
@@ -202,12 +202,12 @@
     owned = _Owned(is_sender=False)
     # It could be served once the owner is warm.
     assert owned.offer(0.1, timeout_s=9.0) is None
-    assert owned.decisions.pump(_COLD_S - 0.1) == ([], [])
-    assigned, _ = owned.decisions.pump(_COLD_S)
+    assert owned.decisions.dispatch(_COLD_S - 0.1) == ([], [])
+    assigned, _ = owned.decisions.dispatch(_COLD_S)
     assert len(assigned) == 1
     # One that can't wait so long is refused at once.
     refused = _Owned(is_sender=False).offer(0.1, timeout_s=1.0)
-    assert isinstance(refused, admission.Overload)
+    assert isinstance(refused, admission.Rejection)
 
 
 class _Plan:
--- a/tests/unit/test_gateway_crash_check.py
+++ b/tests/unit/test_gateway_crash_check.py
@@ -1,12 +1,9 @@
-"""Requests that crash upstreams are stopped also after they waited for a slot.
-
-What operators saw: a request that crashes its upstreams reached four of them
-later than the bound after its third crash; three are the most.
-Order of events: few upstreams are left after the crashes, so the request waits
-for a slot; meanwhile this VM hears of its last crashes; then it gets the slot.
-Cause: whether a request is a cause of crashes was asked when it arrived, and
-not when it was about to be sent.
-Evidence: the first test here without the mend.
+"""Tests that crashing requests are also rejected after waiting for a slot.
+
+If few upstreams are left, a crashing request waits for a slot. Meanwhile the VM
+may receive reports of its last crashes. When requests were checked on arrival
+only, such a request was still sent and reached four upstreams after the time
+limit that follows its third crash; three are allowed.
 """
 
 import asyncio
@@ -22,7 +19,7 @@
 
 
 class _Permits:
-    """Grants a slot, while other VMs' reports are heard."""
+    """Grants a slot after receiving reports of other VMs."""
 
     def __init__(self, during_wait):
         self._during_wait = during_wait
@@ -38,7 +35,7 @@
 
 
 class _Crashes:
-    """Knows of one request that is refused."""
+    """Rejects every request."""
 
     def __init__(self):
         self.has_suspects = False
@@ -57,43 +54,45 @@
         raise outcomes.UnknownOutcomeError("cut", step="send")
 
 
-def _play(crashes: _Crashes, permits: _Permits, is_trial: bool) -> _Sender:
+def _play(crashes: _Crashes, permits: _Permits, is_probe: bool) -> _Sender:
     sender = _Sender()
     made = types.SimpleNamespace(
         _permits=permits,
-        _sender=sender,
+        _client=sender,
         _crashes=crashes,
-        _note_sent=lambda *_: None,
-        _learn=lambda *_: None,
-        _may_repeat=lambda *_: False,
-        _final=lambda error, *_: error,
+        _record_send=lambda *_: None,
+        _update_target=lambda *_: None,
+        _may_retry=lambda *_: False,
+        _final_error=lambda error, *_: error,
     )
 
     async def is_ordinary(*_) -> bool:
         return True
 
-    made._look_for_crash = is_ordinary
-    call = types.SimpleNamespace(digest=lambda: b"d" * 16, is_trial=is_trial)
+    made._check_for_crash = is_ordinary
+    call = types.SimpleNamespace(digest=lambda: b"d" * 16, is_probe=is_probe)
     waiter = builders.waiter(clocks.monotonic(), None)
-    run = handler_lib.Handler._attempts(made, call, waiter, None)
+    run = handler_lib.RequestHandler._send_with_retries(
+        made, call, waiter, None
+    )
     with pytest.raises(outcomes.GatewayError):
         asyncio.run(run)
     return sender
 
 
-def test_a_request_found_to_crash_upstreams_while_it_waits_is_not_sent():
+def test_request_identified_as_crashing_while_waiting_is_not_sent():
     crashes = _Crashes()
 
     def hear() -> None:
         crashes.has_suspects = True
 
     permits = _Permits(hear)
-    assert _play(crashes, permits, is_trial=False).sent == 0
+    assert _play(crashes, permits, is_probe=False).sent == 0
     assert permits.released == 1
 
 
-def test_a_request_that_is_tried_again_is_sent():
+def test_probe_is_sent():
     crashes = _Crashes()
     crashes.has_suspects = True
     permits = _Permits(lambda: None)
-    assert _play(crashes, permits, is_trial=True).sent == 1
+    assert _play(crashes, permits, is_probe=True).sent == 1
