--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -227,7 +227,7 @@
 
     def __init__(
         self,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         domain: ids.FailureDomain,
         drain_s: float,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
@@ -311,7 +311,7 @@
             if target is not None:
                 self.leave(waiter)
                 # Counted here, so that the next one sees the slot taken.
-                target.own += 1
+                target.in_flight += 1
                 self._limits.note_sent(target, now)
                 groups.pop((waiter.service, waiter.domain), None)
                 assigned.append(Assignment(waiter, target))
@@ -327,7 +327,7 @@
                 refused.append((waiter, self._turn_away(waiter, now)))
         self._note_contested(contested, only, now)
         for assignment in assigned:
-            assignment.target.own -= 1
+            assignment.target.in_flight -= 1
         return assigned, refused
 
     @staticmethod
@@ -517,7 +517,7 @@
         self, target: targets.Target, waiter: Waiter, now: float
     ) -> bool:
         """Whether a target may get a request, as far as this VM knows."""
-        return target.id not in waiter.excluded and target.takes_requests(
+        return target.id not in waiter.excluded and target.accepts_requests(
             now, self._drain_s
         )
 
--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -74,7 +74,7 @@
         self,
         peers: gossip.Peers,
         gate: gate_lib.Gate,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         is_leaving,
         meters: metrics.Meters,
     ):
@@ -166,7 +166,7 @@
             return
         now = clocks.monotonic()
         if message.pause_ms:
-            permit.target.note_shed(now, message.pause_ms / 1000)
+            permit.target.note_rejected(now, message.pause_ms / 1000)
         if message.work_percent is not None:
             permit.target.note_slowdown(message.work_percent / 100, now)
 
--- a/src/swiftstile/gateway/coldstart.py
+++ b/src/swiftstile/gateway/coldstart.py
@@ -105,7 +105,7 @@
     """
 
     def __init__(
-        self, book: targets.TargetBook, peers: gossip.Peers, is_registered
+        self, book: targets.TargetTable, peers: gossip.Peers, is_registered
     ):
         self._book = book
         self._peers = peers
@@ -143,7 +143,7 @@
         """See base class."""
         if not self.is_limited(target, now):
             return True
-        return now >= target.paused_until and self._is_sender(target, now)
+        return now >= target.next_cold_send_at and self._is_sender(target, now)
 
     def per_s(self, target: targets.Target, now: float) -> float:
         """See base class."""
@@ -155,7 +155,7 @@
         """See base class."""
         if self.is_limited(target, now):
             pause_s = 1 / self._per_s[target.upstream.service]
-            target.paused_until = now + pause_s
+            target.next_cold_send_at = now + pause_s
 
     def sender(self, target: targets.Target, now: float) -> reports.NodeRow:
         """See base class."""
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -61,7 +61,7 @@
         handler: handler_lib.Handler,
         gate: gate_lib.Gate,
         arbiter: arbiter_lib.Arbiter,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         maps: renewals.KeyMaps,
         renewing: renewals.Renewals,
         right: authority.PeerAuthority,
@@ -226,7 +226,7 @@
     def _counts(self) -> tuple[reports.Counts, reports.Counts]:
         shared, local = {}, {}
         for target in self._book.by_id.values():
-            own = target.own - target.permitted
+            own = target.in_flight - target.permitted
             if own or target.waiting:
                 is_shared = target.upstream.service in self._maps.by_service
                 counts = shared if is_shared else local
@@ -255,10 +255,10 @@
         by_id, node = self._book.by_id, peer.row.node
         for name in peer.told_of - counts.keys():
             if name in by_id:
-                by_id[name].peers.pop(node, None)
+                by_id[name].peer_counts.pop(node, None)
         for name, counted in counts.items():
             if name in by_id:
-                by_id[name].peers[node] = (*counted, now)
+                by_id[name].peer_counts[node] = (*counted, now)
         peer.told_of = set(counts)
 
     async def _housekeeping(self) -> None:
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -75,7 +75,7 @@
         permits: permits_lib.Permits,
         sender: exchange.Exchange,
         dialect: interfaces.RequestDialect,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         key_owners: owners.KeyOwners,
         retry_budget: budget.RetryBudget,
         speed_book: speeds.SpeedBook,
@@ -344,7 +344,7 @@
             target.note_failure(now)
         elif isinstance(error, outcomes.NotRunError):
             if not error.had_room:
-                target.note_shed(now, SHED_PAUSE_S)
+                target.note_rejected(now, SHED_PAUSE_S)
             if waiter.owner is None:
                 waiter.excluded.add(target.id)
         else:
--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/keeper.py
@@ -87,7 +87,7 @@
         self,
         service: ids.ServiceName,
         maps: renewals.KeyMaps,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         plan: slotplan.SlotPlan,
         peers: gossip.Peers,
         renewing: renewals.Renewals,
--- a/src/swiftstile/gateway/owners.py
+++ b/src/swiftstile/gateway/owners.py
@@ -41,7 +41,7 @@
     def __init__(
         self,
         maps: renewals.KeyMaps,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         heat_book: heat.HeatBook,
         peers: gossip.Peers,
         drain_s: float,
@@ -94,7 +94,7 @@
         index = key_map.index_of(key)
         slot = key_map.slots[index]
         target = self._book.by_id.get(slot.owner)
-        if target is None or not target.takes_requests(now, self._drain_s):
+        if target is None or not target.accepts_requests(now, self._drain_s):
             # Not left to who permits its slots: another VM may have heard later
             # that it leaves.
             return None, self._next_owner_s(service)
@@ -113,7 +113,7 @@
             if now - at > MISDIRECTED_LIFE_S or fence != slot.fence:
                 del self._misdirected[service, index]
         if target.is_failing and (
-            target.is_gone or self._is_cut_off(target, now)
+            target.is_unregistered or self._is_cut_off(target, now)
         ):
             return None, LOST_OWNER_S
         if target.is_penalised(now):
@@ -122,7 +122,7 @@
 
     def _next_owner_s(self, service: ids.ServiceName) -> float:
         """Returns when a key is likely to have an owner that can be asked."""
-        if self._book.evacuated_at and not self._book.has_staying(service):
+        if self._book.evacuated_at and not self._book.has_active(service):
             return NO_UPSTREAM_S
         return HAND_OVER_S
 
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -113,7 +113,7 @@
         peers: gossip.Peers,
         gate: gate_lib.Gate,
         arbiter: arbiter_lib.Arbiter,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         meters: metrics.Meters,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
     ):
--- a/src/swiftstile/gateway/registry.py
+++ b/src/swiftstile/gateway/registry.py
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         decode,
         on_change,
         meters: metrics.Meters,
@@ -105,7 +105,7 @@
             self._book.evacuate(domain, now)
             logs.logger.info("failure domain evacuated", domain=domain)
         else:
-            self._book.take_back(domain, now)
+            self._book.end_evacuation(domain, now)
             logs.logger.info("failure domain taken back", domain=domain)
         self._on_change()
 
@@ -162,7 +162,7 @@
         if now < until:
             self._missing[upstream_id] = _Missing(until, news_since)
             # Others first, as long as it may be gone.
-            target.note_shed(now, until - now)
+            target.note_rejected(now, until - now)
             return
         self._drop(upstream_id, now, news_since)
 
@@ -170,7 +170,7 @@
         self, upstream_id: model.UpstreamId, now: float, news_since: float
     ) -> None:
         self._missing.pop(upstream_id, None)
-        self._book.mark_gone(upstream_id, now, news_since)
+        self._book.mark_unregistered(upstream_id, now, news_since)
         logs.logger.info("upstream gone", upstream=upstream_id)
 
     def tick(self, now: float) -> None:
@@ -183,5 +183,5 @@
         for upstream_id, missing in overdue.items():
             # The platform's bound for one that left didn't wait meanwhile.
             self._drop(upstream_id, now, missing.news_since)
-        if self._book.sweep(now, REMEMBER_S) or overdue:
+        if self._book.remove_departed(now, REMEMBER_S) or overdue:
             self._on_change()
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -164,7 +164,7 @@
     def __init__(
         self,
         maps: KeyMaps,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         peers: gossip.Peers,
         control: interfaces.UpstreamControl,
         authority: Authority,
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -59,7 +59,7 @@
     def __init__(
         self,
         service: ids.ServiceName,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         speed_book: speeds.SpeedBook,
         heat_book: heat.HeatBook,
         work_s,
--- a/src/swiftstile/gateway/takeback.py
+++ b/src/swiftstile/gateway/takeback.py
@@ -155,7 +155,7 @@
         self,
         service: ids.ServiceName,
         maps: renewals.KeyMaps,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         renewing: renewals.Renewals,
         leads: leadership.Leadership,
         control: interfaces.UpstreamControl,
@@ -324,7 +324,7 @@
         """
         target = self._book.by_id.get(owner)
         now = clocks.monotonic()
-        if target is None or target.is_gone or target.is_failing:
+        if target is None or target.is_unregistered or target.is_failing:
             return
         if not source.may_keep(now):
             return
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -135,7 +135,7 @@
             vm.peers,
             link_mbps=vm.link_mbps,
         )
-        self._book = targets.TargetBook()
+        self._book = targets.TargetTable()
         self._maps = renewals.KeyMaps()
         self._speeds = speeds.SpeedBook()
         self._heat = heat.HeatBook()
--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -66,8 +66,8 @@
     return model.Upstream(**(fields | changes))
 
 
-def book(*upstreams: model.Upstream, now: float = 0.0) -> targets.TargetBook:
-    made = targets.TargetBook()
+def book(*upstreams: model.Upstream, now: float = 0.0) -> targets.TargetTable:
+    made = targets.TargetTable()
     for entry in upstreams:
         made.put(entry, now)
     return made
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -247,6 +247,6 @@
             if other is vm:
                 continue
             for target in vm.book.by_id.values():
-                counted = (target.own, target.waiting, now)
-                other.book.by_id[target.id].peers[vm.name] = counted
+                counted = (target.in_flight, target.waiting, now)
+                other.book.by_id[target.id].peer_counts[vm.name] = counted
             self._pump(now, other)
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -96,7 +96,7 @@
     for number, waiter in enumerate(waiting):
         target = decisions.pick(waiter, 0.0)
         if target is not None:
-            target.own += 1
+            target.in_flight += 1
             one_by_one[number] = target.id
     assert together == one_by_one
 
@@ -133,13 +133,13 @@
 
 def test_requests_of_other_vms_count():
     book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
-    book.by_id["u-1"].peers["vm-2"] = (3, 0, 0.0)
+    book.by_id["u-1"].peer_counts["vm-2"] = (3, 0, 0.0)
     assert _admission(book).offer(builders.waiter(), 0.0).id == "u-2"
 
 
 def test_what_a_silent_peer_told_is_forgotten():
     book = builders.book(builders.upstream())
-    book.by_id["u-1"].peers["vm-2"] = (9, 9, 0.0)
+    book.by_id["u-1"].peer_counts["vm-2"] = (9, 9, 0.0)
     late = 10.0
     assert book.by_id["u-1"].occupied(late) == 0
     assert book.by_id["u-1"].waiting_elsewhere(late) == 0
@@ -423,7 +423,7 @@
         builders.upstream("u-1", state=model.UpstreamState.DRAINING), now=1.0
     )
     assert _admission(book).offer(builders.waiter(1.0), 1.0).id == "u-2"
-    assert not book.by_id["u-1"].takes_requests(3.1, drain_s=2.0)
+    assert not book.by_id["u-1"].accepts_requests(3.1, drain_s=2.0)
 
 
 def test_the_counts_of_a_queue_are_even_after_all_left():
@@ -441,10 +441,10 @@
 
 def test_an_address_that_another_server_took_is_out_of_use():
     book = builders.book(builders.upstream("u-1", address="127.0.0.1:1"))
-    book.mark_gone("u-1", 1.0)
+    book.mark_unregistered("u-1", 1.0)
     book.put(builders.upstream("u-2", address="127.0.0.1:1"), 1.5)
     assert book.by_id["u-1"].is_replaced
-    assert not book.by_id["u-1"].takes_requests(1.5, drain_s=2.0)
+    assert not book.by_id["u-1"].accepts_requests(1.5, drain_s=2.0)
     # Its registration may lag: it doesn't come back to life by that.
     book.put(builders.upstream("u-1", address="127.0.0.1:1"), 1.6)
     assert book.by_id["u-1"].leaving_since is not None
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -71,7 +71,7 @@
     return made
 
 
-def _cold(now: float = 0.0) -> tuple[targets.TargetBook, targets.Target]:
+def _cold(now: float = 0.0) -> tuple[targets.TargetTable, targets.Target]:
     book = builders.book(builders.upstream("u-1", cold_s=_COLD_S), now=now)
     return book, book.by_id["u-1"]
 
@@ -164,7 +164,7 @@
     book = builders.book(builders.upstream("u-1"))
     limits = _limits(book, "vm-1")
     book.evacuate(builders.HOME, 0.0)
-    book.take_back(builders.HOME, 20.0)
+    book.end_evacuation(builders.HOME, 20.0)
     target = book.by_id["u-1"]
     assert limits.is_limited(target, 20.0 + _COLD_S - 0.1)
     assert not limits.is_limited(target, 20.0 + _COLD_S)
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -201,7 +201,7 @@
     def __init__(self, monkeypatch, is_loaded: bool = True):
         self.clock = _Clock(monkeypatch, 0.0)
         self.store = _Store(self.clock)
-        self.book = targets.TargetBook()
+        self.book = targets.TargetTable()
         self.registry = registry.Registry(
             self.book, _decode, lambda: None, metrics.Meters()
         )
@@ -227,7 +227,7 @@
 
     def is_sent_to(self, at: float) -> bool:
         """Whether a request may be sent to the upstream at a time."""
-        return self.book.by_id["u-1"].takes_requests(at, _DRAIN_S)
+        return self.book.by_id["u-1"].accepts_requests(at, _DRAIN_S)
 
     def assert_sends_end_in_time(self, said_at: float) -> None:
         """Checks the last send to an upstream that said that it leaves."""
@@ -280,7 +280,7 @@
     vm = _Following(monkeypatch)
     vm.step(3.0, _rows(2, _LEAVING))
     said_at = vm.clock.now
-    assert vm.is_sent_to(said_at + _DRAIN_S - targets.LEAVING_MARGIN_S - 0.1)
+    assert vm.is_sent_to(said_at + _DRAIN_S - targets.DRAIN_MARGIN_S - 0.1)
     vm.assert_sends_end_in_time(said_at)
     vm.step(0.5, _rows(3, _READY))
     assert vm.is_sent_to(vm.clock.now + 60)
--- a/tests/unit/test_gateway_evacuation.py
+++ b/tests/unit/test_gateway_evacuation.py
@@ -22,11 +22,11 @@
 
 _KEY = 100
 _EVACUATED_AT = 50.0
-_CLOSED_AT = _EVACUATED_AT + targets.EVACUATED_SENDS_S
+_CLOSED_AT = _EVACUATED_AT + targets.EVACUATION_GRACE_S
 _DRAIN_S = 60.0
 
 
-def _book(*domains) -> targets.TargetBook:
+def _book(*domains) -> targets.TargetTable:
     """Returns upstreams `u-1`, `u-2`, ... in the domains."""
     return builders.book(
         *(
@@ -48,7 +48,7 @@
     book = _book(builders.HOME, builders.AWAY, builders.AWAY)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     assert _staying(book) == {"u-1"}
-    book.take_back(builders.AWAY, _CLOSED_AT)
+    book.end_evacuation(builders.AWAY, _CLOSED_AT)
     assert _staying(book) == {"u-1", "u-2", "u-3"}
 
 
@@ -57,7 +57,7 @@
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     late = builders.upstream("u-9", failure_domain=builders.AWAY)
     target = book.put(late, _CLOSED_AT)
-    assert not target.takes_requests(_CLOSED_AT, _DRAIN_S)
+    assert not target.accepts_requests(_CLOSED_AT, _DRAIN_S)
     # Nor does one of there that registers anew.
     assert book.put(late, _CLOSED_AT + 1).leaving_since == _EVACUATED_AT
 
@@ -72,8 +72,8 @@
 def test_owners_are_asked_for_a_while_and_then_not_any_more():
     target = _book(builders.AWAY).by_id["u-1"]
     target.set_evacuated(_EVACUATED_AT)
-    assert target.takes_requests(_CLOSED_AT - 0.01, _DRAIN_S)
-    assert not target.takes_requests(_CLOSED_AT, _DRAIN_S)
+    assert target.accepts_requests(_CLOSED_AT - 0.01, _DRAIN_S)
+    assert not target.accepts_requests(_CLOSED_AT, _DRAIN_S)
 
 
 def test_one_that_drains_stays_away_when_its_domain_is_taken_back():
@@ -85,16 +85,16 @@
         state=model.UpstreamState.DRAINING,
     )
     book.put(drains, _EVACUATED_AT + 1)
-    book.take_back(builders.AWAY, _CLOSED_AT)
+    book.end_evacuation(builders.AWAY, _CLOSED_AT)
     assert book.by_id["u-1"].leaving_since == _EVACUATED_AT + 1
 
 
 def test_one_that_is_gone_is_remembered_as_long_as_any_other():
     book = _book(builders.AWAY)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
-    book.mark_gone("u-1", _EVACUATED_AT + 100)
-    assert book.sweep(_EVACUATED_AT + 110, registry.REMEMBER_S) == []
-    assert book.sweep(_EVACUATED_AT + 121, registry.REMEMBER_S) != []
+    book.mark_unregistered("u-1", _EVACUATED_AT + 100)
+    assert book.remove_departed(_EVACUATED_AT + 110, registry.REMEMBER_S) == []
+    assert book.remove_departed(_EVACUATED_AT + 121, registry.REMEMBER_S) != []
 
 
 def test_waiting_requests_are_looked_at_when_it_changes():
@@ -162,7 +162,7 @@
     assert keys.offer(_CLOSED_AT - 0.01)[1] is keys.book.by_id["u-1"]
     waiter, offered = keys.offer(_CLOSED_AT)
     assert offered is None
-    keys.book.take_back(builders.AWAY, _CLOSED_AT)
+    keys.book.end_evacuation(builders.AWAY, _CLOSED_AT)
     assigned, refused = keys.decisions.pump(_CLOSED_AT + 0.1)
     assert [entry.waiter for entry in assigned] == [waiter]
     assert refused == []
@@ -205,7 +205,7 @@
         keys.book.evacuate(builders.AWAY, now[0])
         await tick()
         assert owning() == {"u-2": slotplan.SLOT_COUNT}
-        keys.book.take_back(builders.AWAY, now[0])
+        keys.book.end_evacuation(builders.AWAY, now[0])
         await tick()
         assert owning()["u-1"] > 0
 
--- a/tests/unit/test_gateway_exclusivity_orders.py
+++ b/tests/unit/test_gateway_exclusivity_orders.py
@@ -283,7 +283,7 @@
         ]
 
     def _lose_owner(self) -> None:
-        self._parts.book.mark_gone("u-1", self._clock.now)
+        self._parts.book.mark_unregistered("u-1", self._clock.now)
 
     def _replace_leader(self) -> None:
         """Another VM leads; this one learns of it a while later."""
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -143,7 +143,7 @@
     queue = site.daemon._gate.decisions
     queue.vms = site.daemon._peers.circulation.near_heard(site.now)
     for target in site.daemon._book.by_id.values():
-        builders.occupy(target, 5 - target.own, site.now)
+        builders.occupy(target, 5 - target.in_flight, site.now)
     for _ in range(waiting):
         patient = builders.waiter(site.now, objective_s=60.0, timeout_s=90.0)
         assert queue.offer(patient, site.now) is None
@@ -205,7 +205,7 @@
     daemon._started = site.now
     for tick in range(160):
         site.now += peers._tick_s()
-        target.own = tick // 3 % 4
+        target.in_flight = tick // 3 % 4
         daemon._leads.version += tick % 40 == 0
         is_whole = is_always_whole or peers._needs_whole(site.now)
         whole += is_whole
--- a/tests/unit/test_gateway_keeper.py
+++ b/tests/unit/test_gateway_keeper.py
@@ -298,7 +298,7 @@
         parts = keeper_parts.Parts()
         parts.start()
         await parts.keeper.tick()
-        parts.book.mark_gone("u-1", keeper.clocks.monotonic())
+        parts.book.mark_unregistered("u-1", keeper.clocks.monotonic())
         parts.keeper._store_answered_at = 0.0
         parts.table.refuse = 10**6
         for _ in range(5):
--- a/tests/unit/test_gateway_keyed_load.py
+++ b/tests/unit/test_gateway_keyed_load.py
@@ -92,7 +92,7 @@
         # Callers that come back count as new ones.
         (2.0, returns.Returns, "recognise", lambda *_: None, 0.04),
         # A request that takes somewhat longer makes its owner slow.
-        (2.0, targets, "OVERDUE", 1.4, 0.015),
+        (2.0, targets, "STALL_FACTOR", 1.4, 0.015),
     ],
 )
 def test_each_decision_earns(monkeypatch, part, owner, name, old, margin):
--- a/tests/unit/test_gateway_permits.py
+++ b/tests/unit/test_gateway_permits.py
@@ -104,7 +104,7 @@
         """An upstream is cold, and bears little meanwhile."""
         service = builders.service(cold_per_s=per_s)
         self.limits.set_services({builders.LOOKUPS: service})
-        self.book.by_id["u-1"].note_cold(clocks.monotonic() + cold_s)
+        self.book.by_id["u-1"].extend_cold(clocks.monotonic() + cold_s)
 
     def hears(self, other: "_Vm") -> None:
         now = clocks.monotonic()
@@ -181,12 +181,12 @@
         target = await far.permits.acquire(waiter)
         assert target is far.book.by_id["u-1"]
         counted = arbiter.book.by_id["u-1"]
-        assert counted.own == 1
+        assert counted.in_flight == 1
         # The other VM doesn't tell of it, or it would count twice.
-        assert target.own - target.permitted == 0
+        assert target.in_flight - target.permitted == 0
         far.permits.release(waiter, target)
-        await _until(lambda: counted.own == 0)
-        assert target.own == target.permitted == 0
+        await _until(lambda: counted.in_flight == 0)
+        assert target.in_flight == target.permitted == 0
 
     _run(scenario)
 
@@ -239,9 +239,9 @@
             target = await vm.permits.acquire(waiter)
             assert target is vm.book.by_id["u-2"]
         counted = arbiter.book.by_id["u-2"]
-        assert counted.own == 2
+        assert counted.in_flight == 2
         farther.permits.release(waiter, target)
-        await _until(lambda: counted.own == 1)
+        await _until(lambda: counted.in_flight == 1)
 
     _run(scenario, far=2)
 
@@ -271,7 +271,7 @@
         other = await far.permits.acquire(_any_waiter(far))
         assert other is not target
         # It changes several times a second.
-        later = clocks.monotonic() + targets.SLOWDOWN_LIFE_S
+        later = clocks.monotonic() + targets.SLOWDOWN_TTL_S
         assert counted.slow_factor(later) == 1.0
 
     _run(scenario)
@@ -304,7 +304,7 @@
     async def scenario(network, _arbiter, far):
         network.lose = _is(_DECIDED)
         target = await far.permits.acquire(_any_waiter(far))
-        assert target.own == 1 and target.permitted == 0
+        assert target.in_flight == 1 and target.permitted == 0
 
     _run(scenario)
 
@@ -335,10 +335,10 @@
         waiter = far.waiter()
         target = await far.permits.acquire(waiter)
         assert not left
-        assert arbiter.book.by_id["u-1"].own == 1
+        assert arbiter.book.by_id["u-1"].in_flight == 1
         assert far.meters.permits.get("arbiter-silent") == 0
         far.permits.release(waiter, target)
-        await _until(lambda: arbiter.book.by_id["u-1"].own == 0)
+        await _until(lambda: arbiter.book.by_id["u-1"].in_flight == 0)
 
     _run(scenario)
 
@@ -350,9 +350,9 @@
         network.lose = _is(_ENDED)
         far.permits.release(waiter, target)
         network.lose = lambda data, to: False
-        assert arbiter.book.by_id["u-1"].own == 1
+        assert arbiter.book.by_id["u-1"].in_flight == 1
         await far.permits.acquire(far.waiter())
-        assert arbiter.book.by_id["u-1"].own == 1
+        assert arbiter.book.by_id["u-1"].in_flight == 1
 
     _run(scenario)
 
@@ -360,7 +360,7 @@
 def test_a_permit_of_which_nothing_is_heard_lapses():
     async def scenario(_network, arbiter, far):
         await far.permits.acquire(far.waiter(timeout_s=0.3))
-        await _until(lambda: arbiter.book.by_id["u-1"].own == 0)
+        await _until(lambda: arbiter.book.by_id["u-1"].in_flight == 0)
         assert arbiter.meters.permits.get("lapsed") == 1
 
     _run(scenario)
@@ -371,7 +371,7 @@
         await far.permits.acquire(far.waiter())
         row = builders.node_row(far.name, run="again---", domain=builders.AWAY)
         arbiter.peers.apply(row, row.node, clocks.monotonic())
-        await _until(lambda: arbiter.book.by_id["u-1"].own == 0)
+        await _until(lambda: arbiter.book.by_id["u-1"].in_flight == 0)
 
     _run(scenario)
 
@@ -386,7 +386,7 @@
         again_s = permits.ASK_AGAIN * builders.route().objective_s
         assert took_s < (permits.MOST_ASKED + 2) * again_s
         # Now it counts it itself, and tells the others.
-        assert target.own - target.permitted == 1
+        assert target.in_flight - target.permitted == 1
         asked = far.meters.permits.get("asked")
         await far.permits.acquire(far.waiter())
         assert far.meters.permits.get("asked") == asked
@@ -410,9 +410,9 @@
 def test_a_caller_that_leaves_with_its_permit_under_way_frees_the_slot():
     async def scenario(_network, arbiter, far):
         waiting = asyncio.create_task(far.permits.acquire(far.waiter()))
-        await _until(lambda: arbiter.book.by_id["u-1"].own == 1)
+        await _until(lambda: arbiter.book.by_id["u-1"].in_flight == 1)
         waiting.cancel()
-        await _until(lambda: arbiter.book.by_id["u-1"].own == 0)
+        await _until(lambda: arbiter.book.by_id["u-1"].in_flight == 0)
 
     _run(scenario)
 
@@ -425,7 +425,7 @@
         await _until(lambda: len(arbiter.gate.decisions) == 1)
         waiter.owner.name = "u-2"
         assert (await waiting).id == "u-2"
-        assert arbiter.book.by_id["u-2"].own == 1
+        assert arbiter.book.by_id["u-2"].in_flight == 1
         await _until(lambda: len(arbiter.gate.decisions) == 0)
 
     _run(scenario)
--- a/tests/unit/test_gateway_restart.py
+++ b/tests/unit/test_gateway_restart.py
@@ -33,14 +33,14 @@
     before = book.by_id["u-1"]
     builders.occupy(before, 4)
     before.note_failure(0.0)
-    before.peers["vm-2"] = (3, 1, 0.0)
+    before.peer_counts["vm-2"] = (3, 1, 0.0)
     after = book.put(_life(_SECOND), 0.1)
     assert after is book.by_id["u-1"] is not before
     assert after.occupied(0.1) == 0 and not after.is_penalised(0.1)
     # What is still under way to the earlier life ends with that.
     assert before.is_replaced
     before.note_ended(-1)
-    assert after.own == 0
+    assert after.in_flight == 0
 
 
 def test_the_same_life_stays_what_it_was():
@@ -52,10 +52,10 @@
 
 def test_one_that_had_left_and_starts_again_is_used():
     book = builders.book(_life(_FIRST))
-    book.mark_gone("u-1", 1.0)
-    assert not book.by_id["u-1"].takes_requests(9.0, drain_s=2.0)
+    book.mark_unregistered("u-1", 1.0)
+    assert not book.by_id["u-1"].accepts_requests(9.0, drain_s=2.0)
     book.put(_life(_SECOND), 9.0)
-    assert book.by_id["u-1"].takes_requests(9.0, drain_s=2.0)
+    assert book.by_id["u-1"].accepts_requests(9.0, drain_s=2.0)
 
 
 def test_a_map_remembers_to_which_life_slots_were_given():
--- a/tests/unit/test_gateway_store.py
+++ b/tests/unit/test_gateway_store.py
@@ -172,7 +172,7 @@
 
 
 def _registry(recovered_at: float = 0.0, decode=None):
-    book = targets.TargetBook()
+    book = targets.TargetTable()
     meters = metrics.Meters()
     made = registry.Registry(
         book,
@@ -245,7 +245,7 @@
 def test_an_entry_of_an_unknown_service_ends_nobody_at_its_address():
     made, book, meters = _registry(recovered_at=-100, decode=_decode_by_value)
     book.put(builders.upstream("u-1", address="127.0.0.1:9"), 0.0)
-    book.mark_gone("u-1", 1.0)
+    book.mark_unregistered("u-1", 1.0)
     made.apply([_row("x", b"other", 1)])
     assert "x" not in book.by_id
     assert not book.by_id["u-1"].is_replaced
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -80,8 +80,8 @@
     _off(
         "slowdowns that upstreams report",
         "targets",
-        "SLOWDOWN_LIFE_S = 0.2",
-        "SLOWDOWN_LIFE_S = 0.0",
+        "SLOWDOWN_TTL_S = 0.2",
+        "SLOWDOWN_TTL_S = 0.0",
     ),
     _off(
         "ranges as wide as links ask for",
@@ -129,8 +129,8 @@
     _off(
         "slow only beyond three times the usual",
         "targets",
-        "OVERDUE = 3.0",
-        "OVERDUE = 1.4",
+        "STALL_FACTOR = 3.0",
+        "STALL_FACTOR = 1.4",
     ),
     _off(
         "sheds with room return soon",
@@ -178,7 +178,7 @@
     _off(
         "counts from other VMs",
         "targets",
-        "            if now - heard < PEER_COUNT_LIFE_S\n        )\n\n"
+        "            if now - heard < PEER_COUNT_TTL_S\n        )\n\n"
         "    def waiting_elsewhere",
         "            if now < heard\n        )\n\n    def waiting_elsewhere",
     ),
