--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -74,7 +74,7 @@
         row_relay: relay.RowRelay,
         server: links.ControlServer,
         retry_budget: budget.RetryBudget,
-        speed_book: speeds.SpeedBook,
+        speed_book: speeds.SpeedTable,
         heat_book: heat.HeatBook,
         cold_limits: coldstart.ColdLimits,
         suspect_book: suspects.Suspects,
@@ -244,7 +244,7 @@
         if peer.report.heat:
             self._heat.hear(node, peer.report.heat, now)
         if peer.report.speeds:
-            self._speeds.hear(node, peer.report.speeds, now)
+            self._speeds.receive(node, peer.report.speeds, now)
         if peer.report.suspicions:
             self._suspects.hear(peer.report.suspicions, peer.heard_at)
         self._gate.note_report()
@@ -272,7 +272,7 @@
                 ratios = self._speeds.ratios(now)
                 for target in self._book.by_id.values():
                     target.slowness = ratios.get(
-                        target.id, speeds.UNKNOWN_RATIO
+                        target.id, speeds.DEFAULT_RATIO
                     )
             self._gate.decisions.vms = self._peers.circulation.near_heard(now)
             self._budget.set_vms(len(self._peers.by_node) + 1)
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -78,7 +78,7 @@
         book: targets.TargetTable,
         key_owners: owners.KeyOwners,
         retry_budget: budget.RetryBudget,
-        speed_book: speeds.SpeedBook,
+        speed_book: speeds.SpeedTable,
         log: decisions.BoundedLines,
         store: follow.TableFollower,
         operations: follow.TableFollower,
@@ -403,7 +403,7 @@
         if answer.status < 300 and _did_not_wait(waiter, target, answer):
             prior_s = work_times.prior_s(waiter.route)
             slowdown = _slowdown(answer)
-            self._speeds.note(target.id, took_s / prior_s / slowdown, now)
+            self._speeds.add_sample(target.id, took_s / prior_s / slowdown, now)
             self._times.note(
                 waiter.route, waiter.service, took_s / target.slowness
             )
--- a/src/swiftstile/gateway/measures.py
+++ b/src/swiftstile/gateway/measures.py
@@ -32,7 +32,7 @@
 class Measures:
     """Adds what this VM measured to reports that are about to be sent."""
 
-    def __init__(self, speed_book: speeds.SpeedBook, heat_book: heat.HeatBook):
+    def __init__(self, speed_book: speeds.SpeedTable, heat_book: heat.HeatBook):
         self._speeds = speed_book
         self._heat = heat_book
 
@@ -51,7 +51,7 @@
         speeds_s = max(SPEEDS_INTERVAL_S, SPEEDS_PER_VM_S * vms)
         if now - pace.speeds_at >= speeds_s:
             pace.speeds_at = now
-            told_speeds = self._speeds.tell(now)
+            told_speeds = self._speeds.own_samples(now)
         if now - pace.heat_at >= HEAT_INTERVAL_S:
             pace.heat_at = now
             told_heat = self._heat.tell(now)
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -60,7 +60,7 @@
         self,
         service: ids.ServiceName,
         book: targets.TargetTable,
-        speed_book: speeds.SpeedBook,
+        speed_book: speeds.SpeedTable,
         heat_book: heat.HeatBook,
         work_s,
         now: float,
@@ -98,7 +98,7 @@
             owners: Upstreams that own keys.
         """
         group = self._book.by_service.get(self._service, {})
-        ratios = self._speeds.compared(group.keys(), now)
+        ratios = self._speeds.placement_ratios(group.keys(), now)
         staying = [
             target for target in group.values() if target.leaving_since is None
         ]
--- a/src/swiftstile/gateway/speeds.py
+++ b/src/swiftstile/gateway/speeds.py
@@ -9,26 +9,26 @@
 
 from swiftstile.gateway import model
 
-__all__ = ["UNKNOWN_RATIO", "Samples", "SpeedBook"]
+__all__ = ["DEFAULT_RATIO", "Samples", "SpeedTable"]
 
 # An answer counts half after this long: a slow upstream shows within seconds.
 HALF_LIFE_S = 4.0
 # Of an upstream of which nothing is known.
-UNKNOWN_RATIO = 1.0
+DEFAULT_RATIO = 1.0
 # Answers at mean speed that are taken for granted; with less, a few odd
 # requests would move keys.
 PRIOR_COUNT = 4.0
 # Ratios are bounded so that one odd request doesn't outweigh all others.
-LEAST_RATIO, GREATEST_RATIO = 0.2, 12.0
+MIN_RATIO, MAX_RATIO = 0.2, 12.0
 # What a peer told longer ago than this is forgotten.
-PEER_LIFE_S = 4.0
+PEER_TTL_S = 4.0
 # Sums are kept as of a time no longer ago than this. Rounding grows with it,
 # and is a part in 10**12 then.
-LONGEST_REFERENCE_S = 40.0
-_LEAST_COUNT = 0.1
+MAX_REFERENCE_AGE_S = 40.0
+_MIN_COUNT = 0.1
 # Upstreams that are told at a time, those with most answers: 60 of them fill
 # one datagram that the network doesn't cut into pieces.
-MOST_TOLD = 60
+MAX_PUBLISHED = 60
 # On the wire, counts are in tenths and ratios in hundredths.
 _COUNT_UNIT, _RATIO_UNIT = 0.1, 0.01
 
@@ -36,7 +36,7 @@
 Samples = dict[model.UpstreamId, tuple[int, int]]
 
 
-class _Decayed:
+class _DecayingSum:
 
     def __init__(self):
         self.total = 0.0
@@ -50,11 +50,11 @@
         self.at = now
 
 
-class _Told(typing.NamedTuple):
+class _PeerSamples(typing.NamedTuple):
     """What a peer told, and what it counted for at the reference time."""
 
     samples: Samples
-    heard: float
+    received_at: float
     weight_by_upstream: dict[model.UpstreamId, tuple[float, float]]
 
 
@@ -67,55 +67,59 @@
     """
 
     def __init__(self):
-        # In the order in which they were heard.
-        self._told_by_node: dict[model.NodeId, _Told] = {}
+        # In the order in which they were received.
+        self._samples_by_node: dict[model.NodeId, _PeerSamples] = {}
         self._reference = 0.0
         # Sum of ratios, count, and peers that told of it, by upstream.
         self._sums: dict[model.UpstreamId, tuple[float, float, int]] = {}
 
-    def hear(self, node: model.NodeId, samples: Samples, now: float) -> None:
+    def receive(self, node: model.NodeId, samples: Samples, now: float) -> None:
         """Takes in what a peer tells."""
-        known = self._told_by_node.pop(node, None)
+        known = self._samples_by_node.pop(node, None)
         if known is not None:
-            self._take_off(known)
-        if not self._sums or now - self._reference > LONGEST_REFERENCE_S:
-            self._begin_anew(now)
-        self._told_by_node[node] = self._add(samples, now)
+            self._subtract(known)
+        if not self._sums or now - self._reference > MAX_REFERENCE_AGE_S:
+            self._rebase(now)
+        self._samples_by_node[node] = self._add(samples, now)
 
     def at(self, now: float) -> dict[model.UpstreamId, tuple[float, float]]:
         """Returns the sum of ratios and the count, by upstream."""
-        while self._told_by_node:
-            node, told = next(iter(self._told_by_node.items()))
-            if now - told.heard <= PEER_LIFE_S:
+        while self._samples_by_node:
+            node, entry = next(iter(self._samples_by_node.items()))
+            if now - entry.received_at <= PEER_TTL_S:
                 break
-            del self._told_by_node[node]
-            self._take_off(told)
+            del self._samples_by_node[node]
+            self._subtract(entry)
         factor = 0.5 ** ((now - self._reference) / HALF_LIFE_S)
         return {
             upstream: (total * factor, count * factor)
             for upstream, (total, count, _) in self._sums.items()
         }
 
-    def _begin_anew(self, now: float) -> None:
+    def _rebase(self, now: float) -> None:
         """Takes another reference time, so that weights stay small."""
         self._reference = now
         self._sums.clear()
-        for node, told in self._told_by_node.items():
-            self._told_by_node[node] = self._add(told.samples, told.heard)
+        for node, entry in self._samples_by_node.items():
+            self._samples_by_node[node] = self._add(
+                entry.samples, entry.received_at
+            )
 
-    def _add(self, samples: Samples, heard: float) -> _Told:
-        unit = _COUNT_UNIT * 2.0 ** ((heard - self._reference) / HALF_LIFE_S)
+    def _add(self, samples: Samples, received_at: float) -> _PeerSamples:
+        unit = _COUNT_UNIT * 2.0 ** (
+            (received_at - self._reference) / HALF_LIFE_S
+        )
         weights = {}
-        for upstream, (told_count, told_ratio) in samples.items():
-            count = told_count * unit
-            total = count * told_ratio * _RATIO_UNIT
+        for upstream, (count_units, ratio_units) in samples.items():
+            count = count_units * unit
+            total = count * ratio_units * _RATIO_UNIT
             weights[upstream] = total, count
             sums = self._sums.get(upstream, (0.0, 0.0, 0))
             self._sums[upstream] = sums[0] + total, sums[1] + count, sums[2] + 1
-        return _Told(samples, heard, weights)
+        return _PeerSamples(samples, received_at, weights)
 
-    def _take_off(self, told: _Told) -> None:
-        for upstream, (total, count) in told.weight_by_upstream.items():
+    def _subtract(self, entry: _PeerSamples) -> None:
+        for upstream, (total, count) in entry.weight_by_upstream.items():
             sums = self._sums[upstream]
             if sums[2] == 1:
                 # Nobody else told of it: what is left is rounding.
@@ -124,45 +128,45 @@
             self._sums[upstream] = sums[0] - total, sums[1] - count, sums[2] - 1
 
 
-class SpeedBook:
+class SpeedTable:
     """Ratios of measured to expected work time, by upstream."""
 
     def __init__(self):
-        self._own: dict[model.UpstreamId, _Decayed] = {}
+        self._own: dict[model.UpstreamId, _DecayingSum] = {}
         self._peers = _PeerSums()
 
-    def note(
+    def add_sample(
         self, upstream: model.UpstreamId, ratio: float, now: float
     ) -> None:
         """Takes in the time of one answer over what was expected."""
-        entry = self._own.setdefault(upstream, _Decayed())
+        entry = self._own.setdefault(upstream, _DecayingSum())
         entry.decay(now)
-        entry.total += min(max(ratio, LEAST_RATIO), GREATEST_RATIO)
+        entry.total += min(max(ratio, MIN_RATIO), MAX_RATIO)
         entry.count += 1
 
-    def hear(self, node: model.NodeId, samples: Samples, now: float) -> None:
+    def receive(self, node: model.NodeId, samples: Samples, now: float) -> None:
         """Takes in what a peer tells."""
-        self._peers.hear(node, samples, now)
+        self._peers.receive(node, samples, now)
 
-    def tell(self, now: float) -> Samples:
+    def own_samples(self, now: float) -> Samples:
         """Returns this VM's own sums, for its peers."""
-        told: Samples = {}
+        samples: Samples = {}
         for upstream, entry in list(self._own.items()):
             entry.decay(now)
-            if entry.count < _LEAST_COUNT:
+            if entry.count < _MIN_COUNT:
                 del self._own[upstream]
                 continue
             ratio = entry.total / entry.count
-            told[upstream] = (
+            samples[upstream] = (
                 round(entry.count / _COUNT_UNIT),
                 round(ratio / _RATIO_UNIT),
             )
-        if len(told) <= MOST_TOLD:
-            return told
-        most = sorted(told, key=lambda name: told[name][0], reverse=True)
-        return {name: told[name] for name in most[:MOST_TOLD]}
+        if len(samples) <= MAX_PUBLISHED:
+            return samples
+        most = sorted(samples, key=lambda name: samples[name][0], reverse=True)
+        return {name: samples[name] for name in most[:MAX_PUBLISHED]}
 
-    def compared(
+    def placement_ratios(
         self, members: abc.Collection[model.UpstreamId], now: float
     ) -> dict[model.UpstreamId, float]:
         """Returns ratios that tell members apart, to place keys by.
@@ -176,12 +180,12 @@
         known = {name: _ratio(*sums[name]) for name in members if name in sums}
         least = PRIOR_COUNT * len(members)
         if not known or sum(sums[name][1] for name in known) < least:
-            return dict.fromkeys(members, UNKNOWN_RATIO)
+            return dict.fromkeys(members, DEFAULT_RATIO)
         mean = sum(known.values()) / len(known)
         return {name: known.get(name, mean) for name in members}
 
     def ratios(self, now: float) -> dict[model.UpstreamId, float]:
-        """Returns the ratios of upstreams; others count as `UNKNOWN_RATIO`."""
+        """Returns the ratios of upstreams; others count as `DEFAULT_RATIO`."""
         return {
             upstream: _ratio(total, count)
             for upstream, (total, count) in self._sums(now).items()
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -137,7 +137,7 @@
         )
         self._book = targets.TargetTable()
         self._maps = renewals.KeyMaps()
-        self._speeds = speeds.SpeedBook()
+        self._speeds = speeds.SpeedTable()
         self._heat = heat.HeatBook()
         self._suspects = suspects.Suspects()
         self._peers = gossip.Peers(
--- a/tests/keeper_parts.py
+++ b/tests/keeper_parts.py
@@ -108,7 +108,7 @@
         )
         follower = types.SimpleNamespace(failing_since=None, version=0)
         self.heat = heat.HeatBook()
-        self.speeds = speeds.SpeedBook()
+        self.speeds = speeds.SpeedTable()
         self.work_s: float | None = None
         self.most_ranges = most_ranges
         self.plan = slotplan.SlotPlan(
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -465,35 +465,35 @@
 
 
 def test_speeds_are_learned_from_all_vms_and_forgotten():
-    book = speeds.SpeedBook()
+    book = speeds.SpeedTable()
 
     def ratio(name: str, now: float) -> float:
-        return book.ratios(now).get(name, speeds.UNKNOWN_RATIO)
+        return book.ratios(now).get(name, speeds.DEFAULT_RATIO)
 
     told = {model.UpstreamId("u-1"): (200, 300)}
-    book.hear(model.NodeId("vm-2"), told, 0.0)
+    book.receive(model.NodeId("vm-2"), told, 0.0)
     assert ratio("u-1", 0.0) > 2.0
     assert ratio("u-1", 30.0) == 1.0
     for _ in range(20):
-        book.note("u-2", 4.0, 0.0)
+        book.add_sample("u-2", 4.0, 0.0)
     assert ratio("u-2", 0.0) > 3.0
     assert ratio("u-2", 40.0) < 1.2
-    assert speeds.SpeedBook().tell(0.0) == {}
+    assert speeds.SpeedTable().own_samples(0.0) == {}
 
 
 def test_speeds_tell_upstreams_apart_only_by_enough_answers():
-    book = speeds.SpeedBook()
+    book = speeds.SpeedTable()
     asked, unasked = model.UpstreamId("u-0"), model.UpstreamId("u-1")
     slow = model.UpstreamId("u-2")
     members = [asked, unasked, slow]
     for _ in range(4):
-        book.note(asked, 0.2, 0.0)
-        book.note(slow, 0.4, 0.0)
-    assert book.compared(members, 0.0) == dict.fromkeys(members, 1.0)
+        book.add_sample(asked, 0.2, 0.0)
+        book.add_sample(slow, 0.4, 0.0)
+    assert book.placement_ratios(members, 0.0) == dict.fromkeys(members, 1.0)
     for _ in range(40):
-        book.note(asked, 0.2, 0.0)
-        book.note(slow, 0.4, 0.0)
-    told = book.compared(members, 0.0)
+        book.add_sample(asked, 0.2, 0.0)
+        book.add_sample(slow, 0.4, 0.0)
+    told = book.placement_ratios(members, 0.0)
     assert told[asked] < told[unasked] < told[slow]
 
 
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -170,12 +170,16 @@
     names = [f"u-{number}" for number in range(60)]
     counts = []
     for size in many_vms.SIZES:
-        book = speeds.SpeedBook()
+        book = speeds.SpeedTable()
         for number in range(size.vms):
-            book.hear(f"vm-{number}", dict.fromkeys(names, (9, 90)), 50.0)
+            book.receive(f"vm-{number}", dict.fromkeys(names, (9, 90)), 50.0)
 
         def ask(now: float, of=book):
-            return of.compared(names, now) if is_compared else of.ratios(now)
+            return (
+                of.placement_ratios(names, now)
+                if is_compared
+                else of.ratios(now)
+            )
 
         ask(50.0)
         counts.append(work_meter.steps(lambda again=ask: again(50.1)))
--- a/tests/unit/test_gateway_measures.py
+++ b/tests/unit/test_gateway_measures.py
@@ -34,7 +34,7 @@
     def __init__(self, monkeypatch):
         self.now = 100.0
         monkeypatch.setattr(clocks, "monotonic", lambda: self.now)
-        self.speeds = speeds.SpeedBook()
+        self.speeds = speeds.SpeedTable()
         self.heat = heat.HeatBook()
         self.peers = gossip.Peers(
             builders.node_row("vm-0"),
@@ -56,7 +56,7 @@
         end = self.now + for_s
         while self.now < end:
             self.now += gossip.NEAR_INTERVAL_S
-            self.speeds.note(_UPSTREAM, 3.0, self.now)
+            self.speeds.add_sample(_UPSTREAM, 3.0, self.now)
             self.heat.note(builders.LOOKUPS, 5, self.now)
             sequence = self.peers.next_sequence()
             busy = {_UPSTREAM: (sequence % 2, 0)}
@@ -87,13 +87,13 @@
 
 
 def test_where_vms_are_many_speeds_are_told_less_often():
-    book = speeds.SpeedBook()
+    book = speeds.SpeedTable()
     told = measures.Measures(book, heat.HeatBook())
     report = builders.report(builders.node_row("vm-0"))
     pace = measures.Pace()
     count = 0
     for tick in range(600):
         now = 100.0 + tick * 0.1
-        book.note(_UPSTREAM, 1.0, now)
+        book.add_sample(_UPSTREAM, 1.0, now)
         count += bool(told.attach(report, pace, vms=80, now=now).speeds)
     assert 24 <= count <= 26
--- a/tests/unit/test_gateway_slotplan.py
+++ b/tests/unit/test_gateway_slotplan.py
@@ -49,7 +49,7 @@
     # Only u-1 was asked yet. That says nothing of what u-2 can do.
     parts = keeper_parts.Parts()
     for _ in range(20):
-        parts.speeds.note("u-1", 0.2, _NOW)
+        parts.speeds.add_sample("u-1", 0.2, _NOW)
     weights = parts.plan.weights(_NOW)
     assert weights["u-1"] == pytest.approx(weights["u-2"])
 
--- a/tests/unit/test_gateway_speeds.py
+++ b/tests/unit/test_gateway_speeds.py
@@ -26,7 +26,7 @@
     """Returns the ratios by what each VM told last, if that isn't too old."""
     sums: dict[str, tuple[float, float]] = {}
     for samples, heard in last_by_node.values():
-        if now - heard > speeds.PEER_LIFE_S:
+        if now - heard > speeds.PEER_TTL_S:
             continue
         part = 0.5 ** ((now - heard) / speeds.HALF_LIFE_S)
         for name, (count, ratio) in samples.items():
@@ -42,10 +42,10 @@
 
 @hypothesis.given(_STEPS)
 def test_sums_that_are_kept_are_those_of_what_was_told(steps):
-    book, last_by_node, now = speeds.SpeedBook(), {}, 1000.0
+    book, last_by_node, now = speeds.SpeedTable(), {}, 1000.0
     for node, samples, after_s in steps:
         now += after_s
-        book.hear(node, samples, now)
+        book.receive(node, samples, now)
         last_by_node[node] = (samples, now)
         expected = _added_up(last_by_node, now)
         found = book.ratios(now)
@@ -57,10 +57,10 @@
 def test_an_upstream_that_nobody_tells_of_any_more_counts_as_unknown():
     # What is left of a sum after taking its parts off is rounding, not an
     # answer: it would make the upstream seem one of mean speed.
-    book = speeds.SpeedBook()
-    book.hear("vm-1", {"u-1": (33, 217)}, 100.0)
-    book.hear("vm-2", {"u-1": (7, 333), "u-2": (70, 120)}, 100.7)
-    book.hear("vm-1", {}, 101.1)
-    book.hear("vm-2", {"u-2": (70, 120)}, 101.3)
+    book = speeds.SpeedTable()
+    book.receive("vm-1", {"u-1": (33, 217)}, 100.0)
+    book.receive("vm-2", {"u-1": (7, 333), "u-2": (70, 120)}, 100.7)
+    book.receive("vm-1", {}, 101.1)
+    book.receive("vm-2", {"u-2": (70, 120)}, 101.3)
     assert book.ratios(101.3).keys() == {"u-2"}
-    assert book.ratios(101.3 + speeds.PEER_LIFE_S + 0.1) == {}
+    assert book.ratios(101.3 + speeds.PEER_TTL_S + 0.1) == {}
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -172,7 +172,7 @@
     _off(
         "speeds from all VMs' answers",
         "speeds",
-        "        self._peers.hear(node, samples, now)",
+        "        self._peers.receive(node, samples, now)",
         "        del node, samples, now",
     ),
     _off(
