--- a/src/swiftstile/gateway/gossip.py
+++ b/src/swiftstile/gateway/gossip.py
@@ -17,7 +17,7 @@
 from swiftstile import pacing
 from swiftstile.gateway import circulation as circulation_lib
 from swiftstile.gateway import domain_reports
-from swiftstile.gateway import measures as measures_lib
+from swiftstile.gateway import measurements as measurements_lib
 from swiftstile.gateway import model
 from swiftstile.gateway import report_encoding
 from swiftstile.gateway import reports
@@ -102,14 +102,14 @@
         self,
         me: reports.NodeRow,
         on_report,
-        measures: measures_lib.Measures | None = None,
+        measures: measurements_lib.MeasurementReporter | None = None,
         meters: metrics.Meters | None = None,
     ):
         self.me = me
         self._meters = meters or metrics.Meters()
         self._measures = measures
-        self._near_pace = measures_lib.Pace()
-        self._leader_pace = measures_lib.Pace()
+        self._near_pace = measurements_lib.LastSent()
+        self._leader_pace = measurements_lib.LastSent()
         self.by_node: dict[model.NodeId, reports.Peer] = {}
         self._by_run: dict[str, reports.Peer] = {}
         self._on_report = on_report
@@ -347,11 +347,14 @@
             self._send_to(peer, to_leader if peer.claims_lead else data, now)
 
     def _with_measures(
-        self, report: reports.Report, pace: measures_lib.Pace, now: float
+        self,
+        report: reports.Report,
+        pace: measurements_lib.LastSent,
+        now: float,
     ) -> reports.Report:
         if self._measures is None:
             return report
-        return self._measures.attach(report, pace, len(self.by_node), now)
+        return self._measures.add_due(report, pace, len(self.by_node), now)
 
     def _send_to(
         self, peer: reports.Peer, data: bytes | None, now: float
--- a/src/swiftstile/gateway/measures.py
+++ b/src/swiftstile/gateway/measurements.py
@@ -11,52 +11,52 @@
 from swiftstile.gateway import reports
 from swiftstile.gateway import speeds
 
-__all__ = ["Measures", "Pace"]
+__all__ = ["MeasurementReporter", "LastSent"]
 
 # Between two tellings of how fast targets are.
 SPEEDS_INTERVAL_S = 0.8
 # The same for each VM, where they are many: each has fewer answers to tell of.
-SPEEDS_PER_VM_S = 0.03
+SPEEDS_INTERVAL_PER_VM_S = 0.03
 # Between two tellings of which keys are busy.
-HEAT_INTERVAL_S = 0.3
+KEY_LOADS_INTERVAL_S = 0.3
 
 
-class Pace:
+class LastSent:
     """When an audience was last sent what was measured, in steady seconds."""
 
     def __init__(self):
         self.speeds_at = float("-inf")
-        self.heat_at = float("-inf")
+        self.key_loads_at = float("-inf")
 
 
-class Measures:
+class MeasurementReporter:
     """Adds what this VM measured to reports that are about to be sent."""
 
-    def __init__(self, speed_book: speeds.SpeedTable, heat_book: heat.HeatBook):
-        self._speeds = speed_book
-        self._heat = heat_book
+    def __init__(
+        self, speed_table: speeds.SpeedTable, key_load_table: heat.HeatBook
+    ):
+        self._speeds = speed_table
+        self._key_loads = key_load_table
 
-    def attach(
-        self, report: reports.Report, pace: Pace, vms: int, now: float
+    def add_due(
+        self, report: reports.Report, last_sent: LastSent, vms: int, now: float
     ) -> reports.Report:
         """Returns the report with what is due for an audience.
 
         Args:
             report: What is about to be sent.
-            pace: When that audience was last sent something.
+            last_sent: When that audience was last sent something.
             vms: All other VMs; where they are many, each tells less often.
             now: On the steady clock.
         """
-        told_speeds, told_heat = {}, {}
-        speeds_s = max(SPEEDS_INTERVAL_S, SPEEDS_PER_VM_S * vms)
-        if now - pace.speeds_at >= speeds_s:
-            pace.speeds_at = now
-            told_speeds = self._speeds.own_samples(now)
-        if now - pace.heat_at >= HEAT_INTERVAL_S:
-            pace.heat_at = now
-            told_heat = self._heat.tell(now)
-        if not told_speeds and not told_heat:
+        samples, key_loads = {}, {}
+        speeds_s = max(SPEEDS_INTERVAL_S, SPEEDS_INTERVAL_PER_VM_S * vms)
+        if now - last_sent.speeds_at >= speeds_s:
+            last_sent.speeds_at = now
+            samples = self._speeds.own_samples(now)
+        if now - last_sent.key_loads_at >= KEY_LOADS_INTERVAL_S:
+            last_sent.key_loads_at = now
+            key_loads = self._key_loads.tell(now)
+        if not samples and not key_loads:
             return report
-        return msgspec.structs.replace(
-            report, speeds=told_speeds, heat=told_heat
-        )
+        return msgspec.structs.replace(report, speeds=samples, heat=key_loads)
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -29,7 +29,7 @@
 from swiftstile.gateway import keeper
 from swiftstile.gateway import keymap
 from swiftstile.gateway import leadership
-from swiftstile.gateway import measures
+from swiftstile.gateway import measurements
 from swiftstile.gateway import membership
 from swiftstile.gateway import model
 from swiftstile.gateway import outage
@@ -143,7 +143,7 @@
         self._peers = gossip.Peers(
             self._node,
             self._on_report,
-            measures.Measures(self._speeds, self._heat),
+            measurements.MeasurementReporter(self._speeds, self._heat),
             self._meters,
         )
         self._readers = readers.StoreReaders(
--- a/tests/unit/test_gateway_measures.py
+++ b/tests/unit/test_gateway_measurements.py
@@ -6,7 +6,7 @@
 from swiftstile import ids
 from swiftstile.gateway import gossip
 from swiftstile.gateway import heat
-from swiftstile.gateway import measures
+from swiftstile.gateway import measurements
 from swiftstile.gateway import reports
 from swiftstile.gateway import speeds
 from tests import gateway_builders as builders
@@ -39,7 +39,7 @@
         self.peers = gossip.Peers(
             builders.node_row("vm-0"),
             lambda *_: None,
-            measures.Measures(self.speeds, self.heat),
+            measurements.MeasurementReporter(self.speeds, self.heat),
         )
         self.network = self.peers._transport = _Network()
         self._add("vm-1", self.NEAR)
@@ -88,12 +88,14 @@
 
 def test_where_vms_are_many_speeds_are_told_less_often():
     book = speeds.SpeedTable()
-    told = measures.Measures(book, heat.HeatBook())
+    reporter = measurements.MeasurementReporter(book, heat.HeatBook())
     report = builders.report(builders.node_row("vm-0"))
-    pace = measures.Pace()
+    last_sent = measurements.LastSent()
     count = 0
     for tick in range(600):
         now = 100.0 + tick * 0.1
         book.add_sample(_UPSTREAM, 1.0, now)
-        count += bool(told.attach(report, pace, vms=80, now=now).speeds)
+        count += bool(
+            reporter.add_due(report, last_sent, vms=80, now=now).speeds
+        )
     assert 24 <= count <= 26
