--- a/src/swiftstile/gateway/budget.py
+++ b/src/swiftstile/gateway/budget.py
@@ -13,11 +13,11 @@
 
 # Part of the bound that is used, since the windows of the platform slide and
 # requests in it were counted elsewhere a little earlier or later.
-SAFETY = 0.7
+SAFETY_FACTOR = 0.7
 
 
 class RetryBudget:
-    """Counts requests and repeats of one VM in a sliding window.
+    """Counts requests and retries of one VM in a sliding window.
 
     Args:
         ratio: Repeats allowed for each request.
@@ -31,29 +31,29 @@
         self._window_s = window_s
         self._vms = 1
         self._requests_by_service: dict[ids.ServiceName, collections.deque] = {}
-        self._repeats_by_service: dict[ids.ServiceName, collections.deque] = {}
+        self._retries_by_service: dict[ids.ServiceName, collections.deque] = {}
 
-    def set_vms(self, count: int) -> None:
+    def set_vm_count(self, count: int) -> None:
         """Says how many VMs share the allowance."""
         self._vms = max(1, count)
 
     def note_request(self, service: ids.ServiceName, now: float) -> None:
         """A caller's request came for a service."""
-        self._log(self._requests_by_service, service, now).append(now)
+        self._window(self._requests_by_service, service, now).append(now)
 
     def can_spend(self, service: ids.ServiceName, now: float) -> bool:
         """Whether one more repeat is allowed."""
-        requests = len(self._log(self._requests_by_service, service, now))
-        repeats = len(self._log(self._repeats_by_service, service, now))
+        requests = len(self._window(self._requests_by_service, service, now))
+        retries = len(self._window(self._retries_by_service, service, now))
         bound = self._ratio * requests + self._allowance / self._vms
-        return repeats + 1 <= SAFETY * bound
+        return retries + 1 <= SAFETY_FACTOR * bound
 
     def spend(self, service: ids.ServiceName, now: float) -> None:
         """Takes one repeat from the budget."""
-        self._log(self._repeats_by_service, service, now).append(now)
+        self._window(self._retries_by_service, service, now).append(now)
 
-    def _log(self, by_service, service, now) -> collections.deque:
-        log = by_service.setdefault(service, collections.deque())
-        while log and log[0] <= now - self._window_s:
-            log.popleft()
-        return log
+    def _window(self, by_service, service, now) -> collections.deque:
+        times = by_service.setdefault(service, collections.deque())
+        while times and times[0] <= now - self._window_s:
+            times.popleft()
+        return times
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -275,7 +275,7 @@
                         target.id, speeds.DEFAULT_RATIO
                     )
             self._gate.decisions.vms = self._peers.circulation.near_heard(now)
-            self._budget.set_vms(len(self._peers.by_node) + 1)
+            self._budget.set_vm_count(len(self._peers.by_node) + 1)
 
     async def _lead(self) -> None:
         while True:
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -22,9 +22,9 @@
 from swiftstile.gateway import outcomes
 from swiftstile.gateway import owners
 from swiftstile.gateway import permits as permits_lib
-from swiftstile.gateway import shares
 from swiftstile.gateway import speeds
 from swiftstile.gateway import targets
+from swiftstile.gateway import weighted_round_robin
 from swiftstile.gateway import work_times
 
 __all__ = ["Handler"]
@@ -99,8 +99,8 @@
         self._operations = operations
         self._crashes = crashes
         self._meters = meters
-        self._times = work_times.ServiceTimes()
-        self._shares = shares.ShareDealer()
+        self._times = work_times.WorkTimeEstimates()
+        self._shares = weighted_round_robin.WeightedRoundRobin()
 
     def may_overlap(self, request: web_request.BaseRequest) -> bool:
         """Whether a request may run beside those ahead on its connection."""
@@ -150,7 +150,7 @@
 
     def work_s(self, service: ids.ServiceName) -> float | None:
         """Returns the mean work of a service's requests, once measured."""
-        return self._times.of_service(service)
+        return self._times.service_mean_s(service)
 
     def _route(self, request) -> tuple[model.Route, model.Config]:
         config = self.config
@@ -192,7 +192,7 @@
 
     async def _serve(self, arrival, inbound, route, config, story):
         request, arrived = arrival.request, arrival.arrived
-        service = self._shares.draw(route)
+        service = self._shares.next_service(route)
         self._budget.note_request(service, arrived)
         wait_s = route.timeout_s
         if inbound.wait_s is not None:
@@ -401,10 +401,10 @@
         if self._crashes.remembers(call.length or 0):
             self._crashes.note_answer(call.digest(), now)
         if answer.status < 300 and _did_not_wait(waiter, target, answer):
-            prior_s = work_times.prior_s(waiter.route)
+            prior_s = work_times.default_work_s(waiter.route)
             slowdown = _slowdown(answer)
             self._speeds.add_sample(target.id, took_s / prior_s / slowdown, now)
-            self._times.note(
+            self._times.add_sample(
                 waiter.route, waiter.service, took_s / target.slowness
             )
         story.note(
--- a/src/swiftstile/gateway/shares.py
+++ b/src/swiftstile/gateway/weighted_round_robin.py
@@ -3,16 +3,16 @@
 from swiftstile import ids
 from swiftstile.gateway import model
 
-__all__ = ["ShareDealer"]
+__all__ = ["WeightedRoundRobin"]
 
 
-class ShareDealer:
+class WeightedRoundRobin:
     """Deals requests out by weight, evenly also over short times."""
 
     def __init__(self):
         self._credit_by_route: dict[str, dict[ids.ServiceName, float]] = {}
 
-    def draw(self, route: model.Route) -> ids.ServiceName:
+    def next_service(self, route: model.Route) -> ids.ServiceName:
         """Returns the service for the next request of a route."""
         shares = route.shares
         if len(shares) == 1:
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -452,14 +452,14 @@
 
 def test_the_retry_budget_is_a_part_of_the_requests():
     repeats = budget.RetryBudget(0.2, 50, 10.0)
-    repeats.set_vms(10)
+    repeats.set_vm_count(10)
     for _ in range(100):
         repeats.note_request(builders.LOOKUPS, 0.0)
     spent = 0
     while repeats.can_spend(builders.LOOKUPS, 1.0):
         repeats.spend(builders.LOOKUPS, 1.0)
         spent += 1
-    assert 0 < spent <= budget.SAFETY * (0.2 * 100 + 5)
+    assert 0 < spent <= budget.SAFETY_FACTOR * (0.2 * 100 + 5)
     # The window slides.
     assert repeats.can_spend(builders.LOOKUPS, 11.5)
 
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -235,7 +235,7 @@
 
 class _NoShares:
 
-    def draw(self, route):
+    def next_service(self, route):
         return builders.LOOKUPS
 
 
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -215,8 +215,8 @@
     _off(
         "second sends",
         "budget",
-        "        return repeats + 1 <= SAFETY * bound",
-        "        return repeats + 1 <= 0 * bound",
+        "        return retries + 1 <= SAFETY_FACTOR * bound",
+        "        return retries + 1 <= 0 * bound",
     ),
     _off(
         "a successor knows its predecessor's marks",
