--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -11,9 +11,9 @@
 import typing
 
 from swiftstile import ids
+from swiftstile.gateway import caller_retries
 from swiftstile.gateway import coldstart
 from swiftstile.gateway import model
-from swiftstile.gateway import returns
 from swiftstile.gateway import targets
 
 __all__ = [
@@ -240,7 +240,7 @@
         # Since when requests that can be in time have been waiting for the
         # same, without a break.
         self._contested_since: dict[Contest, float] = {}
-        self._returns = returns.Returns()
+        self._returns = caller_retries.RetryTracker()
         self.vms = 1
 
     def __len__(self) -> int:
@@ -257,7 +257,7 @@
         """
         if waiter.owner is not None:
             waiter.awaited = waiter.owner.target(now)
-        self._returns.recognise(waiter, now)
+        self._returns.match_retry(waiter, now)
         if not self._is_overtaking(waiter, now):
             target = self.pick(waiter, now)
             if target is not None:
@@ -578,7 +578,7 @@
         spread = 1 + random.uniform(0, RETRY_SPREAD)
         owner = None if waiter.awaited is None else waiter.awaited.id
         if waiter.most_wait_s is None:
-            self._returns.expect(waiter, now + base_s * spread)
+            self._returns.expect_retry(waiter, now + base_s * spread)
         is_ownerless = waiter.owner is not None and owner is None
         return Overload(base_s * spread, wait_s, owner, is_ownerless)
 
--- a/src/swiftstile/gateway/returns.py
+++ b/src/swiftstile/gateway/caller_retries.py
@@ -12,73 +12,77 @@
 
 from swiftstile import ids
 
-__all__ = ["Returns"]
+__all__ = ["RetryTracker"]
 
 # How far the time at which a caller stops waiting may differ between two tries,
 # in seconds: whole milliseconds, and the way to us of each.
-SAME_END_S = 0.008
+DEADLINE_TOLERANCE_S = 0.008
 # How much earlier and later than told a caller comes back.
-EARLY_S, LATE_S = 0.01, 0.06
+MAX_EARLY_S, MAX_LATE_S = 0.01, 0.06
 
 
-class _Expected:
+class _ExpectedRetry:
     """A caller that was asked back.
 
     Attributes:
-        back_at: When.
+        retry_at: When.
         gives_up_at: When it stops waiting.
         arrived: When its first try came.
     """
 
-    __slots__ = ("arrived", "back_at", "gives_up_at")
+    __slots__ = ("arrived", "retry_at", "gives_up_at")
 
-    def __init__(self, back_at: float, gives_up_at: float, arrived: float):
-        self.back_at = back_at
+    def __init__(self, retry_at: float, gives_up_at: float, arrived: float):
+        self.retry_at = retry_at
         self.gives_up_at = gives_up_at
         self.arrived = arrived
 
 
-class Returns:
+class RetryTracker:
     """Callers of one VM that were asked back, by service and key."""
 
     def __init__(self):
         self._by_key: dict[
-            tuple[ids.ServiceName, int], collections.deque[_Expected]
+            tuple[ids.ServiceName, int], collections.deque[_ExpectedRetry]
         ] = {}
         self._swept_at = 0.0
 
-    def expect(self, waiter, back_at: float) -> None:
+    def expect_retry(self, waiter, retry_at: float) -> None:
         """A request was refused, and its caller told when to come back."""
         if waiter.key is None or waiter.gives_up_at is None:
             return
         name = (waiter.service, waiter.key)
         expected = self._by_key.setdefault(name, collections.deque())
-        expected.append(_Expected(back_at, waiter.gives_up_at, waiter.arrived))
+        expected.append(
+            _ExpectedRetry(retry_at, waiter.gives_up_at, waiter.arrived)
+        )
 
-    def recognise(self, waiter, now: float) -> None:
+    def match_retry(self, waiter, now: float) -> None:
         """Counts a request from its first try, if it is a later one."""
         self._sweep(now)
         if waiter.key is None or waiter.gives_up_at is None:
             return
         expected = self._by_key.get((waiter.service, waiter.key), ())
-        fitting = [entry for entry in expected if _fits(entry, waiter, now)]
-        if not fitting:
+        matches = [entry for entry in expected if _matches(entry, waiter, now)]
+        if not matches:
             return
-        found = min(
-            fitting,
+        best = min(
+            matches,
             key=lambda entry: abs(entry.gives_up_at - waiter.gives_up_at),
         )
-        expected.remove(found)
-        waiter.arrived = min(waiter.arrived, found.arrived)
+        expected.remove(best)
+        waiter.arrived = min(waiter.arrived, best.arrived)
 
     def _sweep(self, now: float) -> None:
         """Forgets those that didn't come."""
-        if now - self._swept_at < LATE_S:
+        if now - self._swept_at < MAX_LATE_S:
             return
         self._swept_at = now
         for name, expected in list(self._by_key.items()):
             kept = [
-                entry for entry in expected if now <= entry.back_at + LATE_S
+                entry
+                for entry in expected
+                if now <= entry.retry_at + MAX_LATE_S
             ]
             if kept:
                 self._by_key[name] = collections.deque(kept)
@@ -86,6 +90,9 @@
                 del self._by_key[name]
 
 
-def _fits(entry: _Expected, waiter, now: float) -> bool:
-    is_due = -EARLY_S <= now - entry.back_at <= LATE_S
-    return is_due and abs(entry.gives_up_at - waiter.gives_up_at) <= SAME_END_S
+def _matches(entry: _ExpectedRetry, waiter, now: float) -> bool:
+    is_due = -MAX_EARLY_S <= now - entry.retry_at <= MAX_LATE_S
+    return (
+        is_due
+        and abs(entry.gives_up_at - waiter.gives_up_at) <= DEADLINE_TOLERANCE_S
+    )
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -7,9 +7,9 @@
 
 from swiftstile.gateway import admission
 from swiftstile.gateway import budget
+from swiftstile.gateway import caller_retries
 from swiftstile.gateway import gate
 from swiftstile.gateway import model
-from swiftstile.gateway import returns
 from swiftstile.gateway import speeds
 from tests import gateway_builders as builders
 
@@ -365,29 +365,29 @@
 
 
 def test_a_caller_that_comes_back_is_known_by_its_key_and_its_patience():
-    book = returns.Returns()
-    book.expect(_returning(7, 10.0, 0.8), back_at=10.1)
+    book = caller_retries.RetryTracker()
+    book.expect_retry(_returning(7, 10.0, 0.8), retry_at=10.1)
     others = [
         _returning(8, 10.1, 0.7),
         _returning(7, 10.1, 0.75),
         _returning(7, 10.02, 0.78),
     ]
     for other in others:
-        book.recognise(other, other.arrived)
+        book.match_retry(other, other.arrived)
         assert other.arrived > 10.0
     back = _returning(7, 10.105, 0.693)
-    book.recognise(back, 10.105)
+    book.match_retry(back, 10.105)
     assert back.arrived == 10.0
     again = _returning(7, 10.106, 0.694)
-    book.recognise(again, 10.106)
+    book.match_retry(again, 10.106)
     assert again.arrived == 10.106
 
 
 def test_callers_that_do_not_come_back_are_forgotten():
-    book = returns.Returns()
+    book = caller_retries.RetryTracker()
     for number in range(100):
-        book.expect(_returning(number, 10.0, 0.8), back_at=10.1)
-    book.recognise(_returning(500, 11.0, 0.8), 11.0)
+        book.expect_retry(_returning(number, 10.0, 0.8), retry_at=10.1)
+    book.match_retry(_returning(500, 11.0, 0.8), 11.0)
     assert not book._by_key
 
 
--- a/tests/unit/test_gateway_keyed_load.py
+++ b/tests/unit/test_gateway_keyed_load.py
@@ -10,7 +10,7 @@
 import pytest
 
 from swiftstile.gateway import admission
-from swiftstile.gateway import returns
+from swiftstile.gateway import caller_retries
 from swiftstile.gateway import targets
 from tests import keyed_load
 
@@ -90,7 +90,13 @@
         # Late ones aren't known.
         (1.3, admission.Waiter, "is_late", _never, 0.04),
         # Callers that come back count as new ones.
-        (2.0, returns.Returns, "recognise", lambda *_: None, 0.04),
+        (
+            2.0,
+            caller_retries.RetryTracker,
+            "match_retry",
+            lambda *_: None,
+            0.04,
+        ),
         # A request that takes somewhat longer makes its owner slow.
         (2.0, targets, "STALL_FACTOR", 1.4, 0.015),
     ],
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -91,9 +91,9 @@
     ),
     _off(
         "returning callers are known",
-        "returns",
-        "        if not fitting:",
-        "        if fitting or not fitting:",
+        "caller_retries",
+        "        if not matches:",
+        "        if matches or not matches:",
     ),
     _off(
         "lookups wait beyond their objective",
