--- a/src/swiftstile/gateway/detours.py
+++ b/src/swiftstile/gateway/domain_search.py
@@ -14,27 +14,27 @@
 from swiftstile.gateway import admission
 from swiftstile.gateway import targets
 
-__all__ = ["Detours", "Stop"]
+__all__ = ["DomainSearch", "SearchStep"]
 
 # A domain that had no free slot isn't asked for another one for so long, which
 # is less than an upstream takes for a request.
-FULL_LIFE_S = 0.05
+FULL_DOMAIN_TTL_S = 0.05
 
 
-class Stop(typing.NamedTuple):
+class SearchStep(typing.NamedTuple):
     """A place to look for a slot.
 
     Attributes:
         domain: The failure domain.
-        most_wait_s: Longest wait for a slot there, in seconds; as long as the
+        max_wait_s: Longest wait for a slot there, in seconds; as long as the
             answer is of use if None.
     """
 
     domain: ids.FailureDomain
-    most_wait_s: float | None
+    max_wait_s: float | None
 
 
-class Detours:
+class DomainSearch:
     """Plans where the requests of one VM look for slots.
 
     Args:
@@ -52,7 +52,7 @@
         waiter: admission.Waiter,
         group: collections.abc.Iterable[targets.Target],
         now: float,
-    ) -> list[Stop]:
+    ) -> list[SearchStep]:
         """Returns where to look for a slot, in order.
 
         Args:
@@ -63,22 +63,22 @@
         domains = {target.upstream.failure_domain for target in group}
         others = sorted(domains - {self._home})
         random.shuffle(others)
-        open_stops = [
-            Stop(domain, 0.0)
+        open_steps = [
+            SearchStep(domain, 0.0)
             for domain in others
             if now >= self._full_until.get((waiter.service, domain), 0.0)
         ]
         if self._home in domains:
-            last = Stop(self._home, None)
-            if not open_stops:
+            last = SearchStep(self._home, None)
+            if not open_steps:
                 return [last]
-            first = Stop(self._home, admission.crossing_s(waiter.route))
-            return [first, *open_stops, last]
-        return open_stops + [Stop(domain, None) for domain in others[:1]]
+            first = SearchStep(self._home, admission.crossing_s(waiter.route))
+            return [first, *open_steps, last]
+        return open_steps + [SearchStep(domain, None) for domain in others[:1]]
 
     def note_refused(
-        self, service: ids.ServiceName, stop: Stop, now: float
+        self, service: ids.ServiceName, step: SearchStep, now: float
     ) -> None:
         """A domain had no slot in time."""
-        if stop.domain != self._home:
-            self._full_until[service, stop.domain] = now + FULL_LIFE_S
+        if step.domain != self._home:
+            self._full_until[service, step.domain] = now + FULL_DOMAIN_TTL_S
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -32,7 +32,7 @@
 from swiftstile.gateway import arbiter as arbiter_lib
 from swiftstile.gateway import arbiters
 from swiftstile.gateway import coldstart
-from swiftstile.gateway import detours
+from swiftstile.gateway import domain_search
 from swiftstile.gateway import gate as gate_lib
 from swiftstile.gateway import gossip
 from swiftstile.gateway import model
@@ -123,7 +123,7 @@
         self._arbiter = arbiter
         self._book = book
         self._meters = meters
-        self._detours = detours.Detours(peers.me.domain)
+        self._domain_search = domain_search.DomainSearch(peers.me.domain)
         self._numbers = itertools.count(1)
         self._asked: dict[int, _Asked] = {}
         self._arbiter_by_number: dict[int, reports.Peer] = {}
@@ -166,15 +166,15 @@
         now = clocks.monotonic()
         group = self._gate.decisions.staying(waiter, now)
         refusal: outcomes.RefusedError | None = None
-        for stop in self._detours.plan(waiter, group, now):
-            waiter.domain = stop.domain
-            waiter.most_wait_s = stop.most_wait_s
+        for step in self._domain_search.plan(waiter, group, now):
+            waiter.domain = step.domain
+            waiter.most_wait_s = step.max_wait_s
             try:
-                target = await self._acquire_in(waiter, stop.domain)
+                target = await self._acquire_in(waiter, step.domain)
             except outcomes.RefusedError as error:
                 refusal = error
-                self._detours.note_refused(
-                    waiter.service, stop, clocks.monotonic()
+                self._domain_search.note_refused(
+                    waiter.service, step, clocks.monotonic()
                 )
                 continue
             if target is not None:
