--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -410,7 +410,7 @@
             slots = target.upstream.slots
             rate += min(
                 slots / (waiter.expected_s * target.slow_factor(now)),
-                self._limits.per_s(target, now),
+                self._limits.rate_per_s(target, now),
             )
             elsewhere += target.waiting_elsewhere(now)
             above += max(0, target.occupied(now) - slots)
@@ -424,7 +424,7 @@
         if waiter.owner is None:
             return _FOREVER
         owner = waiter.owner.target(now)
-        if owner is not None and self._limits.is_barred(owner, now):
+        if owner is not None and self._limits.is_blocked(owner, now):
             return owner.cold_until - now
         return waiter.owner.ready_in_s(now)
 
@@ -522,7 +522,7 @@
         )
 
     def _is_barred(self, target: targets.Target, now: float) -> bool:
-        return now < target.cold_until and self._limits.is_barred(target, now)
+        return now < target.cold_until and self._limits.is_blocked(target, now)
 
     def _distance_s(self, waiter, target) -> float:
         if target.upstream.failure_domain == self._domain:
--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -65,7 +65,7 @@
     Args:
         peers: The other VMs.
         gate: Decides, for requests of this VM too.
-        book: The upstreams.
+        table: The upstreams.
         is_leaving: Returns whether this VM shuts down.
         meters: Counts permits.
     """
@@ -74,13 +74,13 @@
         self,
         peers: gossip.Peers,
         gate: gate_lib.Gate,
-        book: targets.TargetTable,
+        table: targets.TargetTable,
         is_leaving,
         meters: metrics.Meters,
     ):
         self._peers = peers
         self._gate = gate
-        self._book = book
+        self._targets = table
         self.is_leaving = is_leaving
         self._meters = meters
         self._permits: dict[tuple[str, int], _Permit] = {}
@@ -108,11 +108,11 @@
             self._tell_state(peer, ask.number, known)
             return
         if ask.service:
-            if ask.service in self._book.by_service:
+            if ask.service in self._targets.by_service:
                 self._begin(peer, ask, self._waiter_in_domain(ask))
             # Else it has just started, and others know more.
             return
-        target = self._book.by_id.get(ask.upstream)
+        target = self._targets.by_id.get(ask.upstream)
         if target is None or target.is_replaced:
             # The one that asks knows more of it.
             self._tell(
--- a/src/swiftstile/gateway/arbiters.py
+++ b/src/swiftstile/gateway/arbiters.py
@@ -98,7 +98,7 @@
 
         None if it is this one, or is out of reach: then this VM sends nothing.
         """
-        row = self._limits.sender(target, now)
+        row = self._limits.designated_sender(target, now)
         peer = None if row is None else self._peers.by_node.get(row.node)
         if peer is None or self.is_avoided(peer, now):
             return None
--- a/src/swiftstile/gateway/coldstart.py
+++ b/src/swiftstile/gateway/coldstart.py
@@ -23,10 +23,10 @@
 # not know what it sent before. The platform allows 1.5 times the rate and 8
 # requests in a second: with this part two VMs may send at any rate, and three
 # at rates below 6/s.
-RATE_PART = 0.75
+RATE_FRACTION = 0.75
 # How long the choice of senders stands: a service has dozens of upstreams and
 # VMs, and each look at the queue asks for all of them.
-CHOICE_LIFE_S = 0.2
+SENDER_CACHE_TTL_S = 0.2
 
 
 class SendLimits(abc.ABC):
@@ -37,7 +37,7 @@
         """Whether sends there are limited now, by whichever VM."""
 
     @abc.abstractmethod
-    def is_barred(self, target: targets.Target, now: float) -> bool:
+    def is_blocked(self, target: targets.Target, now: float) -> bool:
         """Whether this VM sends nothing there until the limit ends."""
 
     @abc.abstractmethod
@@ -45,7 +45,7 @@
         """Whether this VM may send there at this moment."""
 
     @abc.abstractmethod
-    def per_s(self, target: targets.Target, now: float) -> float:
+    def rate_per_s(self, target: targets.Target, now: float) -> float:
         """Returns how many requests/s may go there."""
 
     @abc.abstractmethod
@@ -53,7 +53,7 @@
         """This VM sends a request there, or lets another VM send one."""
 
     @abc.abstractmethod
-    def sender(
+    def designated_sender(
         self, target: targets.Target, now: float
     ) -> reports.NodeRow | None:
         """Returns the one VM that sends there while sends are limited.
@@ -69,7 +69,7 @@
         """See base class."""
         return False
 
-    def is_barred(self, target: targets.Target, now: float) -> bool:
+    def is_blocked(self, target: targets.Target, now: float) -> bool:
         """See base class."""
         return False
 
@@ -77,14 +77,14 @@
         """See base class."""
         return True
 
-    def per_s(self, target: targets.Target, now: float) -> float:
+    def rate_per_s(self, target: targets.Target, now: float) -> float:
         """See base class."""
         return float("inf")
 
     def note_sent(self, target: targets.Target, now: float) -> None:
         """See base class."""
 
-    def sender(
+    def designated_sender(
         self, target: targets.Target, now: float
     ) -> reports.NodeRow | None:
         """See base class."""
@@ -98,44 +98,47 @@
     """Limits of the services whose configuration names a rate.
 
     Args:
-        book: The upstreams.
+        table: The upstreams.
         peers: The other VMs.
         is_registered: Whether this VM is registered, so that it knows the
             others and they know it.
     """
 
     def __init__(
-        self, book: targets.TargetTable, peers: gossip.Peers, is_registered
+        self, table: targets.TargetTable, peers: gossip.Peers, is_registered
     ):
-        self._book = book
+        self._targets = table
         self._peers = peers
         self._is_registered = is_registered
-        self._per_s: dict[ids.ServiceName, float] = {}
-        self._keyed: set[ids.ServiceName] = set()
+        self._rate_by_service: dict[ids.ServiceName, float] = {}
+        self._keyed_services: set[ids.ServiceName] = set()
         self._sender_by_id: dict[model.UpstreamId, reports.NodeRow] = {}
-        self._chosen_until = 0.0
+        self._senders_valid_until = 0.0
 
     def set_services(
         self, by_name: dict[ids.ServiceName, model.Service]
     ) -> None:
         """Takes in what the configuration says of services."""
         limited = [entry for entry in by_name.values() if entry.cold_per_s > 0]
-        self._per_s = {
-            entry.name: RATE_PART * entry.cold_per_s for entry in limited
+        self._rate_by_service = {
+            entry.name: RATE_FRACTION * entry.cold_per_s for entry in limited
         }
-        self._keyed = {entry.name for entry in limited if entry.is_keyed}
-        self._chosen_until = 0.0
-        self._book.cold_start_s = {
+        self._keyed_services = {
+            entry.name for entry in limited if entry.is_keyed
+        }
+        self._senders_valid_until = 0.0
+        self._targets.cold_start_s = {
             entry.name: entry.cold_start_s for entry in limited
         }
 
     def is_limited(self, target: targets.Target, now: float) -> bool:
         """See base class."""
         return (
-            now < target.cold_until and target.upstream.service in self._per_s
+            now < target.cold_until
+            and target.upstream.service in self._rate_by_service
         )
 
-    def is_barred(self, target: targets.Target, now: float) -> bool:
+    def is_blocked(self, target: targets.Target, now: float) -> bool:
         """See base class."""
         return self.is_limited(target, now) and not self._is_sender(target, now)
 
@@ -145,30 +148,32 @@
             return True
         return now >= target.next_cold_send_at and self._is_sender(target, now)
 
-    def per_s(self, target: targets.Target, now: float) -> float:
+    def rate_per_s(self, target: targets.Target, now: float) -> float:
         """See base class."""
         if not self.is_limited(target, now):
             return float("inf")
-        return self._per_s[target.upstream.service]
+        return self._rate_by_service[target.upstream.service]
 
     def note_sent(self, target: targets.Target, now: float) -> None:
         """See base class."""
         if self.is_limited(target, now):
-            pause_s = 1 / self._per_s[target.upstream.service]
+            pause_s = 1 / self._rate_by_service[target.upstream.service]
             target.next_cold_send_at = now + pause_s
 
-    def sender(self, target: targets.Target, now: float) -> reports.NodeRow:
+    def designated_sender(
+        self, target: targets.Target, now: float
+    ) -> reports.NodeRow:
         """See base class."""
-        if now >= self._chosen_until:
+        if now >= self._senders_valid_until:
             self._sender_by_id.clear()
-            self._chosen_until = now + CHOICE_LIFE_S
+            self._senders_valid_until = now + SENDER_CACHE_TTL_S
         chosen = self._sender_by_id.get(target.id)
         if chosen is None:
             # The same VM as the arbiter, as far as it is reachable.
             service = target.upstream.service
-            subject = target.id if service in self._keyed else service
+            subject = target.id if service in self._keyed_services else service
             chosen = self._sender_by_id[target.id] = max(
-                self._rows(target),
+                self._candidates(target),
                 key=lambda row: sharing.affinity(row.node, subject),
             )
         return chosen
@@ -176,9 +181,9 @@
     def _is_sender(self, target: targets.Target, now: float) -> bool:
         if not self._is_registered():
             return False
-        return self.sender(target, now) is self._peers.me
+        return self.designated_sender(target, now) is self._peers.me
 
-    def _rows(self, target: targets.Target) -> list[reports.NodeRow]:
+    def _candidates(self, target: targets.Target) -> list[reports.NodeRow]:
         """Returns the VMs of which one is chosen for an upstream.
 
         By registrations, and not by who is heard: these are alike on all VMs,
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -103,7 +103,7 @@
         peers: The other VMs.
         gate: The slots that this VM hands out itself.
         arbiter: Answers the questions of other VMs.
-        book: The upstreams.
+        table: The upstreams.
         meters: Counts permits.
         limits: Names the one VM that hands out the slots of a cold upstream.
     """
@@ -113,7 +113,7 @@
         peers: gossip.Peers,
         gate: gate_lib.Gate,
         arbiter: arbiter_lib.Arbiter,
-        book: targets.TargetTable,
+        table: targets.TargetTable,
         meters: metrics.Meters,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
     ):
@@ -121,7 +121,7 @@
         self._peers = peers
         self._gate = gate
         self._arbiter = arbiter
-        self._book = book
+        self._targets = table
         self._meters = meters
         self._domain_search = domain_search.DomainSearch(peers.me.domain)
         self._numbers = itertools.count(1)
@@ -270,7 +270,7 @@
         now = clocks.monotonic()
         if target is not None:
             return target if waiter.owner.target(now) is target else None
-        granted = self._book.by_id.get(decided.upstream)
+        granted = self._targets.by_id.get(decided.upstream)
         if granted is None or not self._gate.decisions.is_usable(
             granted, waiter, now
         ):
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -86,7 +86,7 @@
     book, target = _cold()
     assert len(_senders(target, book)) == 1
     away = _limits(book, "vm-away", domain=builders.AWAY)
-    assert away.is_barred(target, 0.1)
+    assert away.is_blocked(target, 0.1)
     assert away.may_send(target, _COLD_S)
     assert not away.is_limited(target, _COLD_S)
 
@@ -193,7 +193,7 @@
     assert owned.offer(0.1) is owned.target
     assert owned.offer(0.1) is None
     assert owned.decisions.pump(0.2) == ([], [])
-    spaced_at = 0.1 + 1 / (coldstart.RATE_PART * _PER_S)
+    spaced_at = 0.1 + 1 / (coldstart.RATE_FRACTION * _PER_S)
     assigned, _ = owned.decisions.pump(spaced_at)
     assert len(assigned) == 1
 
--- a/tests/unit/test_gateway_permits.py
+++ b/tests/unit/test_gateway_permits.py
@@ -507,7 +507,7 @@
         for vm in vms:
             vm.cool(60.0, per_s)
         await asyncio.gather(*map(ask, vms[: _SLOTS + 1]))
-        least_s = 0.8 / (coldstart.RATE_PART * per_s)
+        least_s = 0.8 / (coldstart.RATE_FRACTION * per_s)
         for earlier, later in itertools.pairwise(granted_at):
             assert later - earlier > least_s
 
@@ -520,7 +520,7 @@
         for vm in vms:
             vm.cool(60.0, 20.0)
         target = vms[0].book.by_id["u-1"]
-        sender = vms[0].limits.sender(target, now).node
+        sender = vms[0].limits.designated_sender(target, now).node
         network.lose = lambda data, to: to == sender
         others = [vm for vm in vms if vm.name != sender]
         assert len(others) == len(vms) - 1
