--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -22,8 +22,8 @@
 __all__ = ["Arbiter"]
 
 # A permit whose end was never told lapses this long after its request's end.
-LAPSE_S = 0.1
-_SWEEP_S = 0.25
+EXPIRY_MARGIN_S = 0.1
+_SWEEP_INTERVAL_S = 0.25
 
 
 class _Permit:
@@ -32,19 +32,19 @@
     Attributes:
         waiter: The request.
         target: Where it may be sent, once that is decided.
-        lapses_at: When the permit counts as ended, whoever says nothing.
+        expires_at: When the permit counts as ended, whoever says nothing.
     """
 
-    __slots__ = ("lapses_at", "target", "waiter", "waiting")
+    __slots__ = ("expires_at", "pending", "target", "waiter")
 
     def __init__(self, waiter: admission.Waiter):
         self.waiter = waiter
         self.target: targets.Target | None = None
-        self.waiting: asyncio.Future | None = None
-        self.lapses_at = waiter.end + LAPSE_S
+        self.pending: asyncio.Future | None = None
+        self.expires_at = waiter.end + EXPIRY_MARGIN_S
 
 
-class _Wanted(admission.OwnerLookup):
+class _RequestedOwner(admission.OwnerLookup):
     """The upstream that another VM asked for; that VM knows why."""
 
     def __init__(self, target: targets.Target):
@@ -89,75 +89,82 @@
     async def run(self) -> None:
         """Ends permits of which nothing is heard any more, until cancelled."""
         while True:
-            await pacing.pause(_SWEEP_S)
+            await pacing.pause(_SWEEP_INTERVAL_S)
             now = clocks.monotonic()
             lapsed = [
                 name
                 for name, permit in self._permits.items()
-                if now > permit.lapses_at or self._peers.of_run(name[0]) is None
+                if now > permit.expires_at
+                or self._peers.of_run(name[0]) is None
             ]
             for name in lapsed:
                 self._meters.permits.add("lapsed")
-                self._drop(name)
+                self._end(name)
 
-    def decide(self, peer: reports.Peer, ask: permit_messages.Ask) -> None:
+    def handle_request(
+        self, peer: reports.Peer, request: permit_messages.PermitRequest
+    ) -> None:
         """Decides on a question, or says again what was decided."""
-        name = (ask.run, ask.number)
+        name = (request.run, request.number)
         known = self._permits.get(name)
         if known is not None:
-            self._tell_state(peer, ask.number, known)
+            self._send_status(peer, request.number, known)
             return
-        if ask.service:
-            if ask.service in self._targets.by_service:
-                self._begin(peer, ask, self._waiter_in_domain(ask))
+        if request.service:
+            if request.service in self._targets.by_service:
+                self._start(peer, request, self._waiter_in_domain(request))
             # Else it has just started, and others know more.
             return
-        target = self._targets.by_id.get(ask.upstream)
+        target = self._targets.by_id.get(request.upstream)
         if target is None or target.is_replaced:
             # The one that asks knows more of it.
-            self._tell(
+            self._send(
                 peer,
-                permit_messages.Decided(
-                    ask.number, permit_messages.Verdict.GRANTED
+                permit_messages.PermitReply(
+                    request.number, permit_messages.PermitStatus.GRANTED
                 ),
             )
             return
-        owner = _Wanted(target)
+        owner = _RequestedOwner(target)
         service = target.upstream.service
-        self._begin(peer, ask, _waiter(ask, service, owner, clocks.monotonic()))
+        self._start(
+            peer, request, _waiter(request, service, owner, clocks.monotonic())
+        )
 
-    def _waiter_in_domain(self, ask: permit_messages.Ask) -> admission.Waiter:
+    def _waiter_in_domain(
+        self, request: permit_messages.PermitRequest
+    ) -> admission.Waiter:
         """Returns a request for any upstream of this VM's failure domain."""
-        waiter = _waiter(ask, ask.service, None, clocks.monotonic())
+        waiter = _waiter(request, request.service, None, clocks.monotonic())
         waiter.domain = self._peers.me.domain
-        waiter.excluded = set(ask.excluded)
-        if ask.most_wait_ms is not None:
-            waiter.most_wait_s = ask.most_wait_ms / 1000
+        waiter.excluded = set(request.excluded)
+        if request.max_wait_ms is not None:
+            waiter.most_wait_s = request.max_wait_ms / 1000
         return waiter
 
-    def _begin(
+    def _start(
         self,
         peer: reports.Peer,
-        ask: permit_messages.Ask,
+        request: permit_messages.PermitRequest,
         waiter: admission.Waiter,
     ) -> None:
-        name = (ask.run, ask.number)
+        name = (request.run, request.number)
         decided = self._gate.begin(waiter)
         if isinstance(decided, admission.Overload):
-            self._tell_refused(peer, ask.number, decided)
+            self._send_refusal(peer, request.number, decided)
             return
         permit = self._permits[name] = _Permit(waiter)
         if isinstance(decided, targets.Target):
             permit.target = decided
         else:
-            permit.waiting = decided
+            permit.pending = decided
             decided.add_done_callback(
-                lambda future: self._settle(peer, name, permit, future)
+                lambda future: self._on_decided(peer, name, permit, future)
             )
-        self._tell_state(peer, ask.number, permit)
+        self._send_status(peer, request.number, permit)
 
-    def note_outcome(
-        self, peer: reports.Peer, message: permit_messages.Ended
+    def note_upstream_state(
+        self, peer: reports.Peer, message: permit_messages.PermitRelease
     ) -> None:
         """Takes in what the last request that ended says of its upstream."""
         run = reports.short_run(peer.row.incarnation)
@@ -165,73 +172,73 @@
         if permit is None or permit.target is None:
             return
         now = clocks.monotonic()
-        if message.pause_ms:
-            permit.target.note_rejected(now, message.pause_ms / 1000)
-        if message.work_percent is not None:
-            permit.target.note_slowdown(message.work_percent / 100, now)
+        if message.penalty_ms:
+            permit.target.note_rejected(now, message.penalty_ms / 1000)
+        if message.slowdown_percent is not None:
+            permit.target.note_slowdown(message.slowdown_percent / 100, now)
 
-    def end(self, peer: reports.Peer, number: int) -> None:
+    def end_permit(self, peer: reports.Peer, number: int) -> None:
         """A request ended, or doesn't want a slot any more."""
-        self._drop((reports.short_run(peer.row.incarnation), number))
+        self._end((reports.short_run(peer.row.incarnation), number))
 
-    def _drop(self, name: tuple[str, int]) -> None:
+    def _end(self, name: tuple[str, int]) -> None:
         permit = self._permits.pop(name, None)
         if permit is None:
             return
-        if permit.waiting is not None and permit.target is None:
-            self._gate.give_up(permit.waiter, permit.waiting)
-            permit.waiting.cancel()
+        if permit.pending is not None and permit.target is None:
+            self._gate.give_up(permit.waiter, permit.pending)
+            permit.pending.cancel()
         else:
             self._gate.release(permit.waiter, permit.target)
 
-    def _settle(self, peer, name, permit: _Permit, future) -> None:
+    def _on_decided(self, peer, name, permit: _Permit, future) -> None:
         """A request that waited got a slot or was refused."""
         if future.cancelled() or self._permits.get(name) is not permit:
             return
         error = future.exception()
         if error is not None:
             del self._permits[name]
-            self._tell_refused(peer, name[1], error.overload)
+            self._send_refusal(peer, name[1], error.overload)
             return
         permit.target = future.result()
-        self._tell_state(peer, name[1], permit)
+        self._send_status(peer, name[1], permit)
 
-    def _tell_state(self, peer, number: int, permit: _Permit) -> None:
+    def _send_status(self, peer, number: int, permit: _Permit) -> None:
         if permit.target is None:
-            self._tell(
+            self._send(
                 peer,
-                permit_messages.Decided(
-                    number, permit_messages.Verdict.WAITING
+                permit_messages.PermitReply(
+                    number, permit_messages.PermitStatus.WAITING
                 ),
             )
             return
-        decided = permit_messages.Decided(
-            number, permit_messages.Verdict.GRANTED, permit.waiter.occupied
+        reply = permit_messages.PermitReply(
+            number, permit_messages.PermitStatus.GRANTED, permit.waiter.occupied
         )
         if permit.waiter.domain is not None:
-            decided.upstream = permit.target.id
-        self._tell(peer, decided)
+            reply.upstream = permit.target.id
+        self._send(peer, reply)
 
-    def _tell_refused(self, peer, number: int, overload) -> None:
+    def _send_refusal(self, peer, number: int, overload) -> None:
         self._meters.permits.add("refused")
-        self._tell(
+        self._send(
             peer,
-            permit_messages.Decided(
+            permit_messages.PermitReply(
                 number,
-                permit_messages.Verdict.REFUSED,
+                permit_messages.PermitStatus.REFUSED,
                 retry_after_ms=clocks.milliseconds(overload.retry_after_s),
                 wait_ms=clocks.milliseconds(overload.wait_s),
             ),
         )
 
-    def _tell(
-        self, peer: reports.Peer, decided: permit_messages.Decided
+    def _send(
+        self, peer: reports.Peer, reply: permit_messages.PermitReply
     ) -> None:
-        self._peers.send_permit(peer, self._encoder.encode(decided))
+        self._peers.send_permit(peer, self._encoder.encode(reply))
 
 
 def _waiter(
-    ask: permit_messages.Ask,
+    request: permit_messages.PermitRequest,
     service: ids.ServiceName,
     owner: admission.OwnerLookup | None,
     now: float,
@@ -242,9 +249,9 @@
         host="",
         prefix="",
         repeatability=model.Repeatability.IDEMPOTENT,
-        timeout_s=(ask.age_ms + ask.left_ms) / 1000,
-        objective_s=ask.objective_ms / 1000,
-        priority=ask.priority,
+        timeout_s=(request.age_ms + request.remaining_ms) / 1000,
+        objective_s=request.objective_ms / 1000,
+        priority=request.priority,
         shares=(),
         max_attempts=1,
     )
@@ -252,9 +259,11 @@
         route,
         service,
         owner,
-        now - ask.age_ms / 1000,
-        now + ask.left_ms / 1000,
-        max(1, ask.expected_ms) / 1000,
-        ask.key,
-        None if ask.gives_up_ms is None else now + ask.gives_up_ms / 1000,
+        now - request.age_ms / 1000,
+        now + request.remaining_ms / 1000,
+        max(1, request.expected_ms) / 1000,
+        request.key,
+        None
+        if request.caller_timeout_ms is None
+        else now + request.caller_timeout_ms / 1000,
     )
--- a/src/swiftstile/gateway/arbiters.py
+++ b/src/swiftstile/gateway/arbiter_selection.py
@@ -15,14 +15,14 @@
 from swiftstile.gateway import sharing
 from swiftstile.gateway import targets
 
-__all__ = ["Arbiters"]
+__all__ = ["ArbiterSelector"]
 
 # An arbiter that didn't answer isn't asked for so long: about the time in which
 # a silent peer is noticed.
-AVOID_S = 1.0
+AVOID_UNRESPONSIVE_S = 1.0
 
 
-class Arbiters:
+class ArbiterSelector:
     """Chooses arbiters, as one VM sees the others.
 
     Args:
@@ -42,15 +42,17 @@
         self._limits = limits
         self._avoided_until: dict[model.NodeId, float] = {}
 
-    def of(self, target: targets.Target, now: float) -> reports.Peer | None:
+    def arbiter_of(
+        self, target: targets.Target, now: float
+    ) -> reports.Peer | None:
         """Returns the arbiter of an upstream; None if this VM decides."""
         if self._limits.is_limited(target, now):
-            return self._only_sender(target, now)
+            return self._cold_sender(target, now)
         domain = target.upstream.failure_domain
-        peer, is_me = self.in_domain(domain, target.id, now)
+        peer, is_me = self.arbiter_in_domain(domain, target.id, now)
         return None if is_me else peer
 
-    def in_domain(
+    def arbiter_in_domain(
         self, domain: ids.FailureDomain, subject: str, now: float
     ) -> tuple[reports.Peer | None, bool]:
         """Returns who of a domain decides on an upstream or a service.
@@ -89,9 +91,9 @@
 
     def avoid(self, peer: reports.Peer, now: float) -> None:
         """A peer left a question without an answer."""
-        self._avoided_until[peer.row.node] = now + AVOID_S
+        self._avoided_until[peer.row.node] = now + AVOID_UNRESPONSIVE_S
 
-    def _only_sender(
+    def _cold_sender(
         self, target: targets.Target, now: float
     ) -> reports.Peer | None:
         """Returns the only VM that sends to a cold upstream.
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        permits: permits_lib.Permits,
+        permits: permits_lib.PermitClient,
         sender: exchange.Exchange,
         dialect: interfaces.RequestDialect,
         book: targets.TargetTable,
--- a/src/swiftstile/gateway/permit_messages.py
+++ b/src/swiftstile/gateway/permit_messages.py
@@ -11,10 +11,16 @@
 from swiftstile import ids
 from swiftstile.gateway import model
 
-__all__ = ["Ask", "Decided", "Ended", "Message", "Verdict"]
+__all__ = [
+    "Message",
+    "PermitRelease",
+    "PermitReply",
+    "PermitRequest",
+    "PermitStatus",
+]
 
 
-class Verdict(enum.IntEnum):
+class PermitStatus(enum.IntEnum):
     """What was decided on a question."""
 
     GRANTED = 0
@@ -22,7 +28,7 @@
     WAITING = 2
 
 
-class Ask(msgspec.Struct, array_like=True, tag=1):
+class PermitRequest(msgspec.Struct, array_like=True, tag=1):
     """Asks for a slot; sent again it is the same question.
 
     Attributes:
@@ -31,16 +37,16 @@
         upstream: Whose slot; empty for any upstream of `service` in the failure
             domain of the VM that is asked.
         age_ms: How long ago the request came.
-        left_ms: How much longer its answer is of use.
+        remaining_ms: How much longer its answer is of use.
         expected_ms: Time of an upstream of mean speed for it.
         objective_ms: Time within which its answer is of full use.
         priority: Its rank; 0 is the most urgent.
         key: Its key, if it has one.
-        gives_up_ms: How much longer its caller waits, if it said.
+        caller_timeout_ms: How much longer its caller waits, if it said.
         ended: Requests of the same run that ended lately.
         service: The service; empty if `upstream` is named.
         excluded: Upstreams that refused or failed the request before.
-        most_wait_ms: Longest that it may wait for a slot; as long as it is of
+        max_wait_ms: Longest that it may wait for a slot; as long as it is of
             use if None.
     """
 
@@ -48,24 +54,24 @@
     number: int
     upstream: model.UpstreamId
     age_ms: int
-    left_ms: int
+    remaining_ms: int
     expected_ms: int
     objective_ms: int
     priority: int
     key: int | None
-    gives_up_ms: int | None
+    caller_timeout_ms: int | None
     ended: list[int]
     service: ids.ServiceName = ids.ServiceName("")
     excluded: list[model.UpstreamId] = []
-    most_wait_ms: int | None = None
+    max_wait_ms: int | None = None
 
 
-class Decided(msgspec.Struct, array_like=True, tag=2):
+class PermitReply(msgspec.Struct, array_like=True, tag=2):
     """Answers a question.
 
     Attributes:
         number: The request.
-        verdict: What was decided.
+        status: What was decided.
         occupied: Other requests at the upstream, when granted.
         retry_after_ms: When to come back, if refused.
         wait_ms: How long it would have waited, or did, if refused.
@@ -73,30 +79,30 @@
     """
 
     number: int
-    verdict: Verdict
+    status: PermitStatus
     occupied: int = 0
     retry_after_ms: int = 0
     wait_ms: int = 0
     upstream: model.UpstreamId = model.UpstreamId("")
 
 
-class Ended(msgspec.Struct, array_like=True, tag=3):
+class PermitRelease(msgspec.Struct, array_like=True, tag=3):
     """Reports that requests have ended, or don't want a slot any more.
 
     Attributes:
         run: Short name of the run that asked.
         ended: The requests.
-        pause_ms: For how long the upstream of the last one is best passed
+        penalty_ms: For how long the upstream of the last one is best passed
             over, by what became of the request.
-        work_percent: How long work takes there at this moment, in percent of
-            the usual, by its answer; None if it didn't say.
+        slowdown_percent: How long work takes there at this moment, in percent
+            of the usual, by its answer; None if it didn't say.
     """
 
     run: str
     ended: list[int]
-    pause_ms: int = 0
-    work_percent: int | None = None
+    penalty_ms: int = 0
+    slowdown_percent: int | None = None
 
 
 # Any of them, as a datagram of permits holds it.
-Message = Ask | Decided | Ended
+Message = PermitRequest | PermitReply | PermitRelease
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -30,7 +30,7 @@
 from swiftstile import metrics
 from swiftstile.gateway import admission
 from swiftstile.gateway import arbiter as arbiter_lib
-from swiftstile.gateway import arbiters
+from swiftstile.gateway import arbiter_selection
 from swiftstile.gateway import coldstart
 from swiftstile.gateway import domain_search
 from swiftstile.gateway import gate as gate_lib
@@ -41,62 +41,62 @@
 from swiftstile.gateway import reports
 from swiftstile.gateway import targets
 
-__all__ = ["Permits"]
+__all__ = ["PermitClient"]
 
 # A question without an answer is asked again after this part of its objective,
 # and not before the latter, ten round trips between the users' failure domains.
 # Links of 10 Mbit/s are taken for 50 ms by each large body.
-ASK_AGAIN, LEAST_ASK_AGAIN_S = 0.08, 0.025
+REQUEST_RETRY_FRACTION, MIN_REQUEST_RETRY_S = 0.08, 0.025
 # Without an answer to so many questions the arbiter counts as out of reach.
 # Few, as the request waits meanwhile.
-MOST_ASKED = 3
+MAX_REQUEST_SENDS = 3
 # While a request waits at the arbiter it is asked again now and then, as its
 # answer may be lost, or the arbiter gone: first after this, then after twice as
 # long each time, up to the latter. Asked each 0.1 s, lookups that wait for
 # seconds doubled what goes between domains.
-WAITING_AGAIN_S, LONGEST_AGAIN_S = 0.1, 0.8
+WAITING_RETRY_S, MAX_WAITING_RETRY_S = 0.1, 0.8
 # Ends of requests are told again with the next messages to the same arbiter,
 # in case a datagram was lost.
-MOST_ENDED = 4
+MAX_REPEATED_RELEASES = 4
 
 
-class _Asked:
+class _PendingRequest:
     """A question of this VM that isn't settled yet.
 
     Attributes:
-        decided: The last answer, if any.
+        reply: The last answer, if any.
     """
 
     def __init__(self):
-        self.decided: permit_messages.Decided | None = None
-        self._news = asyncio.Event()
+        self.reply: permit_messages.PermitReply | None = None
+        self._replied = asyncio.Event()
 
     @property
-    def is_settled(self) -> bool:
+    def is_final(self) -> bool:
         """Whether it was decided for good."""
-        decided = self.decided
+        reply = self.reply
         return (
-            decided is not None
-            and decided.verdict is not permit_messages.Verdict.WAITING
+            reply is not None
+            and reply.status is not permit_messages.PermitStatus.WAITING
         )
 
-    def note(self, decided: permit_messages.Decided) -> None:
+    def set_reply(self, reply: permit_messages.PermitReply) -> None:
         """An answer came."""
-        self.decided = decided
-        self._news.set()
+        self.reply = reply
+        self._replied.set()
 
-    async def news_within(self, seconds: float) -> bool:
+    async def wait_for_reply(self, seconds: float) -> bool:
         """Waits for an answer; whether one came."""
         try:
             async with asyncio.timeout(seconds):
-                await self._news.wait()
+                await self._replied.wait()
         except TimeoutError:
             return False
-        self._news.clear()
+        self._replied.clear()
         return True
 
 
-class Permits:
+class PermitClient:
     """Gets slots for the requests of this VM, from whoever hands them out.
 
     Args:
@@ -117,7 +117,9 @@
         meters: metrics.Meters,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
     ):
-        self._arbiters = arbiters.Arbiters(peers, arbiter.is_leaving, limits)
+        self._selector = arbiter_selection.ArbiterSelector(
+            peers, arbiter.is_leaving, limits
+        )
         self._peers = peers
         self._gate = gate
         self._arbiter = arbiter
@@ -125,7 +127,7 @@
         self._meters = meters
         self._domain_search = domain_search.DomainSearch(peers.me.domain)
         self._numbers = itertools.count(1)
-        self._asked: dict[int, _Asked] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._arbiter_by_number: dict[int, reports.Peer] = {}
         self._ended_by_node: dict[model.NodeId, collections.deque[int]] = {}
         self._encoder = msgspec.msgpack.Encoder()
@@ -141,27 +143,33 @@
             RefusedError: No slot in time.
         """
         if waiter.owner is not None:
-            return await self._acquire_owner(waiter)
+            return await self._acquire_from_owner(waiter)
         if self._gate.decisions.vms > admission.FEW_VMS:
-            return await self._acquire_any(waiter)
+            return await self._acquire_from_any(waiter)
         return await self._gate.acquire(waiter)
 
-    async def _acquire_owner(self, waiter: admission.Waiter) -> targets.Target:
+    async def _acquire_from_owner(
+        self, waiter: admission.Waiter
+    ) -> targets.Target:
         while True:
             now = clocks.monotonic()
             target = waiter.owner.target(now)
-            arbiter = None if target is None else self._arbiters.of(target, now)
+            arbiter = None
+            if target is not None:
+                arbiter = self._selector.arbiter_of(target, now)
             if arbiter is None:
                 return await self._gate.acquire(waiter)
-            granted = await self._ask(waiter, target, arbiter)
+            granted = await self._request_permit(waiter, target, arbiter)
             if granted is not None:
                 return granted
-            if self._arbiters.is_avoided(arbiter, clocks.monotonic()):
+            if self._selector.is_avoided(arbiter, clocks.monotonic()):
                 # It waited long enough for one that doesn't answer.
                 return await self._gate.acquire(waiter)
             # The key has another owner by now.
 
-    async def _acquire_any(self, waiter: admission.Waiter) -> targets.Target:
+    async def _acquire_from_any(
+        self, waiter: admission.Waiter
+    ) -> targets.Target:
         """Gets a slot of any upstream, from the domain that gives one first."""
         now = clocks.monotonic()
         group = self._gate.decisions.staying(waiter, now)
@@ -170,7 +178,7 @@
             waiter.domain = step.domain
             waiter.most_wait_s = step.max_wait_s
             try:
-                target = await self._acquire_in(waiter, step.domain)
+                target = await self._acquire_in_domain(waiter, step.domain)
             except outcomes.RefusedError as error:
                 refusal = error
                 self._domain_search.note_refused(
@@ -185,18 +193,18 @@
         waiter.domain = waiter.most_wait_s = None
         return await self._gate.acquire(waiter)
 
-    async def _acquire_in(
+    async def _acquire_in_domain(
         self, waiter: admission.Waiter, domain: ids.FailureDomain
     ) -> targets.Target | None:
         """Returns a target of a domain; None if nobody there answers."""
-        arbiter, is_me = self._arbiters.in_domain(
+        arbiter, is_me = self._selector.arbiter_in_domain(
             domain, waiter.service, clocks.monotonic()
         )
         if is_me:
             return await self._gate.acquire(waiter)
         if arbiter is None:
             return None
-        return await self._ask(waiter, None, arbiter)
+        return await self._request_permit(waiter, None, arbiter)
 
     def release(self, waiter: admission.Waiter, target: targets.Target) -> None:
         """The request is no longer at the target."""
@@ -206,11 +214,11 @@
             return
         target.note_permit_ended(waiter.sequence)
         if waiter.owner is not None:
-            self._end(number)
+            self._send_release(number)
             return
         # What this VM learned of the upstream, its arbiter should know.
         now = clocks.monotonic()
-        self._end(
+        self._send_release(
             number, target.penalty_left_s(now), target.reported_slowdown(now)
         )
 
@@ -219,7 +227,7 @@
         """Requests that wait at this VM for a slot that it hands out."""
         return len(self._gate.decisions)
 
-    async def _ask(
+    async def _request_permit(
         self,
         waiter: admission.Waiter,
         target: targets.Target | None,
@@ -236,83 +244,90 @@
             RefusedError: The arbiter refused it.
         """
         number = next(self._numbers)
-        asked = self._asked[number] = _Asked()
+        pending = self._pending[number] = _PendingRequest()
         self._arbiter_by_number[number] = arbiter
         granted = None
         try:
-            decided = await self._await_verdict(
-                number, asked, waiter, target, arbiter
+            reply = await self._await_decision(
+                number, pending, waiter, target, arbiter
             )
-            if decided is None:
+            if reply is None:
                 return None
-            if decided.verdict is permit_messages.Verdict.REFUSED:
-                raise _refused(decided, target)
-            granted = self._granted_target(waiter, target, decided)
+            if reply.status is permit_messages.PermitStatus.REFUSED:
+                raise _refused(reply, target)
+            granted = self._granted_target(waiter, target, reply)
             if granted is not None:
                 self._number_by_waiter[waiter.sequence] = number
-                waiter.occupied = decided.occupied
+                waiter.occupied = reply.occupied
                 granted.note_permitted(
                     waiter.sequence, clocks.monotonic(), waiter.expected_s
                 )
             return granted
         finally:
-            del self._asked[number]
+            del self._pending[number]
             if granted is None:
-                self._end(number)
+                self._send_release(number)
 
     def _granted_target(
         self,
         waiter: admission.Waiter,
         target: targets.Target | None,
-        decided: permit_messages.Decided,
+        reply: permit_messages.PermitReply,
     ) -> targets.Target | None:
         """Returns the target of a permit, if the request may still go there."""
         now = clocks.monotonic()
         if target is not None:
             return target if waiter.owner.target(now) is target else None
-        granted = self._targets.by_id.get(decided.upstream)
+        granted = self._targets.by_id.get(reply.upstream)
         if granted is None or not self._gate.decisions.is_usable(
             granted, waiter, now
         ):
             # This VM knows better, or heard of it earlier, that it leaves.
-            waiter.excluded.add(decided.upstream)
+            waiter.excluded.add(reply.upstream)
             return None
         return granted
 
-    async def _await_verdict(
-        self, number, asked, waiter, target, arbiter
-    ) -> permit_messages.Decided | None:
-        pause_s = WAITING_AGAIN_S
+    async def _await_decision(
+        self, number, pending, waiter, target, arbiter
+    ) -> permit_messages.PermitReply | None:
+        pause_s = WAITING_RETRY_S
         while True:
-            if not await self._hear(number, asked, waiter, target, arbiter):
-                self._arbiters.avoid(arbiter, clocks.monotonic())
+            if not await self._request_until_replied(
+                number, pending, waiter, target, arbiter
+            ):
+                self._selector.avoid(arbiter, clocks.monotonic())
                 self._meters.permits.add("arbiter-silent")
                 logs.logger.info("arbiter silent", peer_node=arbiter.row.node)
                 return None
             end = clocks.monotonic() + pause_s
-            while not asked.is_settled and clocks.monotonic() < end:
-                await asked.news_within(WAITING_AGAIN_S)
+            while not pending.is_final and clocks.monotonic() < end:
+                await pending.wait_for_reply(WAITING_RETRY_S)
                 if target is None:
                     continue
                 if waiter.owner.target(clocks.monotonic()) is not target:
                     return None
-            if asked.is_settled:
-                return asked.decided
-            pause_s = min(2 * pause_s, LONGEST_AGAIN_S)
+            if pending.is_final:
+                return pending.reply
+            pause_s = min(2 * pause_s, MAX_WAITING_RETRY_S)
 
-    async def _hear(self, number, asked, waiter, target, arbiter) -> bool:
+    async def _request_until_replied(
+        self, number, pending, waiter, target, arbiter
+    ) -> bool:
         """Asks until anything is heard; whether something was, in time."""
-        again_s = max(LEAST_ASK_AGAIN_S, ASK_AGAIN * waiter.route.objective_s)
-        for _ in range(MOST_ASKED):
-            self._send_ask(number, waiter, target, arbiter)
-            if await asked.news_within(again_s):
+        retry_s = max(
+            MIN_REQUEST_RETRY_S,
+            REQUEST_RETRY_FRACTION * waiter.route.objective_s,
+        )
+        for _ in range(MAX_REQUEST_SENDS):
+            self._send_request(number, waiter, target, arbiter)
+            if await pending.wait_for_reply(retry_s):
                 return True
         return False
 
-    def _send_ask(self, number, waiter, target, arbiter) -> None:
+    def _send_request(self, number, waiter, target, arbiter) -> None:
         now = clocks.monotonic()
         gives_up_at = waiter.gives_up_at
-        ask = permit_messages.Ask(
+        request = permit_messages.PermitRequest(
             reports.short_run(self._peers.me.incarnation),
             number,
             "" if target is None else target.id,
@@ -328,14 +343,14 @@
             list(self._ended_by_node.get(arbiter.row.node, ())),
         )
         if target is None:
-            ask.service = waiter.service
-            ask.excluded = sorted(waiter.excluded)
+            request.service = waiter.service
+            request.excluded = sorted(waiter.excluded)
             if waiter.most_wait_s is not None:
-                ask.most_wait_ms = clocks.milliseconds(waiter.most_wait_s)
-        self._peers.send_permit(arbiter, self._encoder.encode(ask))
+                request.max_wait_ms = clocks.milliseconds(waiter.most_wait_s)
+        self._peers.send_permit(arbiter, self._encoder.encode(request))
         self._meters.permits.add("asked")
 
-    def _end(
+    def _send_release(
         self,
         number: int,
         pause_s: float = 0.0,
@@ -350,11 +365,11 @@
         """
         arbiter = self._arbiter_by_number.pop(number)
         ended = self._ended_by_node.setdefault(
-            arbiter.row.node, collections.deque(maxlen=MOST_ENDED)
+            arbiter.row.node, collections.deque(maxlen=MAX_REPEATED_RELEASES)
         )
         ended.append(number)
         run = reports.short_run(self._peers.me.incarnation)
-        message = permit_messages.Ended(
+        message = permit_messages.PermitRelease(
             run,
             list(ended),
             clocks.milliseconds(pause_s),
@@ -371,29 +386,29 @@
             )
             logs.logger.warning("permit message dropped", error=str(problem))
             return
-        if isinstance(message, permit_messages.Decided):
-            asked = self._asked.get(message.number)
-            if asked is not None:
-                asked.note(message)
+        if isinstance(message, permit_messages.PermitReply):
+            pending = self._pending.get(message.number)
+            if pending is not None:
+                pending.set_reply(message)
             return
         peer = self._peers.of_run(message.run)
         if peer is None:
             # Its registration will follow, or this is of an earlier run.
             return
-        if isinstance(message, permit_messages.Ended) and message.ended:
-            self._arbiter.note_outcome(peer, message)
+        if isinstance(message, permit_messages.PermitRelease) and message.ended:
+            self._arbiter.note_upstream_state(peer, message)
         for number in message.ended:
-            self._arbiter.end(peer, number)
-        if isinstance(message, permit_messages.Ask):
-            self._arbiter.decide(peer, message)
+            self._arbiter.end_permit(peer, number)
+        if isinstance(message, permit_messages.PermitRequest):
+            self._arbiter.handle_request(peer, message)
 
 
 def _refused(
-    decided: permit_messages.Decided, target: targets.Target | None
+    reply: permit_messages.PermitReply, target: targets.Target | None
 ) -> outcomes.RefusedError:
     overload = admission.Overload(
-        decided.retry_after_ms / 1000,
-        decided.wait_ms / 1000,
+        reply.retry_after_ms / 1000,
+        reply.wait_ms / 1000,
         None if target is None else target.id,
     )
     return gate_lib.refused(overload)
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -236,7 +236,7 @@
         )
         pool = connections.ConnectionPool()
         self._handler = handler = handler_lib.Handler(
-            permits.Permits(
+            permits.PermitClient(
                 self._peers,
                 gate,
                 arbiter,
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -55,7 +55,7 @@
         row = builders.node_row("vm-9", domain=builders.AWAY)
         peer = builders.peer(row, builders.report(row), clocks.monotonic() + 60)
         parts.peers.by_node[row.node] = peer
-        self.asked: list[permit_messages.Ask] = []
+        self.asked: list[permit_messages.PermitRequest] = []
         self._peers = parts.peers
         self._peers.send_permit = self._permit
         gate = gate_lib.Gate(
@@ -66,7 +66,7 @@
             self._peers, gate, self.book, lambda: False, meters
         )
         self.gate = gate
-        self.permits = permits.Permits(
+        self.permits = permits.PermitClient(
             self._peers, gate, arbiter, self.book, meters
         )
         self._owners = owners.KeyOwners(
@@ -94,11 +94,11 @@
 
     def _permit(self, peer, data: bytes) -> None:
         message = msgspec.msgpack.decode(data, type=permit_messages.Message)
-        if not isinstance(message, permit_messages.Ask):
+        if not isinstance(message, permit_messages.PermitRequest):
             return
         self.asked.append(message)
-        decided = permit_messages.Decided(
-            message.number, permit_messages.Verdict.GRANTED
+        decided = permit_messages.PermitReply(
+            message.number, permit_messages.PermitStatus.GRANTED
         )
         answer = msgspec.msgpack.encode(decided)
         asyncio.get_running_loop().call_soon(self._peers.on_permit, answer, "x")
--- a/tests/unit/test_gateway_permits.py
+++ b/tests/unit/test_gateway_permits.py
@@ -91,7 +91,7 @@
             lambda: self.is_leaving,
             self.meters,
         )
-        self.permits = permits.Permits(
+        self.permits = permits.PermitClient(
             self.peers,
             self.gate,
             self.arbiter,
@@ -172,7 +172,7 @@
     return lambda data, to: data[:1] == b"p" and data[2] == kind
 
 
-_ASK, _DECIDED, _ENDED = 1, 2, 3
+_REQUEST, _REPLY, _RELEASE = 1, 2, 3
 
 
 def test_the_arbiter_counts_what_it_permits_until_it_ends():
@@ -302,7 +302,7 @@
 
 def test_with_a_silent_arbiter_of_a_service_a_vm_decides_itself():
     async def scenario(network, _arbiter, far):
-        network.lose = _is(_DECIDED)
+        network.lose = _is(_REPLY)
         target = await far.permits.acquire(_any_waiter(far))
         assert target.in_flight == 1 and target.permitted == 0
 
@@ -320,7 +320,7 @@
     _run(scenario)
 
 
-@pytest.mark.parametrize("kind", [_ASK, _DECIDED])
+@pytest.mark.parametrize("kind", [_REQUEST, _REPLY])
 def test_a_lost_datagram_is_made_good_and_nothing_is_counted_twice(kind):
     async def scenario(network, arbiter, far):
         left = [1]
@@ -347,7 +347,7 @@
     async def scenario(network, arbiter, far):
         waiter = far.waiter()
         target = await far.permits.acquire(waiter)
-        network.lose = _is(_ENDED)
+        network.lose = _is(_RELEASE)
         far.permits.release(waiter, target)
         network.lose = lambda data, to: False
         assert arbiter.book.by_id["u-1"].in_flight == 1
@@ -378,13 +378,13 @@
 
 def test_without_an_answer_a_vm_decides_itself_and_soon():
     async def scenario(network, _arbiter, far):
-        network.lose = _is(_DECIDED)
+        network.lose = _is(_REPLY)
         began = clocks.monotonic()
         waiter = far.waiter()
         target = await far.permits.acquire(waiter)
         took_s = clocks.monotonic() - began
-        again_s = permits.ASK_AGAIN * builders.route().objective_s
-        assert took_s < (permits.MOST_ASKED + 2) * again_s
+        retry_s = permits.REQUEST_RETRY_FRACTION * builders.route().objective_s
+        assert took_s < (permits.MAX_REQUEST_SENDS + 2) * retry_s
         # Now it counts it itself, and tells the others.
         assert target.in_flight - target.permitted == 1
         asked = far.meters.permits.get("asked")
@@ -436,7 +436,7 @@
         now = clocks.monotonic()
 
         def chosen(vm):
-            peer = vm.permits._arbiters.of(vm.book.by_id["u-1"], now)
+            peer = vm.permits._selector.arbiter_of(vm.book.by_id["u-1"], now)
             return vm.name if peer is None else peer.row.node
 
         names = {chosen(vm) for vm in vms}
@@ -468,7 +468,7 @@
         now = clocks.monotonic()
         for name in ("u-1", "u-2"):
             for vm in vms:
-                peer = vm.permits._arbiters.of(vm.book.by_id[name], now)
+                peer = vm.permits._selector.arbiter_of(vm.book.by_id[name], now)
                 chosen = vm.name if peer is None else peer.row.node
                 assert chosen in ("vm-1", "vm-3")
 
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -67,9 +67,8 @@
     _off(
         "permits from one VM an owner",
         "permits",
-        "            arbiter = None if target is None else"
-        " self._arbiters.of(target, now)",
-        "            arbiter = None",
+        "                arbiter = self._selector.arbiter_of(target, now)",
+        "                pass",
     ),
     _off(
         "one VM of a domain assigns slots without owners",
