--- a/src/swiftstile/gateway/exchange.py
+++ b/src/swiftstile/gateway/exchange.py
@@ -46,7 +46,7 @@
     method: str
     target: str
     headers: object
-    inbound: interfaces.Inbound
+    inbound: interfaces.RequestMetadata
     body: bytes | None
     stream: collections.abc.AsyncIterator[bytes] | None
     length: int | None
@@ -89,7 +89,7 @@
     headers: list[tuple[str, str]]
     body: bytes | None
     rest: object
-    verdict: interfaces.Verdict
+    verdict: interfaces.AnswerMetadata
     finish: collections.abc.Callable[[bool], None]
 
 
@@ -191,7 +191,7 @@
     async def _receive(self, call, target, connection) -> Answer:
         while True:
             head = await connection.next_head()
-            verdict = self._dialect.judge(head.status, head.headers)
+            verdict = self._dialect.parse_answer(head.status, head.headers)
             wanted = call.inbound.attempt_id
             if verdict.attempt_id in ("", wanted):
                 break
@@ -205,7 +205,7 @@
             target.note_load(verdict.load, clocks.monotonic())
         if verdict.kind is not interfaces.AnswerKind.RAN:
             await self._refusal(head, verdict, connection, target)
-        if not verdict.is_sound:
+        if not verdict.is_relayable:
             raise outcomes.UnknownOutcomeError(
                 "unsigned or encoded", step="check answer", peer=target.id
             )
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -122,7 +122,7 @@
             GatewayError: There is no upstream's answer.
         """
         request, arrived = arrival.request, arrival.arrived
-        inbound = self._dialect.read_request(request.headers)
+        inbound = self._dialect.parse_request(request.headers)
         story = decisions.Story(self._log)
         is_well = False
         route = None
@@ -195,8 +195,8 @@
         service = self._shares.next_service(route)
         self._budget.note_request(service, arrived)
         wait_s = route.timeout_s
-        if inbound.wait_s is not None:
-            wait_s = min(wait_s, inbound.wait_s)
+        if inbound.timeout_s is not None:
+            wait_s = min(wait_s, inbound.timeout_s)
         call = await self._call(
             request, inbound, route, config, arrived + wait_s
         )
@@ -214,7 +214,7 @@
             call.end,
             self._times.expected_s(route),
             inbound.key,
-            None if inbound.wait_s is None else arrived + inbound.wait_s,
+            None if inbound.timeout_s is None else arrived + inbound.timeout_s,
         )
         answer = await self._attempts(call, waiter, story)
         if answer.body is None:
--- a/src/swiftstile/gateway/interfaces.py
+++ b/src/swiftstile/gateway/interfaces.py
@@ -14,17 +14,17 @@
 __all__ = [
     "NEW_ROW",
     "AnswerKind",
+    "AnswerMetadata",
     "Change",
     "Condition",
     "GrantResult",
-    "Inbound",
     "KeyRange",
     "Load",
     "RequestDialect",
+    "RequestMetadata",
     "Snapshot",
     "StateTable",
     "UpstreamControl",
-    "Verdict",
     "Write",
 ]
 
@@ -184,19 +184,19 @@
         """
 
 
-class Inbound(msgspec.Struct, frozen=True):
+class RequestMetadata(msgspec.Struct, frozen=True):
     """What the headers of a caller's request say.
 
     Attributes:
         attempt_id: The caller's id of this attempt; may be empty.
-        wait_s: How long the caller waits, in seconds; None if it didn't say.
+        timeout_s: How long the caller waits, in seconds; None if it didn't say.
         key: Key that decides which upstream owns it, or None.
         caller: Who sent it; empty if the headers don't name a caller, which is
             then known by its address.
     """
 
     attempt_id: str
-    wait_s: float | None
+    timeout_s: float | None
     key: int | None
     caller: str = ""
 
@@ -227,20 +227,20 @@
     slowdown: float | None = None
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class AnswerMetadata(msgspec.Struct, frozen=True):
     """What the head of an upstream's answer says.
 
     Attributes:
         kind: Whether the request ran.
         attempt_id: Id of the attempt it answers; empty if it doesn't say.
-        is_sound: Whether a success may be passed on to the caller.
+        is_relayable: Whether a success may be passed on to the caller.
         load: How busy the server was, if it says.
         answered_by: The server that answered, if it says.
     """
 
     kind: AnswerKind
     attempt_id: str
-    is_sound: bool
+    is_relayable: bool
     load: Load | None
     answered_by: str
 
@@ -249,7 +249,7 @@
     """Headers of callers and upstreams."""
 
     @abc.abstractmethod
-    def read_request(self, headers) -> Inbound:
+    def parse_request(self, headers) -> RequestMetadata:
         """Returns what a caller's headers say.
 
         Raises:
@@ -258,12 +258,12 @@
 
     @abc.abstractmethod
     def upstream_headers(
-        self, headers, upstream: model.UpstreamId, left_s: float
+        self, headers, upstream: model.UpstreamId, remaining_s: float
     ) -> list[tuple[str, str]]:
         """Returns the headers to send: end-to-end ones and our own."""
 
     @abc.abstractmethod
-    def judge(self, status: int, headers) -> Verdict:
+    def parse_answer(self, status: int, headers) -> AnswerMetadata:
         """Returns what the head of an answer says."""
 
     @abc.abstractmethod
--- a/src/swiftstile/gateway/keeper.py
+++ b/src/swiftstile/gateway/keeper.py
@@ -193,7 +193,7 @@
             owner
             for owner in current.slots_by_owner
             if owner in self._book.by_id
-            and self._book.by_id[owner].upstream.is_life_after(
+            and self._book.by_id[owner].upstream.has_restarted_since(
                 current.started_ms.get(owner, 0)
             )
         ]
--- a/src/swiftstile/gateway/measurements.py
+++ b/src/swiftstile/gateway/measurements.py
@@ -11,7 +11,7 @@
 from swiftstile.gateway import reports
 from swiftstile.gateway import speeds
 
-__all__ = ["MeasurementReporter", "LastSent"]
+__all__ = ["LastSent", "MeasurementReporter"]
 
 # Between two tellings of how fast targets are.
 SPEEDS_INTERVAL_S = 0.8
--- a/src/swiftstile/gateway/model.py
+++ b/src/swiftstile/gateway/model.py
@@ -190,7 +190,7 @@
     cold_s: float
     started_ms: int = 0
 
-    def is_life_after(self, started_ms: int) -> bool:
+    def has_restarted_since(self, started_ms: int) -> bool:
         """Whether it started again since it told another time of its start."""
-        known = started_ms and self.started_ms
-        return bool(known) and self.started_ms != started_ms
+        are_known = started_ms and self.started_ms
+        return bool(are_known) and self.started_ms != started_ms
--- a/src/swiftstile/gateway/owners.py
+++ b/src/swiftstile/gateway/owners.py
@@ -98,7 +98,9 @@
             # Not left to who permits its slots: another VM may have heard later
             # that it leaves.
             return None, self._next_owner_s(service)
-        if target.upstream.is_life_after(key_map.started_ms.get(slot.owner, 0)):
+        if target.upstream.has_restarted_since(
+            key_map.started_ms.get(slot.owner, 0)
+        ):
             # It holds nothing until the leader gave it its slots once more.
             return None, HAND_OVER_S
         changed = self._maps.changed_at[service].get(index, 0.0)
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -436,7 +436,7 @@
     def _has_started_again(self, key_map: keymap.KeyMap, owner) -> bool:
         """Whether an owner started again since its slots were given to it."""
         target = self._book.by_id.get(owner)
-        return target is not None and target.upstream.is_life_after(
+        return target is not None and target.upstream.has_restarted_since(
             key_map.started_ms.get(owner, 0)
         )
 
--- a/src/swiftstile/gateway/settings.py
+++ b/src/swiftstile/gateway/settings.py
@@ -16,7 +16,7 @@
     "NodeSettings",
     "StoreSettings",
     "load",
-    "seconds",
+    "parse_seconds",
 ]
 
 
@@ -99,7 +99,7 @@
     ("store", "address"),
 )
 # A template of the platform leaves these empty where a field is missing.
-_NEVER_EMPTY = (
+_NON_EMPTY = (
     ("vm", "id"),
     ("vm", "failure_domain"),
     ("vm", "listen"),
@@ -107,18 +107,18 @@
     ("vm", "peers"),
     ("store", "address"),
 )
-_TIMES = ("drain", "grace", "retry_window")
-_TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
+_DURATIONS = ("drain", "grace", "retry_window")
+_DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
 _UNITS_S = {"ms": 0.001, "s": 1.0}
 
 
-def seconds(text: str) -> float:
+def parse_seconds(text: str) -> float:
     """Returns a time such as `1500ms` or `2.5s`, in seconds.
 
     Raises:
         ValueError: It has another form.
     """
-    match = _TIME.fullmatch(text)
+    match = _DURATION.fullmatch(text)
     if match is None:
         raise ValueError(f"expected a time such as 1500ms or 2s, got {text!r}")
     return float(match[1]) * _UNITS_S[match[2]]
@@ -131,17 +131,17 @@
         SettingsError: Names the file and every fault in it.
     """
     sections, faults = ini.to_sections(ini.read(path), _SECTIONS, _REQUIRED)
-    faults += _bad_values(sections)
+    faults += _find_faults(sections)
     ini.raise_for(faults, path)
     return GatewaySettings(**sections)
 
 
-def _bad_values(sections) -> list[ini.Fault]:
+def _find_faults(sections) -> list[ini.Fault]:
     faults = [
         ini.Fault(section, option, "is empty")
-        for section, option in _NEVER_EMPTY
+        for section, option in _NON_EMPTY
         if getattr(sections.get(section), option, None) == ""
     ]
     checks = [(*where, settings_lib.split_address) for where in _ADDRESSES]
-    checks += [("bounds", option, seconds) for option in _TIMES]
+    checks += [("bounds", option, parse_seconds) for option in _DURATIONS]
     return faults + ini.bad_values(sections, checks)
--- a/src/swiftstile/gateway/targets.py
+++ b/src/swiftstile/gateway/targets.py
@@ -260,7 +260,7 @@
                 left out.
         """
         target = self.by_id.get(upstream.id)
-        if target is not None and upstream.is_life_after(
+        if target is not None and upstream.has_restarted_since(
             target.upstream.started_ms
         ):
             # What was known of its earlier life says nothing of this one, and
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -126,7 +126,7 @@
         # Before this, an earlier run of this VM may have granted.
         self._started = self._now()
         vm = settings.vm
-        self._drain_s = settings_lib.seconds(settings.bounds.drain)
+        self._drain_s = settings_lib.parse_seconds(settings.bounds.drain)
         incarnation = ids.new_incarnation(ids.VmId(vm.id))
         self._node = reports.NodeRow(
             vm.id,
@@ -187,7 +187,7 @@
         retry_budget = budget.RetryBudget(
             bounds.retry_ratio,
             bounds.retry_allowance,
-            settings_lib.seconds(bounds.retry_window),
+            settings_lib.parse_seconds(bounds.retry_window),
         )
         key_owners = owners.KeyOwners(
             self._maps,
@@ -305,7 +305,7 @@
             self._suspects,
             self._lines,
             self._make_keeper,
-            settings_lib.seconds(bounds.grace),
+            settings_lib.parse_seconds(bounds.grace),
             self._meters,
         )
         return self._daemon
--- a/tests/integration/test_gateway_exchange.py
+++ b/tests/integration/test_gateway_exchange.py
@@ -59,7 +59,7 @@
         method,
         "/a/b?c=1",
         headers,
-        interfaces.Inbound(attempt, wait_s, None),
+        interfaces.RequestMetadata(attempt, wait_s, None),
         body,
         None,
         None,
--- a/tests/many_vms.py
+++ b/tests/many_vms.py
@@ -16,7 +16,7 @@
 from swiftstile.gateway import settings
 from tests import gateway_builders as builders
 
-__all__ = ["SIZES", "ManyVms", "Size"]
+__all__ = ["SIZES", "LargeSiteVm", "Size"]
 
 _LEADER_VERSION, _MAP_VERSION = 7, 5
 _SLOTS = 4096
@@ -36,7 +36,7 @@
 SIZES = (Size(12, 2, 38), Size(80, 4, 110), Size(200, 5, 241))
 
 
-class ManyVms:
+class LargeSiteVm:
     """The last VM of a site.
 
     Attributes:
--- a/tests/work_meter.py
+++ b/tests/opcode_counter.py
@@ -3,10 +3,10 @@
 import collections.abc
 import sys
 
-__all__ = ["steps"]
+__all__ = ["count_opcodes"]
 
 
-def steps(call: collections.abc.Callable[[], object]) -> int:
+def count_opcodes(call: collections.abc.Callable[[], object]) -> int:
     """Returns how many instructions of the interpreter a call takes.
 
     What built-in functions do inside isn't counted.
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -15,7 +15,7 @@
 from swiftstile.gateway import speeds
 from tests import gateway_builders as builders
 from tests import many_vms
-from tests import work_meter
+from tests import opcode_counter
 
 # Of what a steady count may miss straight growth, for what is done once.
 _LEEWAY = 1.2
@@ -40,14 +40,16 @@
         return _StandingTask()
 
     monkeypatch.setattr(asyncio, "create_task", stand_in)
-    return [many_vms.ManyVms(size, monkeypatch) for size in many_vms.SIZES]
+    return [many_vms.LargeSiteVm(size, monkeypatch) for size in many_vms.SIZES]
 
 
 def _steps(sites, call) -> list[int]:
     """Returns what a call takes at each size, once it was done before."""
     for site in sites:
         call(site)
-    return [work_meter.steps(lambda at=site: call(at)) for site in sites]
+    return [
+        opcode_counter.count_opcodes(lambda at=site: call(at)) for site in sites
+    ]
 
 
 def _grow_with_near_vms_at_most(counts: list[int], far_steps: int) -> None:
@@ -156,9 +158,9 @@
     # core.
     site = sites[-1]
     one = _full_service(site, 1)
-    alone = work_meter.steps(lambda: one.pump(site.now))
+    alone = opcode_counter.count_opcodes(lambda: one.pump(site.now))
     _full_service(site, 19)
-    together = work_meter.steps(lambda: one.pump(site.now))
+    together = opcode_counter.count_opcodes(lambda: one.pump(site.now))
     assert len(one) == 20
     assert together < 3 * alone
 
@@ -182,7 +184,9 @@
             )
 
         ask(50.0)
-        counts.append(work_meter.steps(lambda again=ask: again(50.1)))
+        counts.append(
+            opcode_counter.count_opcodes(lambda again=ask: again(50.1))
+        )
     assert max(counts) <= _LEEWAY * min(counts), counts
 
 
@@ -227,7 +231,7 @@
     ticks, start = 160, clocks.monotonic()
     told = []
     for is_always_whole in (True, False):
-        site = many_vms.ManyVms(size, monkeypatch)
+        site = many_vms.LargeSiteVm(size, monkeypatch)
         site.now = start
         told.append(_told_in_a_while(site, is_always_whole))
     (expected, _), (sent, whole) = told
--- a/tests/unit/test_gateway_settings.py
+++ b/tests/unit/test_gateway_settings.py
@@ -28,7 +28,7 @@
 
 def test_defaults_fill_what_is_left_out(tmp_path):
     loaded = _load(tmp_path, _GOOD)
-    assert settings.seconds(loaded.bounds.grace) == 6.0
+    assert settings.parse_seconds(loaded.bounds.grace) == 6.0
     assert loaded.vm.metrics == ""
 
 
--- a/tests/unit/test_gateway_sharing.py
+++ b/tests/unit/test_gateway_sharing.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture(name="site")
 def _site(monkeypatch):
-    made = many_vms.ManyVms(_SIZE, monkeypatch)
+    made = many_vms.LargeSiteVm(_SIZE, monkeypatch)
     made.renewing = made.daemon._renewing
     made.started = []
     made.renewing._renew = lambda owner: made.started.append(owner)
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -157,8 +157,8 @@
 
 class _Dialect:
 
-    def read_request(self, headers):
-        return interfaces.Inbound("attempt-1", 1.0, None)
+    def parse_request(self, headers):
+        return interfaces.RequestMetadata("attempt-1", 1.0, None)
 
 
 def _handler(operations: follow.TableFollower) -> handler_lib.Handler:
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -145,15 +145,15 @@
         return documents.decode_upstream(model.UpstreamId("u"), data)
 
     first, second = decode(), decode(born=1789144559999)
-    assert second.is_life_after(first.started_ms)
-    assert not decode(sequence=9).is_life_after(first.started_ms)
+    assert second.has_restarted_since(first.started_ms)
+    assert not decode(sequence=9).has_restarted_since(first.started_ms)
     # One that doesn't say is taken to be the same.
     silent = dict(_ENTRY)
     del silent["born"]
     data = json.dumps(silent).encode()
     unknown = documents.decode_upstream(model.UpstreamId("u"), data)
-    assert not unknown.is_life_after(first.started_ms)
-    assert not first.is_life_after(unknown.started_ms)
+    assert not unknown.has_restarted_since(first.started_ms)
+    assert not first.has_restarted_since(unknown.started_ms)
 
 
 _VALUES = strategies.one_of(
@@ -235,7 +235,7 @@
 @pytest.mark.parametrize("text", ["", "2", "ms", "2m", "s", "-"])
 def test_a_time_needs_its_unit(text):
     with pytest.raises(ValueError):
-        settings.seconds(text)
+        settings.parse_seconds(text)
 
 
 def test_headers_of_one_connection_and_forged_ones_stay_behind():
@@ -271,13 +271,13 @@
 def test_a_malformed_header_is_refused(name, value):
     headers = multidict.CIMultiDict({name: value})
     with pytest.raises(outcomes.BadRequestError):
-        dialect.UsersDialect().read_request(headers)
+        dialect.UsersDialect().parse_request(headers)
 
 
 def test_the_load_of_an_upstream_may_tell_how_long_work_takes():
     def load(text: str):
         headers = _headers(X_Instance_Load=text)
-        return dialect.UsersDialect().judge(200, headers).load
+        return dialect.UsersDialect().parse_answer(200, headers).load
 
     assert load("3,0,2").slowdown is None
     assert load("3,1,2,300") == interfaces.Load(3, 1, 2, 3.0)
@@ -287,7 +287,7 @@
 
 
 def test_what_an_answer_says():
-    judge = dialect.UsersDialect().judge
+    judge = dialect.UsersDialect().parse_answer
     kind = interfaces.AnswerKind
     shed = judge(503, _headers(X_Not_Executed="1", X_Instance_Load="3,12,3"))
     assert shed.kind is kind.NOT_RUN
@@ -295,11 +295,11 @@
     other = judge(421, _headers(X_Instance_Id="i-2"))
     assert (other.kind, other.answered_by) == (kind.MISDIRECTED, "i-2")
     assert judge(503, _headers()).kind is kind.RAN
-    assert not judge(200, _headers()).is_sound
+    assert not judge(200, _headers()).is_relayable
     signed = _headers(X_Server_Signature="x")
-    assert judge(200, signed).is_sound
+    assert judge(200, signed).is_relayable
     signed["Content-Encoding"] = "gzip"
-    assert not judge(200, signed).is_sound
+    assert not judge(200, signed).is_relayable
 
 
 @pytest.mark.parametrize(
