--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -1,6 +1,6 @@
 """Assigns the slots of upstreams to the requests of all VMs.
 
-The other side of `permits.py`, which says why one VM decides for all.
+Counterpart of `permits.py`, which explains why one VM decides for all.
 """
 
 import asyncio
@@ -21,18 +21,19 @@
 
 __all__ = ["Arbiter"]
 
-# A permit whose end was never told lapses this long after its request's end.
+# A permit that was never released expires this long after its request does.
 EXPIRY_MARGIN_S = 0.1
 _SWEEP_INTERVAL_S = 0.25
 
 
 class _Permit:
-    """What another VM was told of one request.
+    """The state of one request of another VM.
 
     Attributes:
         waiter: The request.
-        target: Where it may be sent, once that is decided.
-        expires_at: When the permit counts as ended, whoever says nothing.
+        target: The granted target, once decided.
+        pending: Future of the target, while the request waits.
+        expires_at: When the permit ends if no release arrives.
     """
 
     __slots__ = ("expires_at", "pending", "target", "waiter")
@@ -45,7 +46,7 @@
 
 
 class _RequestedOwner(admission.OwnerLookup):
-    """The upstream that another VM asked for; that VM knows why."""
+    """The owner that another VM named; it does its own owner lookup."""
 
     def __init__(self, target: targets.Target):
         self._target = target
@@ -60,13 +61,13 @@
 
 
 class Arbiter:
-    """Hands out the slots of upstreams to other VMs.
+    """Assigns the slots of upstreams to other VMs.
 
     Args:
         peers: The other VMs.
-        gate: Decides, for requests of this VM too.
+        gate: Decides on requests, including those of this VM.
         table: The upstreams.
-        is_leaving: Returns whether this VM shuts down.
+        is_leaving: Returns whether this VM is shutting down.
         meters: Counts permits.
     """
 
@@ -87,7 +88,7 @@
         self._encoder = msgspec.msgpack.Encoder()
 
     async def run(self) -> None:
-        """Ends permits of which nothing is heard any more, until cancelled."""
+        """Ends expired permits and those of ended runs, until cancelled."""
         while True:
             await pacing.pause(_SWEEP_INTERVAL_S)
             now = clocks.monotonic()
@@ -104,7 +105,7 @@
     def handle_request(
         self, peer: reports.Peer, request: permit_messages.PermitRequest
     ) -> None:
-        """Decides on a question, or says again what was decided."""
+        """Decides on a permit request, or repeats the earlier decision."""
         name = (request.run, request.number)
         known = self._permits.get(name)
         if known is not None:
@@ -113,11 +114,12 @@
         if request.service:
             if request.service in self._targets.by_service:
                 self._start(peer, request, self._waiter_in_domain(request))
-            # Else it has just started, and others know more.
+            # A VM that has just started doesn't know the service yet; the
+            # sender times out and asks elsewhere.
             return
         target = self._targets.by_id.get(request.upstream)
         if target is None or target.is_replaced:
-            # The one that asks knows more of it.
+            # The requesting VM has newer information about the upstream.
             self._send(
                 peer,
                 permit_messages.PermitReply(
@@ -166,7 +168,7 @@
     def note_upstream_state(
         self, peer: reports.Peer, message: permit_messages.PermitRelease
     ) -> None:
-        """Takes in what the last request that ended says of its upstream."""
+        """Applies the penalty and slowdown that a release reports."""
         run = reports.short_run(peer.row.incarnation)
         permit = self._permits.get((run, message.ended[-1]))
         if permit is None or permit.target is None:
@@ -178,7 +180,7 @@
             permit.target.note_slowdown(message.slowdown_percent / 100, now)
 
     def end_permit(self, peer: reports.Peer, number: int) -> None:
-        """A request ended, or doesn't want a slot any more."""
+        """Ends the permit of a request that ended or no longer waits."""
         self._end((reports.short_run(peer.row.incarnation), number))
 
     def _end(self, name: tuple[str, int]) -> None:
@@ -192,7 +194,7 @@
             self._gate.release(permit.waiter, permit.target)
 
     def _on_decided(self, peer, name, permit: _Permit, future) -> None:
-        """A request that waited got a slot or was refused."""
+        """Sends the decision on a request that had to wait."""
         if future.cancelled() or self._permits.get(name) is not permit:
             return
         error = future.exception()
@@ -243,7 +245,7 @@
     owner: admission.OwnerLookup | None,
     now: float,
 ) -> admission.Waiter:
-    """Returns a request as another VM described it."""
+    """Returns the waiter that another VM's permit request describes."""
     route = model.Route(
         name="",
         host="",
--- a/src/swiftstile/gateway/arbiter_selection.py
+++ b/src/swiftstile/gateway/arbiter_selection.py
@@ -1,7 +1,7 @@
-"""Which VM assigns the slots of an upstream, or of a service in a domain.
+"""Selects the VM that assigns the slots of an upstream or a service.
 
-A rendezvous hash chooses among the VMs of the domain that have wide links, so
-that all VMs that see the same peers choose the same one.
+A rendezvous hash chooses among the VMs of the domain with high bandwidth, so
+that all VMs that see the same peers select the same arbiter.
 """
 
 import collections.abc
@@ -17,17 +17,17 @@
 
 __all__ = ["ArbiterSelector"]
 
-# An arbiter that didn't answer isn't asked for so long: about the time in which
-# a silent peer is noticed.
+# An arbiter that didn't reply isn't asked for this long, about the time in
+# which an unresponsive peer is detected.
 AVOID_UNRESPONSIVE_S = 1.0
 
 
 class ArbiterSelector:
-    """Chooses arbiters, as one VM sees the others.
+    """Selects arbiters by the peers that this VM can reach.
 
     Args:
         peers: The other VMs.
-        is_leaving: Returns whether this VM shuts down.
+        is_leaving: Returns whether this VM is shutting down.
         limits: Names the one VM that assigns the slots of a cold upstream.
     """
 
@@ -55,7 +55,7 @@
     def arbiter_in_domain(
         self, domain: ids.FailureDomain, subject: str, now: float
     ) -> tuple[reports.Peer | None, bool]:
-        """Returns who of a domain decides on an upstream or a service.
+        """Returns the arbiter of an upstream or a service in a domain.
 
         Args:
             domain: The domain.
@@ -63,8 +63,8 @@
             now: The time.
 
         Returns:
-            That peer, if there is one that can be asked, and whether it is this
-            VM instead.
+            The arbiter, or None if no peer of the domain can be asked; and
+            whether this VM is the arbiter instead.
         """
         me = self._peers.me
         peers = self._peers.reachable(domain, now)
@@ -86,11 +86,11 @@
         return best, is_me
 
     def is_avoided(self, peer: reports.Peer, now: float) -> bool:
-        """Whether a peer left a question without an answer just now."""
+        """Whether a peer recently left a permit request without a reply."""
         return self._avoided_until.get(peer.row.node, 0.0) > now
 
     def avoid(self, peer: reports.Peer, now: float) -> None:
-        """A peer left a question without an answer."""
+        """Stops asking a peer that didn't reply, for a while."""
         self._avoided_until[peer.row.node] = now + AVOID_UNRESPONSIVE_S
 
     def _cold_sender(
@@ -98,7 +98,8 @@
     ) -> reports.Peer | None:
         """Returns the only VM that sends to a cold upstream.
 
-        None if it is this one, or is out of reach: then this VM sends nothing.
+        None if it is this VM, or if it is unreachable; in the latter case this
+        VM sends nothing there.
         """
         row = self._limits.designated_sender(target, now)
         peer = None if row is None else self._peers.by_node.get(row.node)
--- a/src/swiftstile/gateway/coldstart.py
+++ b/src/swiftstile/gateway/coldstart.py
@@ -1,9 +1,10 @@
-"""Limits what is sent to upstreams that are cold.
+"""Limits the request rate of cold upstreams.
 
-An upstream that just started, or that was emptied, breaks down under more than
-a few requests a second, whichever VMs send them. Many VMs share it, and what
-they tell each other of their sends is older than the time between two. So one
-VM sends there while it is cold, and spaces its sends; the others pass it over.
+An upstream that has just started, or whose failure domain was evacuated, breaks
+down under more than a few requests a second from all VMs together. The counts
+that VMs exchange are older than the interval between two sends, so they can't
+share the rate. Instead, one VM sends to a cold upstream and spaces its sends,
+and the others avoid it.
 """
 
 import abc
@@ -18,39 +19,38 @@
 
 __all__ = ["UNLIMITED", "ColdLimits", "SendLimits"]
 
-# Part of the rate that an upstream bears while cold that its one sender uses.
-# VMs may disagree for a moment on who that is, and one that was restarted does
-# not know what it sent before. The platform allows 1.5 times the rate and 8
-# requests in a second: with this part two VMs may send at any rate, and three
-# at rates below 6/s.
+# Fraction of a cold upstream's rate limit that its one sender uses. VMs may
+# briefly disagree on the sender, and a restarted VM doesn't know what it sent
+# before. The platform allows 1.5 times the rate plus 8 requests in a second:
+# with this fraction two VMs may send at any rate, and three at rates below 6/s.
 RATE_FRACTION = 0.75
-# How long the choice of senders stands: a service has dozens of upstreams and
-# VMs, and each look at the queue asks for all of them.
+# How long selected senders are cached: a service has dozens of upstreams and
+# VMs, and each scan of the queue needs the senders of all of them.
 SENDER_CACHE_TTL_S = 0.2
 
 
 class SendLimits(abc.ABC):
-    """Says what may be sent to which upstream, besides its slots."""
+    """Limits sends to upstreams in addition to their slots."""
 
     @abc.abstractmethod
     def is_limited(self, target: targets.Target, now: float) -> bool:
-        """Whether sends there are limited now, by whichever VM."""
+        """Whether sends there are limited now, for all VMs."""
 
     @abc.abstractmethod
     def is_blocked(self, target: targets.Target, now: float) -> bool:
-        """Whether this VM sends nothing there until the limit ends."""
+        """Whether this VM may send nothing there until the limit ends."""
 
     @abc.abstractmethod
     def may_send(self, target: targets.Target, now: float) -> bool:
-        """Whether this VM may send there at this moment."""
+        """Whether this VM may send there now."""
 
     @abc.abstractmethod
     def rate_per_s(self, target: targets.Target, now: float) -> float:
-        """Returns how many requests/s may go there."""
+        """Returns the allowed rate of sends there, in requests/s."""
 
     @abc.abstractmethod
     def note_sent(self, target: targets.Target, now: float) -> None:
-        """This VM sends a request there, or lets another VM send one."""
+        """Records a send by this VM, or a permit that it granted."""
 
     @abc.abstractmethod
     def designated_sender(
@@ -58,7 +58,7 @@
     ) -> reports.NodeRow | None:
         """Returns the one VM that sends there while sends are limited.
 
-        None where they never are.
+        None if sends are never limited.
         """
 
 
@@ -95,13 +95,13 @@
 
 
 class ColdLimits(SendLimits):
-    """Limits of the services whose configuration names a rate.
+    """Limits of the services that are configured with a cold rate.
 
     Args:
         table: The upstreams.
         peers: The other VMs.
-        is_registered: Whether this VM is registered, so that it knows the
-            others and they know it.
+        is_registered: Returns whether this VM is registered, so that it knows
+            the others and they know it.
     """
 
     def __init__(
@@ -118,7 +118,7 @@
     def set_services(
         self, by_name: dict[ids.ServiceName, model.Service]
     ) -> None:
-        """Takes in what the configuration says of services."""
+        """Applies the cold-start settings of the configured services."""
         limited = [entry for entry in by_name.values() if entry.cold_per_s > 0]
         self._rate_by_service = {
             entry.name: RATE_FRACTION * entry.cold_per_s for entry in limited
@@ -169,7 +169,7 @@
             self._senders_valid_until = now + SENDER_CACHE_TTL_S
         chosen = self._sender_by_id.get(target.id)
         if chosen is None:
-            # The same VM as the arbiter, as far as it is reachable.
+            # The same VM as the arbiter, unless that is unreachable.
             service = target.upstream.service
             subject = target.id if service in self._keyed_services else service
             chosen = self._sender_by_id[target.id] = max(
@@ -184,11 +184,12 @@
         return self.designated_sender(target, now) is self._peers.me
 
     def _candidates(self, target: targets.Target) -> list[reports.NodeRow]:
-        """Returns the VMs of which one is chosen for an upstream.
+        """Returns the VMs that are candidates for an upstream's sender.
 
-        By registrations, and not by who is heard: these are alike on all VMs,
-        also where some can't reach each other. One that is down leaves its cold
-        upstreams idle for the few seconds that they stay cold.
+        By registration and not by reachability, because all VMs see the same
+        registrations even if some can't reach each other. If the sender is
+        down, its cold upstreams stay idle for the few seconds that they are
+        cold.
         """
         me = self._peers.me
         rows = [me]
--- a/src/swiftstile/gateway/measurements.py
+++ b/src/swiftstile/gateway/measurements.py
@@ -1,8 +1,8 @@
-"""What a VM measured, told now and then with the reports that it sends.
+"""Adds measurements to the reports that a VM sends, at a limited rate.
 
-A report is made at each tick and sent to few audiences, each at its own pace.
-So what was measured is added as a report goes out: the pace of an audience is
-that of what it was sent, not of reports that were made and never left.
+A report is made at each tick, but each audience is sent only some of them. So
+measurements are added when a report is sent, and the interval of an audience
+counts from what it was sent, not from reports that were made and never sent.
 """
 
 import msgspec
@@ -13,16 +13,17 @@
 
 __all__ = ["LastSent", "MeasurementReporter"]
 
-# Between two tellings of how fast targets are.
+# Interval between reports of target speeds.
 SPEEDS_INTERVAL_S = 0.8
-# The same for each VM, where they are many: each has fewer answers to tell of.
+# Minimum of the same interval per VM: where there are many, each has fewer
+# answers to report.
 SPEEDS_INTERVAL_PER_VM_S = 0.03
-# Between two tellings of which keys are busy.
+# Interval between reports of key loads.
 KEY_LOADS_INTERVAL_S = 0.3
 
 
 class LastSent:
-    """When an audience was last sent what was measured, in steady seconds."""
+    """When an audience was last sent measurements, on the monotonic clock."""
 
     def __init__(self):
         self.speeds_at = float("-inf")
@@ -30,7 +31,7 @@
 
 
 class MeasurementReporter:
-    """Adds what this VM measured to reports that are about to be sent."""
+    """Adds the measurements of this VM to reports that are about to be sent."""
 
     def __init__(
         self, speed_table: speeds.SpeedTable, key_load_table: heat.HeatBook
@@ -41,13 +42,13 @@
     def add_due(
         self, report: reports.Report, last_sent: LastSent, vms: int, now: float
     ) -> reports.Report:
-        """Returns the report with what is due for an audience.
+        """Returns the report with the measurements due for an audience.
 
         Args:
-            report: What is about to be sent.
-            last_sent: When that audience was last sent something.
-            vms: All other VMs; where they are many, each tells less often.
-            now: On the steady clock.
+            report: The report to be sent.
+            last_sent: When the audience was last sent measurements; updated.
+            vms: Number of other VMs; with many, each reports less often.
+            now: The time on the monotonic clock.
         """
         samples, key_loads = {}, {}
         speeds_s = max(SPEEDS_INTERVAL_S, SPEEDS_INTERVAL_PER_VM_S * vms)
--- a/src/swiftstile/gateway/permit_messages.py
+++ b/src/swiftstile/gateway/permit_messages.py
@@ -1,7 +1,7 @@
-"""Messages between a VM that wants a slot of an upstream and who assigns it.
+"""Messages between a VM that needs a slot of an upstream and its arbiter.
 
-Datagrams of MessagePack arrays; times are whole milliseconds, so that a
-question takes some 60 bytes.
+Datagrams of MessagePack arrays. Times are whole milliseconds, so that a request
+takes about 60 bytes.
 """
 
 import enum
@@ -21,7 +21,7 @@
 
 
 class PermitStatus(enum.IntEnum):
-    """What was decided on a question."""
+    """Decision on a permit request."""
 
     GRANTED = 0
     REFUSED = 1
@@ -29,25 +29,24 @@
 
 
 class PermitRequest(msgspec.Struct, array_like=True, tag=1):
-    """Asks for a slot; sent again it is the same question.
+    """Requests a slot. Idempotent: a repeat has the same run and number.
 
     Attributes:
-        run: Short name of the run that asks.
-        number: Names the request among those of that run.
-        upstream: Whose slot; empty for any upstream of `service` in the failure
-            domain of the VM that is asked.
-        age_ms: How long ago the request came.
-        remaining_ms: How much longer its answer is of use.
-        expected_ms: Time of an upstream of mean speed for it.
-        objective_ms: Time within which its answer is of full use.
-        priority: Its rank; 0 is the most urgent.
+        run: Short name of the requesting run.
+        number: Unique number of the request within that run.
+        upstream: Upstream whose slot is requested; empty for any upstream of
+            `service` in the arbiter's failure domain.
+        age_ms: Time since the caller's request arrived.
+        remaining_ms: Time until the request expires.
+        expected_ms: Expected work time at an upstream of mean speed.
+        objective_ms: Latency objective of its route.
+        priority: Its priority; 0 is the most urgent.
         key: Its key, if it has one.
-        caller_timeout_ms: How much longer its caller waits, if it said.
-        ended: Requests of the same run that ended lately.
+        caller_timeout_ms: Remaining time that its caller waits, if known.
+        ended: Numbers of this run's requests that ended recently.
         service: The service; empty if `upstream` is named.
-        excluded: Upstreams that refused or failed the request before.
-        max_wait_ms: Longest that it may wait for a slot; as long as it is of
-            use if None.
+        excluded: Upstreams that already refused or failed the request.
+        max_wait_ms: Longest wait for a slot; until the request expires if None.
     """
 
     run: str
@@ -67,15 +66,15 @@
 
 
 class PermitReply(msgspec.Struct, array_like=True, tag=2):
-    """Answers a question.
+    """Reply to a permit request.
 
     Attributes:
-        number: The request.
-        status: What was decided.
-        occupied: Other requests at the upstream, when granted.
-        retry_after_ms: When to come back, if refused.
-        wait_ms: How long it would have waited, or did, if refused.
-        upstream: Whose slot was granted, if any upstream was asked for.
+        number: Number of the permit request.
+        status: The decision.
+        occupied: Other requests at the upstream, if granted.
+        retry_after_ms: Time after which to retry, if refused.
+        wait_ms: Actual or expected wait, if refused.
+        upstream: Upstream of the granted slot, if any upstream was requested.
     """
 
     number: int
@@ -87,15 +86,14 @@
 
 
 class PermitRelease(msgspec.Struct, array_like=True, tag=3):
-    """Reports that requests have ended, or don't want a slot any more.
+    """Reports that requests have ended, or no longer need a slot.
 
     Attributes:
-        run: Short name of the run that asked.
-        ended: The requests.
-        penalty_ms: For how long the upstream of the last one is best passed
-            over, by what became of the request.
-        slowdown_percent: How long work takes there at this moment, in percent
-            of the usual, by its answer; None if it didn't say.
+        run: Short name of the requesting run.
+        ended: Numbers of the requests.
+        penalty_ms: Remaining penalty of the upstream of the last request.
+        slowdown_percent: Current work time there in percent of the usual, as
+            reported in its answer; None if not reported.
     """
 
     run: str
@@ -104,5 +102,5 @@
     slowdown_percent: int | None = None
 
 
-# Any of them, as a datagram of permits holds it.
+# Content of a permit datagram.
 Message = PermitRequest | PermitReply | PermitRelease
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -1,20 +1,21 @@
-"""Permits: one VM assigns the slots of an upstream to requests of all VMs.
+"""Requests permits, which let one VM assign an upstream's slots for all VMs.
 
-Counts that VMs tell each other are as old as the work is long between failure
-domains, and each VM sees a small part of an upstream's requests. So one VM of
-the upstream's own domain, its *arbiter*, decides for all: a VM asks it before
-it sends, and reports when the request has ended. Losing it costs nothing but
-order: without an answer a VM decides by the counts that it knows.
+Between failure domains, the in-flight counts that VMs exchange are as old as a
+request takes to serve, and each VM sees only a small part of an upstream's
+requests. One VM in the upstream's own domain, its *arbiter*, therefore decides
+for all: a VM requests a permit before it sends, and releases it when the
+request has ended. Losing the arbiter affects only the order of requests:
+without a reply, a VM decides by the counts that it knows.
 
-A key has one owner, so there is nothing to choose but when to send: each owner
+A key has one owner, so only the time of sending is left to decide: each owner
 has an arbiter. Where many VMs share upstreams without owners, each domain has
-one arbiter a service, which chooses among the upstreams of its domain. The own
-domain's is asked first, those of others when the wait there is worth it
-(`detours.py`).
+one arbiter per service, which chooses among the upstreams of its domain. The
+local domain's arbiter is asked first, those of other domains when local waiting
+costs more (`domain_search.py`).
 
-The load that this answers: requests at two thirds to nine tenths of what
-upstreams can do, with upstreams of half and of one and a half times the mean
-speed, which don't answer what they can't queue.
+Designed for a load of two thirds to nine tenths of the upstreams' capacity,
+with upstreams at half and at one and a half times the mean speed, which don't
+answer requests that they can't queue.
 """
 
 import asyncio
@@ -43,28 +44,28 @@
 
 __all__ = ["PermitClient"]
 
-# A question without an answer is asked again after this part of its objective,
-# and not before the latter, ten round trips between the users' failure domains.
-# Links of 10 Mbit/s are taken for 50 ms by each large body.
+# A permit request without a reply is sent again after this fraction of the
+# route's objective, but not before the minimum, ten round trips between failure
+# domains. One large body occupies a 10 Mbit/s link for 50 ms.
 REQUEST_RETRY_FRACTION, MIN_REQUEST_RETRY_S = 0.08, 0.025
-# Without an answer to so many questions the arbiter counts as out of reach.
-# Few, as the request waits meanwhile.
+# The arbiter counts as unreachable after this many sends without a reply. Low,
+# because the caller's request waits meanwhile.
 MAX_REQUEST_SENDS = 3
-# While a request waits at the arbiter it is asked again now and then, as its
-# answer may be lost, or the arbiter gone: first after this, then after twice as
-# long each time, up to the latter. Asked each 0.1 s, lookups that wait for
-# seconds doubled what goes between domains.
+# While a request waits at the arbiter, the permit request is repeated, because
+# the reply may be lost or the arbiter may have crashed. The interval starts at
+# the first value and doubles up to the second. Repeats every 0.1 s for lookups
+# that wait for seconds doubled the traffic between domains.
 WAITING_RETRY_S, MAX_WAITING_RETRY_S = 0.1, 0.8
-# Ends of requests are told again with the next messages to the same arbiter,
-# in case a datagram was lost.
+# The most recent releases are repeated in the next messages to the same
+# arbiter, in case a datagram was lost.
 MAX_REPEATED_RELEASES = 4
 
 
 class _PendingRequest:
-    """A question of this VM that isn't settled yet.
+    """A permit request of this VM that has no final decision yet.
 
     Attributes:
-        reply: The last answer, if any.
+        reply: The latest reply, if any.
     """
 
     def __init__(self):
@@ -73,7 +74,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether it was decided for good."""
+        """Whether the permit was granted or refused."""
         reply = self.reply
         return (
             reply is not None
@@ -81,12 +82,12 @@
         )
 
     def set_reply(self, reply: permit_messages.PermitReply) -> None:
-        """An answer came."""
+        """Stores a reply and wakes up the waiting task."""
         self.reply = reply
         self._replied.set()
 
     async def wait_for_reply(self, seconds: float) -> bool:
-        """Waits for an answer; whether one came."""
+        """Waits for a reply; returns whether one arrived in time."""
         try:
             async with asyncio.timeout(seconds):
                 await self._replied.wait()
@@ -97,15 +98,15 @@
 
 
 class PermitClient:
-    """Gets slots for the requests of this VM, from whoever hands them out.
+    """Acquires slots for the requests of this VM, from itself or an arbiter.
 
     Args:
         peers: The other VMs.
-        gate: The slots that this VM hands out itself.
-        arbiter: Answers the questions of other VMs.
+        gate: Assigns the slots that this VM decides on itself.
+        arbiter: Handles the permit requests of other VMs.
         table: The upstreams.
         meters: Counts permits.
-        limits: Names the one VM that hands out the slots of a cold upstream.
+        limits: Names the one VM that assigns the slots of a cold upstream.
     """
 
     def __init__(
@@ -132,15 +133,15 @@
         self._ended_by_node: dict[model.NodeId, collections.deque[int]] = {}
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(permit_messages.Message)
-        # The permit of each request that has one from another VM.
+        # Permit numbers of requests that another VM granted, by waiter.
         self._number_by_waiter: dict[int, int] = {}
         peers.on_permit = self._receive
 
     async def acquire(self, waiter: admission.Waiter) -> targets.Target:
-        """Returns a target that has room, with the request counted there.
+        """Returns a target with a free slot, with the request counted there.
 
         Raises:
-            RefusedError: No slot in time.
+            RefusedError: No slot became free in time.
         """
         if waiter.owner is not None:
             return await self._acquire_from_owner(waiter)
@@ -163,14 +164,14 @@
             if granted is not None:
                 return granted
             if self._selector.is_avoided(arbiter, clocks.monotonic()):
-                # It waited long enough for one that doesn't answer.
+                # The arbiter is unresponsive; waiting longer would not help.
                 return await self._gate.acquire(waiter)
-            # The key has another owner by now.
+            # The key has moved to another owner; look the arbiter up again.
 
     async def _acquire_from_any(
         self, waiter: admission.Waiter
     ) -> targets.Target:
-        """Gets a slot of any upstream, from the domain that gives one first."""
+        """Acquires a slot of any upstream, in the planned order of domains."""
         now = clocks.monotonic()
         group = self._gate.decisions.staying(waiter, now)
         refusal: outcomes.RefusedError | None = None
@@ -196,7 +197,7 @@
     async def _acquire_in_domain(
         self, waiter: admission.Waiter, domain: ids.FailureDomain
     ) -> targets.Target | None:
-        """Returns a target of a domain; None if nobody there answers."""
+        """Returns a target in a domain; None if no arbiter there replies."""
         arbiter, is_me = self._selector.arbiter_in_domain(
             domain, waiter.service, clocks.monotonic()
         )
@@ -207,7 +208,7 @@
         return await self._request_permit(waiter, None, arbiter)
 
     def release(self, waiter: admission.Waiter, target: targets.Target) -> None:
-        """The request is no longer at the target."""
+        """Releases the slot of a request that is no longer at the target."""
         number = self._number_by_waiter.pop(waiter.sequence, None)
         if number is None:
             self._gate.release(waiter, target)
@@ -216,7 +217,7 @@
         if waiter.owner is not None:
             self._send_release(number)
             return
-        # What this VM learned of the upstream, its arbiter should know.
+        # Report the penalty and slowdown of the upstream to its arbiter.
         now = clocks.monotonic()
         self._send_release(
             number, target.penalty_left_s(now), target.reported_slowdown(now)
@@ -224,7 +225,7 @@
 
     @property
     def queued(self) -> int:
-        """Requests that wait at this VM for a slot that it hands out."""
+        """Requests that wait for a slot that this VM assigns."""
         return len(self._gate.decisions)
 
     async def _request_permit(
@@ -233,15 +234,15 @@
         target: targets.Target | None,
         arbiter: reports.Peer,
     ) -> targets.Target | None:
-        """Returns the target that was granted; None to ask elsewhere.
+        """Returns the granted target; None to ask elsewhere.
 
         Args:
             waiter: The request.
             target: The owner of its key; None for any upstream.
-            arbiter: Who is asked.
+            arbiter: The VM that decides.
 
         Raises:
-            RefusedError: The arbiter refused it.
+            RefusedError: The arbiter refused the permit.
         """
         number = next(self._numbers)
         pending = self._pending[number] = _PendingRequest()
@@ -274,7 +275,7 @@
         target: targets.Target | None,
         reply: permit_messages.PermitReply,
     ) -> targets.Target | None:
-        """Returns the target of a permit, if the request may still go there."""
+        """Returns the target of a permit, if it can still take the request."""
         now = clocks.monotonic()
         if target is not None:
             return target if waiter.owner.target(now) is target else None
@@ -282,7 +283,8 @@
         if granted is None or not self._gate.decisions.is_usable(
             granted, waiter, now
         ):
-            # This VM knows better, or heard of it earlier, that it leaves.
+            # This VM already knows that the upstream is leaving or unusable,
+            # and the arbiter doesn't yet.
             waiter.excluded.add(reply.upstream)
             return None
         return granted
@@ -313,7 +315,7 @@
     async def _request_until_replied(
         self, number, pending, waiter, target, arbiter
     ) -> bool:
-        """Asks until anything is heard; whether something was, in time."""
+        """Sends the permit request until a reply arrives or it times out."""
         retry_s = max(
             MIN_REQUEST_RETRY_S,
             REQUEST_RETRY_FRACTION * waiter.route.objective_s,
@@ -356,12 +358,12 @@
         pause_s: float = 0.0,
         slowdown: float | None = None,
     ) -> None:
-        """Reports that a request ended, or gave up waiting.
+        """Reports that a request ended, or no longer waits.
 
         Args:
-            number: The request.
-            pause_s: For how long its upstream is best passed over.
-            slowdown: How long work takes there over the usual, if known.
+            number: Number of the permit request.
+            pause_s: Remaining penalty of its upstream, in seconds.
+            slowdown: Current over usual work time there, if known.
         """
         arbiter = self._arbiter_by_number.pop(number)
         ended = self._ended_by_node.setdefault(
@@ -393,7 +395,8 @@
             return
         peer = self._peers.of_run(message.run)
         if peer is None:
-            # Its registration will follow, or this is of an earlier run.
+            # The sender isn't registered here yet, or this is from its
+            # previous run.
             return
         if isinstance(message, permit_messages.PermitRelease) and message.ended:
             self._arbiter.note_upstream_state(peer, message)
--- a/src/swiftstile/gateway/speeds.py
+++ b/src/swiftstile/gateway/speeds.py
@@ -1,7 +1,8 @@
-"""How fast upstreams are, from the answers that all VMs got.
+"""Estimates the speed of upstreams from the answers that all VMs received.
 
-One VM sees too few answers of one upstream to tell its speed, so VMs tell each
-other their sums. Old answers count less: speeds change.
+One VM sees too few answers of an upstream to estimate its speed, so VMs
+exchange their sums. The weight of an answer decays with its age, because speeds
+change.
 """
 
 from collections import abc
@@ -11,23 +12,23 @@
 
 __all__ = ["DEFAULT_RATIO", "Samples", "SpeedTable"]
 
-# An answer counts half after this long: a slow upstream shows within seconds.
+# Half-life of an answer's weight: a slow upstream is detected within seconds.
 HALF_LIFE_S = 4.0
-# Of an upstream of which nothing is known.
+# Ratio of an upstream without samples.
 DEFAULT_RATIO = 1.0
-# Answers at mean speed that are taken for granted; with less, a few odd
-# requests would move keys.
+# Weight of the prior, in answers at mean speed. With less, a few outliers would
+# move keys.
 PRIOR_COUNT = 4.0
-# Ratios are bounded so that one odd request doesn't outweigh all others.
+# Bounds of a sample, so that one outlier doesn't outweigh all others.
 MIN_RATIO, MAX_RATIO = 0.2, 12.0
-# What a peer told longer ago than this is forgotten.
+# Samples that a peer reported longer ago than this are dropped.
 PEER_TTL_S = 4.0
-# Sums are kept as of a time no longer ago than this. Rounding grows with it,
-# and is a part in 10**12 then.
+# Greatest age of the reference time of the sums. The rounding error grows with
+# it, and is 1 part in 10**12 at this age.
 MAX_REFERENCE_AGE_S = 40.0
 _MIN_COUNT = 0.1
-# Upstreams that are told at a time, those with most answers: 60 of them fill
-# one datagram that the network doesn't cut into pieces.
+# Upstreams per report, those with the most answers: 60 of them fill one
+# datagram that isn't fragmented by the network.
 MAX_PUBLISHED = 60
 # On the wire, counts are in tenths and ratios in hundredths.
 _COUNT_UNIT, _RATIO_UNIT = 0.1, 0.01
@@ -51,7 +52,7 @@
 
 
 class _PeerSamples(typing.NamedTuple):
-    """What a peer told, and what it counted for at the reference time."""
+    """A peer's samples, and their weights as of the reference time."""
 
     samples: Samples
     received_at: float
@@ -59,22 +60,22 @@
 
 
 class _PeerSums:
-    """Sums of what all peers told, by upstream.
+    """Sums of the samples of all peers, by upstream.
 
-    All answers grow old alike, so sums are kept as of one reference time and
-    brought to the present as a whole: what a peer tells is added once, and not
-    at each of the leader's 20 looks a second, for 195 VMs.
+    All weights decay at the same rate, so the sums are kept as of one reference
+    time and scaled to the present as a whole. A peer's samples are added once,
+    instead of at each of the leader's 20 reads a second, for 195 VMs.
     """
 
     def __init__(self):
-        # In the order in which they were received.
+        # In order of receipt.
         self._samples_by_node: dict[model.NodeId, _PeerSamples] = {}
         self._reference = 0.0
-        # Sum of ratios, count, and peers that told of it, by upstream.
+        # Sum of ratios, count, and number of reporting peers, by upstream.
         self._sums: dict[model.UpstreamId, tuple[float, float, int]] = {}
 
     def receive(self, node: model.NodeId, samples: Samples, now: float) -> None:
-        """Takes in what a peer tells."""
+        """Replaces the samples of a peer."""
         known = self._samples_by_node.pop(node, None)
         if known is not None:
             self._subtract(known)
@@ -97,7 +98,7 @@
         }
 
     def _rebase(self, now: float) -> None:
-        """Takes another reference time, so that weights stay small."""
+        """Moves the reference time, so that weights stay small."""
         self._reference = now
         self._sums.clear()
         for node, entry in self._samples_by_node.items():
@@ -122,7 +123,7 @@
         for upstream, (total, count) in entry.weight_by_upstream.items():
             sums = self._sums[upstream]
             if sums[2] == 1:
-                # Nobody else told of it: what is left is rounding.
+                # No other peer reports it: the remainder is a rounding error.
                 del self._sums[upstream]
                 continue
             self._sums[upstream] = sums[0] - total, sums[1] - count, sums[2] - 1
@@ -138,18 +139,18 @@
     def add_sample(
         self, upstream: model.UpstreamId, ratio: float, now: float
     ) -> None:
-        """Takes in the time of one answer over what was expected."""
+        """Adds the ratio of actual to expected work time of one answer."""
         entry = self._own.setdefault(upstream, _DecayingSum())
         entry.decay(now)
         entry.total += min(max(ratio, MIN_RATIO), MAX_RATIO)
         entry.count += 1
 
     def receive(self, node: model.NodeId, samples: Samples, now: float) -> None:
-        """Takes in what a peer tells."""
+        """Replaces the samples of a peer."""
         self._peers.receive(node, samples, now)
 
     def own_samples(self, now: float) -> Samples:
-        """Returns this VM's own sums, for its peers."""
+        """Returns this VM's own samples, to be sent to its peers."""
         samples: Samples = {}
         for upstream, entry in list(self._own.items()):
             entry.decay(now)
@@ -169,12 +170,12 @@
     def placement_ratios(
         self, members: abc.Collection[model.UpstreamId], now: float
     ) -> dict[model.UpstreamId, float]:
-        """Returns ratios that tell members apart, to place keys by.
+        """Returns comparable ratios of members, for key placement.
 
-        All count alike while there are few answers. One of which nothing is
-        known counts as the mean of the others: where work takes a fifth of what
-        is expected, each that was asked would otherwise seem five times as fast
-        as it, and keys would move for no reason.
+        All are equal while there are few answers. A member without samples gets
+        the mean of the others: where work takes a fifth of the expected time,
+        each member with samples would otherwise seem five times as fast as it,
+        and keys would move for no reason.
         """
         sums = self._sums(now)
         known = {name: _ratio(*sums[name]) for name in members if name in sums}
@@ -185,14 +186,14 @@
         return {name: known.get(name, mean) for name in members}
 
     def ratios(self, now: float) -> dict[model.UpstreamId, float]:
-        """Returns the ratios of upstreams; others count as `DEFAULT_RATIO`."""
+        """Returns the known ratios; others count as `DEFAULT_RATIO`."""
         return {
             upstream: _ratio(total, count)
             for upstream, (total, count) in self._sums(now).items()
         }
 
     def _sums(self, now: float) -> dict[model.UpstreamId, tuple[float, float]]:
-        """Returns the sum of ratios and the count, of all VMs' answers."""
+        """Returns the sums of ratios and the counts of all VMs' answers."""
         sums = self._peers.at(now)
         for upstream, entry in self._own.items():
             entry.decay(now)
--- a/src/swiftstile/gateway/targets.py
+++ b/src/swiftstile/gateway/targets.py
@@ -1,4 +1,4 @@
-"""Upstreams as one VM sees them: how busy, how fast, how healthy."""
+"""State of upstreams as one VM knows it: load, speed and health."""
 
 import collections
 
@@ -8,31 +8,31 @@
 
 __all__ = ["Target", "TargetTable"]
 
-# A target that just started is about this much slower for its cold time.
+# Slowdown of a target that has just started, until its cold time is over.
 COLD_SLOWDOWN = 2.0
-# A request that takes longer than so many times what is usual there shows a
-# target that stalls. That is beyond 99 in 100 requests at one that works, one
-# ahead of it included.
+# A target counts as stalled when its oldest request takes longer than this many
+# times the usual time. At a working target, fewer than 1 in 100 requests take
+# that long, even with one request ahead of it.
 STALL_FACTOR = 3.0
-# What part of its time without an answer a request is taken to be over; the
-# rest may have been a wait.
+# Fraction of the time without an answer that is attributed to service; the rest
+# may have been queueing.
 SERVICE_TIME_FRACTION = 0.7
-# A reported slowdown counts for so long; it changes several times a second.
+# How long a reported slowdown is valid; it changes several times a second.
 SLOWDOWN_TTL_S = 0.2
-# Bound of the estimated slowness, so that no target is barred for ever.
+# Upper bound of the estimated slowness, so that no target is excluded forever.
 MAX_SLOW_FACTOR = 20.0
-# A target that can't be reached is passed over this long, doubled with each
-# failure in a row.
+# A target that can't be reached is avoided for this long, doubled with each
+# consecutive failure.
 INITIAL_PENALTY_S = 0.25
 MAX_PENALTY_S = 2.0
-# Sends stop this long before the platform's bound for leaving targets: an
-# answer of the store takes a part of it, and a request on its way the rest.
+# Sends stop this long before the platform's drain bound for leaving targets.
+# The margin covers an answer of the store and a request in transit.
 DRAIN_MARGIN_S = 0.5
-# Owners in an evacuated failure domain go on being asked for so long, while
-# their keys move to others. The platform allows 5 s from its acknowledgement,
-# of which VMs may need 2.5 s to hear of it.
+# Owners in an evacuated failure domain continue to get requests for this long,
+# while their keys move to others. The platform allows 5 s from its
+# acknowledgement, of which a VM may need 2.5 s to learn of the evacuation.
 EVACUATION_GRACE_S = 2.0
-# Counts of peers older than this say nothing.
+# Counts from peers older than this are ignored.
 PEER_COUNT_TTL_S = 1.5
 
 
@@ -40,25 +40,27 @@
     """One upstream.
 
     Attributes:
-        in_flight: Requests that this VM has there now, or that it permitted
-            others.
+        in_flight: Requests that this VM has there now, or granted permits for.
         permitted: Those of them that another VM permitted and counts.
-        waiting: Requests that wait at this VM for it alone.
-        peer_counts: Requests of other VMs, by VM: (count, waiting, when heard).
-        slowness: Its service time over the mean of all, 1.0 when as fast.
-        left_at: When it was first seen to leave by its own word, or by the lack
-            of it; None while it is registered and ready.
-        drain_started_at: When the platform may first have known that it left;
-            sends end a fixed time after that. None while `left_at` is.
-        evacuated_at: Since when its failure domain is evacuated; None if not.
+        waiting: Requests that wait at this VM for this target only.
+        peer_counts: Requests of other VMs, by VM: (in flight, waiting, time of
+            the report).
+        slowness: Ratio of its service time to the mean of all targets.
+        left_at: When this VM first saw that it is draining or no longer
+            registered; None while it is registered and ready.
+        drain_started_at: Earliest time at which the platform may have known
+            that it is leaving; sends end a fixed time later. None while
+            `left_at` is None.
+        evacuated_at: When its failure domain was evacuated; None if it isn't.
         leaving_since: The earlier of `left_at` and `evacuated_at`; None while
-            it stays.
-        is_unregistered: Its registration is no more.
-        is_replaced: Another server runs at its address, so it has ended.
-        cold_until: Until when it is cold, by its own word or since it was
-            taken back.
-        next_cold_send_at: While it is cold this VM sends nothing there until
-            then.
+            it is in service.
+        is_unregistered: Whether its registration has been removed.
+        is_replaced: Whether another server runs at its address, so that it has
+            ended.
+        cold_until: End of its cold time, as it reported or after the end of an
+            evacuation.
+        next_cold_send_at: Earliest time of this VM's next send while it is
+            cold.
     """
 
     def __init__(self, upstream: model.Upstream, now: float):
@@ -91,7 +93,7 @@
         return self.upstream.id
 
     def occupied(self, now: float) -> int:
-        """Returns requests there, of all VMs as far as known."""
+        """Returns the known number of requests of all VMs there."""
         return self.in_flight + sum(
             count
             for count, _, heard in self.peer_counts.values()
@@ -99,7 +101,7 @@
         )
 
     def waiting_elsewhere(self, now: float) -> int:
-        """Returns requests that wait for it at other VMs."""
+        """Returns the number of requests that wait for it at other VMs."""
         return sum(
             waiting
             for _, waiting, heard in self.peer_counts.values()
@@ -107,7 +109,7 @@
         )
 
     def accepts_requests(self, now: float, drain_s: float) -> bool:
-        """Whether anything may be sent there at all."""
+        """Whether requests may still be sent there."""
         if self.is_replaced or self.is_evacuated(now):
             return False
         if self.drain_started_at is None:
@@ -116,29 +118,29 @@
         return now - self.drain_started_at < sends_s
 
     def is_evacuated(self, now: float) -> bool:
-        """Whether nothing more may be sent to its failure domain."""
+        """Whether the evacuation of its failure domain has ended all sends."""
         if self.evacuated_at is None:
             return False
         return now - self.evacuated_at >= EVACUATION_GRACE_S
 
     def mark_leaving(self, now: float, known_since: float) -> None:
-        """It left, which the platform may have known for some time."""
+        """Marks it as leaving, known to the platform since `known_since`."""
         if self.left_at is None:
             self.left_at, self.drain_started_at = now, known_since
         self._update_leaving_since()
 
     def mark_ready(self) -> None:
-        """It is registered and ready."""
+        """Marks it as registered and ready."""
         self.left_at = self.drain_started_at = None
         self._update_leaving_since()
 
     def set_evacuated(self, since: float | None) -> None:
-        """Its failure domain is evacuated since then, or isn't if None."""
+        """Sets when its failure domain was evacuated; None if it isn't."""
         self.evacuated_at = since
         self._update_leaving_since()
 
     def extend_cold(self, until: float) -> None:
-        """It is cold until then, or for longer by what is known."""
+        """Extends its cold time; never shortens it."""
         self.cold_until = max(self.cold_until, until)
 
     def _update_leaving_since(self) -> None:
@@ -148,16 +150,16 @@
         self.leaving_since = min(known, default=None)
 
     def is_penalised(self, now: float) -> bool:
-        """Whether it failed just now."""
+        """Whether it is avoided because of a recent failure or rejection."""
         return now < self._penalty_until
 
     def penalty_left_s(self, now: float) -> float:
-        """Returns how much longer it is passed over, in seconds."""
+        """Returns how much longer it is avoided, in seconds."""
         return max(0.0, self._penalty_until - now)
 
     @property
     def is_failing(self) -> bool:
-        """Whether it failed since its last answer."""
+        """Whether it has failed since its last answer."""
         return self._failures > 0
 
     def slow_factor(self, now: float) -> float:
@@ -166,7 +168,8 @@
         if now < self._slow_until:
             factor = max(factor, COLD_SLOWDOWN)
         for started, expected_s in self._started.values():
-            # The oldest comes first. One without an answer is at least so slow.
+            # The oldest request comes first; the time it has been waiting for
+            # an answer is a lower bound of its service time.
             overdue = (now - started) / (expected_s * self.slowness)
             if overdue > STALL_FACTOR:
                 factor *= overdue * SERVICE_TIME_FRACTION
@@ -174,51 +177,54 @@
         return min(factor, MAX_SLOW_FACTOR)
 
     def note_sent(self, token: int, now: float, expected_s: float) -> None:
-        """A request goes there."""
+        """Records that a request was sent there."""
         self.in_flight += 1
         self._started[token] = (now, max(expected_s, 0.001))
 
     def note_ended(self, token: int) -> None:
-        """A request of ours is no longer there."""
+        """Records that a request of this VM has ended."""
         self.in_flight -= 1
         self._started.pop(token, None)
 
     def note_permitted(self, token: int, now: float, expected_s: float) -> None:
-        """A request goes there that another VM counts."""
+        """Records that a request was sent there which another VM counts."""
         self.permitted += 1
         self.note_sent(token, now, expected_s)
 
     def note_permit_ended(self, token: int) -> None:
-        """Such a request is no longer there."""
+        """Records that a request which another VM counts has ended."""
         self.permitted -= 1
         self.note_ended(token)
 
     def note_answer(self, now: float) -> None:
-        """It answered."""
+        """Records an answer, which ends its penalty."""
         self._failures = 0
         self._penalty_until = 0.0
 
     def note_failure(self, now: float) -> None:
-        """It couldn't be reached, was silent, or its answer was broken."""
+        """Records a failed connection, a timeout or a malformed answer."""
         penalty = min(INITIAL_PENALTY_S * 2**self._failures, MAX_PENALTY_S)
         self._failures += 1
         self._penalty_until = now + penalty
 
     def note_rejected(self, now: float, wait_s: float) -> None:
-        """It refused for lack of room."""
+        """Records that it rejected a request because it was full."""
         self._penalty_until = max(self._penalty_until, now + wait_s)
 
     def reported_slowdown(self, now: float) -> float | None:
-        """Returns how long work takes there over the usual, if it just said."""
+        """Returns the ratio of current to usual work time, if recent."""
         return self._slowdown if now < self._slowdown_until else None
 
     def note_slowdown(self, slowdown: float, now: float) -> None:
-        """Work takes that much longer there than usual at this moment."""
+        """Records a reported ratio of current to usual work time."""
         self._slowdown = max(slowdown, 0.1)
         self._slowdown_until = now + SLOWDOWN_TTL_S
 
     def note_load(self, load: interfaces.Load, now: float) -> None:
-        """It said how busy it is; an upper bound for counts of peers."""
+        """Applies the load that it reported with an answer.
+
+        If it is idle, the counts from peers are out of date and are dropped.
+        """
         if load.slowdown is not None:
             self.note_slowdown(load.slowdown, now)
         total = load.running + load.waiting
@@ -231,10 +237,11 @@
 
     Attributes:
         by_id: Targets by upstream id.
-        by_service: The same, by service and id.
-        evacuated_at: Since when failure domains are evacuated, by domain.
-        cold_start_s: How long upstreams are cold that start or were taken
-            back, by service; only where sends to them are limited.
+        by_service: Targets by service and upstream id.
+        evacuated_at: When each evacuated failure domain was evacuated.
+        cold_start_s: Cold time of upstreams after a start or an evacuation, by
+            service; only for services whose sends to cold upstreams are
+            limited.
     """
 
     def __init__(self):
@@ -251,20 +258,20 @@
         now: float,
         known_since: float | None = None,
     ) -> Target:
-        """Adds an upstream, or takes over what it registered anew.
+        """Adds an upstream, or updates it from a new registration.
 
         Args:
             upstream: The upstream.
             now: The time.
-            known_since: Since when the platform may have known it; `now` if
-                left out.
+            known_since: Earliest time at which the platform may have known this
+                state; `now` if left out.
         """
         target = self.by_id.get(upstream.id)
         if target is not None and upstream.has_restarted_since(
             target.upstream.started_ms
         ):
-            # What was known of its earlier life says nothing of this one, and
-            # requests that are still counted there end with it.
+            # State from before the restart doesn't apply to the new process,
+            # and requests that are still counted there end with the old one.
             target.is_replaced = True
             target = None
         if target is None:
@@ -288,17 +295,17 @@
         return target
 
     def evacuate(self, domain: ids.FailureDomain, now: float) -> None:
-        """Nothing more is to be sent to the upstreams of a failure domain.
+        """Marks the upstreams of a failure domain as evacuated.
 
-        Those that register later count as evacuated just as long.
+        Upstreams that register later count as evacuated since the same time.
         """
         self._set_evacuated(domain, self.evacuated_at.setdefault(domain, now))
 
     def end_evacuation(self, domain: ids.FailureDomain, now: float) -> None:
-        """The upstreams of a failure domain may be used again.
+        """Returns the upstreams of a failure domain to service.
 
-        They may have become cold meanwhile, and say so only with their next
-        registration.
+        They may have become cold meanwhile, which they report only with their
+        next registration, so they count as cold at first.
         """
         self.evacuated_at.pop(domain, None)
         self._set_evacuated(domain, None)
@@ -316,12 +323,12 @@
                 target.set_evacuated(since)
 
     def has_active(self, service: ids.ServiceName) -> bool:
-        """Whether a service has an upstream that doesn't leave."""
+        """Whether a service has an upstream that isn't leaving."""
         group = self.by_service.get(service, {})
         return any(target.leaving_since is None for target in group.values())
 
     def mark_replaced(self, target: Target, now: float) -> None:
-        """Another server was seen at a target's address."""
+        """Marks a target as ended: another server runs at its address."""
         target.is_replaced = True
         target.mark_leaving(now, now)
 
@@ -337,7 +344,7 @@
         now: float,
         known_since: float | None = None,
     ) -> None:
-        """Its registration is no more; see `put` for the arguments."""
+        """Marks a registration as removed; see `put` for the arguments."""
         target = self.by_id.get(upstream)
         if target is not None:
             target.is_unregistered = True
@@ -346,7 +353,7 @@
             )
 
     def remove_departed(self, now: float, keep_s: float) -> list[Target]:
-        """Drops targets that left more than `keep_s` ago; returns them."""
+        """Removes targets that left more than `keep_s` ago; returns them."""
         dropped = [
             target
             for target in self.by_id.values()
--- a/src/swiftstile/gateway/weighted_round_robin.py
+++ b/src/swiftstile/gateway/weighted_round_robin.py
@@ -1,4 +1,4 @@
-"""Draws a service for each request of a route that is spread over several."""
+"""Selects a service for each request of a route that has several."""
 
 from swiftstile import ids
 from swiftstile.gateway import model
@@ -7,7 +7,7 @@
 
 
 class WeightedRoundRobin:
-    """Deals requests out by weight, evenly also over short times."""
+    """Distributes requests by weight, evenly over short periods as well."""
 
     def __init__(self):
         self._credit_by_route: dict[str, dict[ids.ServiceName, float]] = {}
