--- a/src/swiftstile/gateway/budget.py
+++ b/src/swiftstile/gateway/budget.py
@@ -1,8 +1,8 @@
-"""The budget for sending requests a second time, shared by all VMs.
+"""Retry budget for requests to upstreams, shared by all VMs.
 
-Each VM spends from its own part, so no message is needed: a fixed ratio of
-the requests it received itself, and an even part of the allowance that the
-platform gives to all VMs together.
+Each VM spends its own part, so no messages are needed: a fixed ratio of the
+requests that it received, and an equal share of the allowance that the platform
+gives to all VMs together.
 """
 
 import collections
@@ -11,8 +11,8 @@
 
 __all__ = ["RetryBudget"]
 
-# Part of the bound that is used, since the windows of the platform slide and
-# requests in it were counted elsewhere a little earlier or later.
+# Fraction of the bound that is used, because the platform's windows slide and
+# count requests slightly earlier or later than this VM does.
 SAFETY_FACTOR = 0.7
 
 
@@ -20,8 +20,8 @@
     """Counts requests and retries of one VM in a sliding window.
 
     Args:
-        ratio: Repeats allowed for each request.
-        allowance: Repeats allowed besides, of all VMs together, a window.
+        ratio: Retries allowed per request.
+        allowance: Additional retries per window, for all VMs together.
         window_s: Length of the window, in seconds.
     """
 
@@ -34,22 +34,22 @@
         self._retries_by_service: dict[ids.ServiceName, collections.deque] = {}
 
     def set_vm_count(self, count: int) -> None:
-        """Says how many VMs share the allowance."""
+        """Sets how many VMs share the allowance."""
         self._vms = max(1, count)
 
     def note_request(self, service: ids.ServiceName, now: float) -> None:
-        """A caller's request came for a service."""
+        """Records a caller's request for a service."""
         self._window(self._requests_by_service, service, now).append(now)
 
     def can_spend(self, service: ids.ServiceName, now: float) -> bool:
-        """Whether one more repeat is allowed."""
+        """Whether one more retry is allowed."""
         requests = len(self._window(self._requests_by_service, service, now))
         retries = len(self._window(self._retries_by_service, service, now))
         bound = self._ratio * requests + self._allowance / self._vms
         return retries + 1 <= SAFETY_FACTOR * bound
 
     def spend(self, service: ids.ServiceName, now: float) -> None:
-        """Takes one repeat from the budget."""
+        """Records one retry."""
         self._window(self._retries_by_service, service, now).append(now)
 
     def _window(self, by_service, service, now) -> collections.deque:
--- a/src/swiftstile/gateway/caller_retries.py
+++ b/src/swiftstile/gateway/caller_retries.py
@@ -1,11 +1,10 @@
-"""Callers that were refused and come back at the time that they were told.
-
-A caller counts its time from its first try, so a second try that looks fresh
-may already be late. Nothing in it says that it is one; but it asks for the same
-key, at the time that it was told, and stops waiting when it said before. The
-load that this answers: owners of which more is asked than they can do, where
-half of the tries are second ones and take slots from those that can still be in
-time.
+"""Recognises retries of callers that were refused with a retry time.
+
+A caller's timeout runs from its first attempt, so a retry that looks like a new
+request may already be late. Nothing in the request marks it as a retry, but it
+has the same key, arrives at the given retry time and has the same deadline.
+This matters for overloaded owners: there, half of the attempts are retries, and
+they would take slots from requests that can still be answered in time.
 """
 
 import collections
@@ -14,20 +13,20 @@
 
 __all__ = ["RetryTracker"]
 
-# How far the time at which a caller stops waiting may differ between two tries,
-# in seconds: whole milliseconds, and the way to us of each.
+# How far a caller's deadline may differ between two attempts, in seconds: it is
+# sent in whole milliseconds, and the one-way latency of each attempt varies.
 DEADLINE_TOLERANCE_S = 0.008
-# How much earlier and later than told a caller comes back.
+# How much earlier and later than the retry time a retry may arrive.
 MAX_EARLY_S, MAX_LATE_S = 0.01, 0.06
 
 
 class _ExpectedRetry:
-    """A caller that was asked back.
+    """A retry that is expected from a refused caller.
 
     Attributes:
-        retry_at: When.
-        gives_up_at: When it stops waiting.
-        arrived: When its first try came.
+        retry_at: When it is expected.
+        gives_up_at: Deadline of the caller.
+        arrived: When its first attempt arrived.
     """
 
     __slots__ = ("arrived", "retry_at", "gives_up_at")
@@ -39,7 +38,7 @@
 
 
 class RetryTracker:
-    """Callers of one VM that were asked back, by service and key."""
+    """Expected retries of one VM's callers, by service and key."""
 
     def __init__(self):
         self._by_key: dict[
@@ -48,7 +47,7 @@
         self._swept_at = 0.0
 
     def expect_retry(self, waiter, retry_at: float) -> None:
-        """A request was refused, and its caller told when to come back."""
+        """Records that a request was refused with a retry time."""
         if waiter.key is None or waiter.gives_up_at is None:
             return
         name = (waiter.service, waiter.key)
@@ -58,7 +57,7 @@
         )
 
     def match_retry(self, waiter, now: float) -> None:
-        """Counts a request from its first try, if it is a later one."""
+        """Sets a retry's arrival time to that of its first attempt."""
         self._sweep(now)
         if waiter.key is None or waiter.gives_up_at is None:
             return
@@ -74,7 +73,7 @@
         waiter.arrived = min(waiter.arrived, best.arrived)
 
     def _sweep(self, now: float) -> None:
-        """Forgets those that didn't come."""
+        """Removes expected retries that are overdue."""
         if now - self._swept_at < MAX_LATE_S:
             return
         self._swept_at = now
--- a/src/swiftstile/gateway/domain_search.py
+++ b/src/swiftstile/gateway/domain_search.py
@@ -1,9 +1,9 @@
-"""In which failure domains a request looks for a slot, and in which order.
+"""Plans the order of failure domains in which a request tries to get a slot.
 
-For services without owners, where each domain has an arbiter. An answer of
-another domain costs bytes between domains, and waiting at home costs time: a
-request waits at home as long as that is cheaper, goes elsewhere if a slot is
-free there at once, and else waits at home for as long as its answer is of use.
+For services without owners, where each domain has an arbiter. An answer from
+another domain costs traffic between domains, and waiting in the local domain
+costs time. A request waits locally while that is cheaper, then takes a slot
+elsewhere if one is free at once, and otherwise waits locally until it expires.
 """
 
 import collections.abc
@@ -16,18 +16,18 @@
 
 __all__ = ["DomainSearch", "SearchStep"]
 
-# A domain that had no free slot isn't asked for another one for so long, which
-# is less than an upstream takes for a request.
+# A domain without a free slot isn't asked again for this long, which is less
+# than the work time of a request.
 FULL_DOMAIN_TTL_S = 0.05
 
 
 class SearchStep(typing.NamedTuple):
-    """A place to look for a slot.
+    """One attempt to get a slot.
 
     Attributes:
         domain: The failure domain.
-        max_wait_s: Longest wait for a slot there, in seconds; as long as the
-            answer is of use if None.
+        max_wait_s: Longest wait for a slot there, in seconds; until the request
+            expires if None.
     """
 
     domain: ids.FailureDomain
@@ -35,7 +35,7 @@
 
 
 class DomainSearch:
-    """Plans where the requests of one VM look for slots.
+    """Plans the attempts of one VM's requests to get slots.
 
     Args:
         home: The VM's own failure domain.
@@ -53,7 +53,7 @@
         group: collections.abc.Iterable[targets.Target],
         now: float,
     ) -> list[SearchStep]:
-        """Returns where to look for a slot, in order.
+        """Returns the attempts to get a slot, in order.
 
         Args:
             waiter: The request.
@@ -79,6 +79,6 @@
     def note_refused(
         self, service: ids.ServiceName, step: SearchStep, now: float
     ) -> None:
-        """A domain had no slot in time."""
+        """Records that a domain had no free slot in time."""
         if step.domain != self._home:
             self._full_until[service, step.domain] = now + FULL_DOMAIN_TTL_S
--- a/src/swiftstile/gateway/interfaces.py
+++ b/src/swiftstile/gateway/interfaces.py
@@ -1,6 +1,6 @@
-"""What the gateway needs from the platform it runs on.
+"""Interfaces between the gateway and the platform that it runs on.
 
-Another platform is met by another implementation of these.
+Support for another platform is another implementation of these.
 """
 
 import abc
@@ -28,12 +28,12 @@
     "Write",
 ]
 
-# Version that a condition names for a row that must not exist.
+# Version in a condition that requires that the row doesn't exist.
 NEW_ROW = 0
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A row as it is now; `value` is None when it was removed."""
+    """The current state of a row; `value` is None if it was removed."""
 
     key: str
     value: bytes | None
@@ -41,14 +41,14 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """All rows of a table, or those that changed, up to `version`."""
+    """All rows of a table, or the changed ones, as of `version`."""
 
     rows: list[Change]
     version: int
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """The version that a row must have for a write to be done."""
+    """The version that a row must have for a write to be applied."""
 
     key: str
     version: int
@@ -62,11 +62,11 @@
 
 
 class StateTable(abc.ABC):
-    """One table of the platform's store, kept for this product or read."""
+    """One table of the platform's store, written or only read here."""
 
     @abc.abstractmethod
     async def read_all(self) -> Snapshot:
-        """Returns all rows as of one moment.
+        """Returns a consistent snapshot of all rows.
 
         Raises:
             PlatformUnavailableError: No usable answer.
@@ -76,29 +76,30 @@
     async def wait_for_changes(
         self, after: int, wait_s: float
     ) -> Snapshot | None:
-        """Returns rows changed since version `after`, none after a while.
+        """Returns rows changed since version `after`; none on a timeout.
 
         Args:
-            after: Newest version that is known.
-            wait_s: How long to wait for a change, in seconds; 0 to be answered
-                at once.
+            after: Newest known version.
+            wait_s: How long to wait for a change, in seconds; 0 to return at
+                once.
 
         Returns:
-            None when the store no longer knows the changes since then; the
-            whole table has to be read.
+            The changes; None if the store no longer has the changes since then
+            and the whole table has to be read.
 
         Raises:
             PlatformUnavailableError: No usable answer.
         """
 
     async def probe(self, after: int) -> None:
-        """Asks whether the store answers.
+        """Checks whether the store answers.
 
-        A table that can be asked for less than its changes does so: a large
-        answer would come late over a narrow link, though the store answers.
+        Implementations should use a query with a smaller answer than the
+        changes, if there is one: over a link with low bandwidth, a large answer
+        would arrive late although the store is available.
 
         Args:
-            after: Newest version that is known.
+            after: Newest known version.
 
         Raises:
             PlatformUnavailableError: No usable answer.
@@ -109,35 +110,36 @@
     async def write(
         self, conditions: list[Condition], writes: list[Write]
     ) -> int:
-        """Does all writes if all conditions hold; returns the new version.
+        """Applies all writes if all conditions hold; returns the new version.
 
         Raises:
-            ConflictError: A condition didn't hold; nothing was done.
-            PlatformUnavailableError: Refused; nothing was done.
-            OutcomeUnknownError: It may be done, now or seconds later.
+            ConflictError: A condition didn't hold; nothing was written.
+            PlatformUnavailableError: Refused; nothing was written.
+            OutcomeUnknownError: The writes may have been applied, or may be
+                applied seconds later.
         """
 
 
 class KeyRange(msgspec.Struct, frozen=True, order=True):
-    """Keys from `first` to `last`, both included."""
+    """Keys from `first` to `last`, both inclusive."""
 
     first: int
     last: int
 
 
 class GrantResult(enum.Enum):
-    """What an upstream said to a grant."""
+    """Result of a grant, as answered by the upstream."""
 
     HELD = "held"
-    # It knows a newer fence for some of the keys.
+    # The upstream knows a newer fence for some of the keys.
     FENCED = "fenced"
     REJECTED = "rejected"
-    # Another server runs at the address: the one that was meant has ended.
+    # Another server runs at the address: the intended one has ended.
     REPLACED = "replaced"
 
 
 class UpstreamControl(abc.ABC):
-    """Gives keys to upstreams and takes them back."""
+    """Grants keys to upstreams and releases them."""
 
     @abc.abstractmethod
     async def grant(
@@ -153,18 +155,19 @@
         """Grants or renews keys for `hold_s` seconds from its arrival.
 
         Args:
-            address: Where the upstream listens.
+            address: Address on which the upstream listens.
             upstream: Its id.
             keys: The keys.
-            fence: Under which fence.
-            hold_s: For how long.
+            fence: The fence of the grant.
+            hold_s: Duration of the grant, in seconds.
             token: Hand-over token; empty if there is none.
-            on_send: Called right before it is sent, once there is a connection.
-                Whatever it raises keeps the grant from being sent.
+            on_send: Called right before the grant is sent, once there is a
+                connection. An exception from it prevents the grant from being
+                sent.
 
         Raises:
-            PeerTimeoutError: No answer. Its connection was reset, so it can't
-                arrive any more, but may have arrived.
+            PeerTimeoutError: No answer. The connection was reset, so the grant
+                can no longer arrive, but it may have arrived before.
             PeerUnreachableError: There was no connection; nothing was sent.
             PeerUnavailableError: Nothing was sent.
         """
@@ -177,7 +180,9 @@
         keys: KeyRange,
         fence: int,
     ) -> str:
-        """Takes keys back; returns a token that keeps a move warm.
+        """Releases keys; returns a hand-over token for their next owner.
+
+        With the token, the keys aren't slow after the move.
 
         Raises:
             PeerUnavailableError: No answer.
@@ -185,14 +190,14 @@
 
 
 class RequestMetadata(msgspec.Struct, frozen=True):
-    """What the headers of a caller's request say.
+    """Metadata from the headers of a caller's request.
 
     Attributes:
         attempt_id: The caller's id of this attempt; may be empty.
-        timeout_s: How long the caller waits, in seconds; None if it didn't say.
-        key: Key that decides which upstream owns it, or None.
-        caller: Who sent it; empty if the headers don't name a caller, which is
-            then known by its address.
+        timeout_s: How long the caller waits, in seconds; None if unknown.
+        key: Key that determines the owner, or None.
+        caller: Name of the caller; empty if the headers don't name it, in which
+            case its address identifies it.
     """
 
     attempt_id: str
@@ -202,23 +207,22 @@
 
 
 class AnswerKind(enum.Enum):
-    """What an upstream's answer says about the request."""
+    """What an upstream did with the request, by its answer."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
-    # Another server has the address, or the server doesn't hold the key.
+    # Another server uses the address, or the server doesn't hold the key.
     MISDIRECTED = "misdirected"
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What an upstream says of its load when it answers.
+    """Load that an upstream reports with an answer.
 
     Attributes:
-        running: Requests that it works on.
-        waiting: Requests that it has queued.
-        slots: Requests that it can work on.
-        slowdown: How long work takes there at this moment, over the usual; None
-            if it doesn't say.
+        running: Requests in service.
+        waiting: Queued requests.
+        slots: Requests that it can serve at the same time.
+        slowdown: Ratio of current to usual work time; None if not reported.
     """
 
     running: int
@@ -228,14 +232,15 @@
 
 
 class AnswerMetadata(msgspec.Struct, frozen=True):
-    """What the head of an upstream's answer says.
+    """Metadata from the head of an upstream's answer.
 
     Attributes:
         kind: Whether the request ran.
-        attempt_id: Id of the attempt it answers; empty if it doesn't say.
-        is_relayable: Whether a success may be passed on to the caller.
-        load: How busy the server was, if it says.
-        answered_by: The server that answered, if it says.
+        attempt_id: Id of the attempt that it answers; empty if not given.
+        is_relayable: False for a successful answer that must not be relayed to
+            the caller.
+        load: Load of the server, if reported.
+        answered_by: Id of the server that answered; empty if not given.
     """
 
     kind: AnswerKind
@@ -246,11 +251,11 @@
 
 
 class RequestDialect(abc.ABC):
-    """Headers of callers and upstreams."""
+    """Reads and writes the headers of callers and upstreams."""
 
     @abc.abstractmethod
     def parse_request(self, headers) -> RequestMetadata:
-        """Returns what a caller's headers say.
+        """Returns the metadata in a caller's headers.
 
         Raises:
             BadRequestError: A header is malformed.
@@ -260,12 +265,12 @@
     def upstream_headers(
         self, headers, upstream: model.UpstreamId, remaining_s: float
     ) -> list[tuple[str, str]]:
-        """Returns the headers to send: end-to-end ones and our own."""
+        """Returns the headers to send: end-to-end ones and the gateway's."""
 
     @abc.abstractmethod
     def parse_answer(self, status: int, headers) -> AnswerMetadata:
-        """Returns what the head of an answer says."""
+        """Returns the metadata in the head of an answer."""
 
     @abc.abstractmethod
     def answer_headers(self, headers) -> list[tuple[str, str]]:
-        """Returns an answer's headers that are meant for the caller."""
+        """Returns the headers of an answer that are relayed to the caller."""
--- a/src/swiftstile/gateway/model.py
+++ b/src/swiftstile/gateway/model.py
@@ -1,4 +1,4 @@
-"""What the gateway knows: routes, services, limits and upstreams."""
+"""Data model of the gateway: routes, services, limits and upstreams."""
 
 import collections.abc
 import enum
@@ -24,14 +24,15 @@
     "UpstreamState",
 ]
 
-# Keys of callers are numbers from 0 up to this one, exclusive.
+# Keys of callers are integers from 0 to KEY_SPACE - 1.
 KEY_SPACE = 65536
 
-# Grows with each configuration of the operator, in uneven steps.
+# Increases with each configuration of the operator, not always by one.
 ConfigVersion = typing.NewType("ConfigVersion", int)
-# One upstream server. It may start again under the same id, see `started_ms`.
+# Identifies an upstream server. It may restart under the same id, see
+# `Upstream.started_ms`.
 UpstreamId = typing.NewType("UpstreamId", str)
-# One VM that runs the gateway.
+# Identifies a VM that runs the gateway.
 NodeId = typing.NewType("NodeId", str)
 
 
@@ -40,7 +41,7 @@
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
-    # Runs once, and its body is large.
+    # Must not run more than once, and has a large body.
     ONCE_LARGE = "once-large"
 
 
@@ -52,25 +53,25 @@
 
 
 class Share(msgspec.Struct, frozen=True):
-    """One of the services a route's requests are spread over."""
+    """One of the services among which a route's requests are divided."""
 
     service: ids.ServiceName
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where the requests of one host and path prefix go.
+    """Routing of the requests for one host and path prefix.
 
     Attributes:
-        name: The operator's name for it.
+        name: Its name in the operator's configuration.
         host: Host of the request, lower case, without port.
-        prefix: Start of the path, from slash to slash.
+        prefix: Prefix of the path, starting and ending with a slash.
         repeatability: Whether a request may run more than once.
         timeout_s: Longest time to keep a caller waiting.
-        objective_s: Time within which an answer is of full use.
-        priority: Rank; 0 is the most urgent.
+        objective_s: Latency objective, within which an answer has full value.
+        priority: Priority; 0 is the most urgent.
         shares: Services and weights; never empty.
-        max_attempts: Most upstreams that one request may be sent to.
+        max_attempts: Maximum number of upstreams that a request is sent to.
     """
 
     name: str
@@ -85,15 +86,16 @@
 
 
 class HostRoutes(msgspec.Struct, frozen=True):
-    """The routes of one host, found by the start of a path.
+    """The routes of one host, indexed by path prefix.
 
-    A look-up costs one step for each length of a prefix, neither for each route
-    nor for each slash of the path, which a caller chooses.
+    A lookup takes one step per distinct prefix length. Its cost depends neither
+    on the number of routes nor on the number of slashes in the path, which the
+    caller controls.
 
     Attributes:
-        routes: All of them, in the operator's order.
+        routes: All routes, in the operator's order.
         by_prefix: The first route of each prefix.
-        lengths: Lengths of the prefixes in characters, longest first.
+        lengths: Distinct prefix lengths in characters, longest first.
     """
 
     routes: tuple[Route, ...]
@@ -102,7 +104,7 @@
 
     @classmethod
     def of(cls, routes: collections.abc.Iterable[Route]) -> typing.Self:
-        """Returns the routes of one host, indexed."""
+        """Returns an index of the routes of one host."""
         routes = tuple(routes)
         by_prefix: dict[str, Route] = {}
         for route in routes:
@@ -120,17 +122,17 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A group of upstreams that do the same work.
+    """A group of interchangeable upstreams.
 
     Attributes:
-        name: The operator's name for it.
+        name: Its name in the operator's configuration.
         health_path: Path of the health check.
         max_connections: Connections an upstream accepts from all VMs together.
         is_keyed: Whether an upstream serves only the keys granted to it.
-        warm_s: How long a key is slow that moved without a hand-over.
-        cold_start_s: How long an upstream is cold once it started.
-        cold_per_s: Requests/s that a cold one bears from all VMs together; 0
-            if no limit is known.
+        warm_s: How long a key is slow after a move without a hand-over.
+        cold_start_s: How long an upstream is cold after its start.
+        cold_per_s: Requests/s that a cold upstream can take from all VMs
+            together; 0 if no limit is known.
     """
 
     name: ids.ServiceName
@@ -143,7 +145,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of callers' requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 64 << 20
@@ -166,19 +168,19 @@
 
 
 class Upstream(msgspec.Struct, frozen=True):
-    """An upstream as it registered itself.
+    """The registration of an upstream.
 
     Attributes:
         id: Its id.
-        service: What it serves.
+        service: Its service.
         address: `host:port`.
-        failure_domain: Where it runs.
-        slots: Requests it works on at the same time.
-        state: Ready, or leaving.
-        cold_s: How much longer it is slow after its start, when registered.
-        started_ms: When it started, by its own time of day in milliseconds
-            since the Unix epoch; 0 if it doesn't say. Only tells one life from
-            another: one that started again holds and knows nothing of before.
+        failure_domain: Its failure domain.
+        slots: Requests that it serves at the same time.
+        state: Ready or draining.
+        cold_s: Remaining cold time after its start, when it registered.
+        started_ms: Start time by its own clock, in milliseconds since the Unix
+            epoch; 0 if unknown. Only used to detect restarts: a restarted
+            upstream holds no keys and no state from before.
     """
 
     id: UpstreamId
@@ -191,6 +193,6 @@
     started_ms: int = 0
 
     def has_restarted_since(self, started_ms: int) -> bool:
-        """Whether it started again since it told another time of its start."""
+        """Whether it restarted since it registered with `started_ms`."""
         are_known = started_ms and self.started_ms
         return bool(are_known) and self.started_ms != started_ms
--- a/src/swiftstile/gateway/settings.py
+++ b/src/swiftstile/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway process, read from an INI file and checked."""
+"""Settings of a gateway process: reads and validates an INI file."""
 
 import pathlib
 import re
@@ -21,18 +21,18 @@
 
 
 class NodeSettings(msgspec.Struct, frozen=True):
-    """[vm]: what this VM is and where it listens.
+    """Section [vm]: identity and addresses of this VM.
 
     Attributes:
         id: Name of the VM.
-        failure_domain: Where it runs.
+        failure_domain: Its failure domain.
         listen: `host:port` for callers.
-        ready: `host:port` of the page that the balancer asks.
-        peers: `host:port` of datagrams of other VMs.
+        ready: `host:port` of the readiness page for the load balancer.
+        peers: `host:port` for datagrams from other VMs.
         metrics: `host:port` of the metrics endpoint; empty for none.
-        seeds: `host:port` of VMs that may be asked for rows while the store
-            is away. Only the hosts count: the port is that of `peers`.
-        link_mbps: Bandwidth of its link, in Mbit/s; 0 if it isn't known.
+        seeds: `host:port` of VMs that may be asked for rows while the store is
+            unavailable. Only the hosts are used: the port is that of `peers`.
+        link_mbps: Bandwidth of its link, in Mbit/s; 0 if unknown.
     """
 
     id: model.NodeId
@@ -46,11 +46,11 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True):
-    """[store]: the platform's store.
+    """Section [store]: the platform's store.
 
     Attributes:
         address: `host:port`.
-        row_bytes: Longest value of a row, in bytes.
+        row_bytes: Maximum length of a row's value, in bytes.
     """
 
     address: str
@@ -58,14 +58,14 @@
 
 
 class BoundSettings(msgspec.Struct, frozen=True):
-    """[bounds]: what the platform expects, as times with their unit.
+    """Section [bounds]: requirements of the platform; times have a unit.
 
     Attributes:
-        drain: A leaving upstream gets no request later than this.
-        grace: From the order to stop until the process is killed.
-        retry_ratio: Repeats allowed for each request.
-        retry_allowance: Repeats allowed besides, of all VMs together.
-        retry_window: Length of the window in which repeats are counted.
+        drain: Time after which a leaving upstream must get no requests.
+        grace: Time from the stop signal until the process is killed.
+        retry_ratio: Retries allowed per request.
+        retry_allowance: Additional retries per window, for all VMs together.
+        retry_window: Length of the window in which retries are counted.
     """
 
     drain: str = "2000ms"
@@ -98,7 +98,7 @@
     ("vm", "metrics"),
     ("store", "address"),
 )
-# A template of the platform leaves these empty where a field is missing.
+# The platform's settings template leaves these empty if a field is missing.
 _NON_EMPTY = (
     ("vm", "id"),
     ("vm", "failure_domain"),
@@ -113,10 +113,10 @@
 
 
 def parse_seconds(text: str) -> float:
-    """Returns a time such as `1500ms` or `2.5s`, in seconds.
+    """Returns a duration such as `1500ms` or `2.5s`, in seconds.
 
     Raises:
-        ValueError: It has another form.
+        ValueError: The text isn't a duration.
     """
     match = _DURATION.fullmatch(text)
     if match is None:
@@ -125,10 +125,10 @@
 
 
 def load(path: pathlib.Path) -> GatewaySettings:
-    """Reads a settings file.
+    """Reads and validates a settings file.
 
     Raises:
-        SettingsError: Names the file and every fault in it.
+        SettingsError: Lists all faults in the file.
     """
     sections, faults = ini.to_sections(ini.read(path), _SECTIONS, _REQUIRED)
     faults += _find_faults(sections)
