--- a/tests/many_vms.py
+++ b/tests/many_vms.py
@@ -128,14 +128,16 @@
         domains = len(self._domains)
         is_reader = number // domains < _READERS
         near = self._size.vms // domains
-        words = {n: reports.TableWord(1, 0.1) for n in self.daemon._followers}
+        table_words = {
+            n: reports.TableWord(1, 0.1) for n in self.daemon._followers
+        }
         own = self._domains[number % domains]
         return builders.report(
             self._row(number),
             is_leader=number == _LEADER,
             leader_version=_LEADER_VERSION,
             versions={builders.LOOKUPS: _MAP_VERSION},
-            tables=words if is_reader else {},
+            tables=table_words if is_reader else {},
             is_reader=is_reader,
             near_heard=near,
             far_heard={name: near for name in self._domains if name != own},
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -36,7 +36,7 @@
     return load_player.Player(load).play()
 
 
-def _most_to_a_cold_one(result: load_player.Result) -> int:
+def _max_rate_at_a_cold_upstream(result: load_player.Result) -> int:
     return max(
         result.most_in_a_second(f"u-{number}", _COLD_S)
         for number in range(_LOAD.cold_upstreams)
@@ -44,14 +44,14 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_all_vms_together_stay_within_what_a_cold_upstream_bears(seed):
+def test_all_vms_together_stay_within_the_limit_of_a_cold_upstream(seed):
     result = _play(cold_per_s=_PER_S, seed=seed)
-    assert 0 < _most_to_a_cold_one(result) <= _PER_S
+    assert 0 < _max_rate_at_a_cold_upstream(result) <= _PER_S
     # The load is one that breaks the bound otherwise.
-    assert _most_to_a_cold_one(_play(seed=seed)) > _ALLOWED
+    assert _max_rate_at_a_cold_upstream(_play(seed=seed)) > _ALLOWED
 
 
-def test_callers_lose_little_by_it():
+def test_most_requests_are_in_time_despite_the_limit():
     # Two thirds of the upstreams are warm and bear all of the load.
     result = _play(cold_per_s=_PER_S, per_s=150.0)
     assert result.share_in_time > 0.95
@@ -82,7 +82,7 @@
     ]
 
 
-def test_one_vm_of_its_domain_sends_and_after_that_all_do():
+def test_one_vm_of_the_domain_sends_until_the_upstream_is_warm():
     book, target = _cold()
     assert len(_senders(target, book)) == 1
     away = _limits(book, "vm-away", domain=builders.AWAY)
@@ -91,7 +91,7 @@
     assert not away.is_limited(target, _COLD_S)
 
 
-def _most_in_a_second(vms: int, per_s: float) -> int:
+def _max_sends_in_a_second(vms: int, per_s: float) -> int:
     """Returns what VMs send that each take themselves for the only sender."""
     book, _ = _cold()
     sends = []
@@ -112,15 +112,15 @@
 
 
 @pytest.mark.parametrize("per_s", [0.5, 1.0, 2.0, 5.9, 10.0, 40.0, 200.0])
-def test_two_that_disagree_stay_within_the_allowance(per_s):
-    assert _most_in_a_second(2, per_s) <= 1.5 * per_s + 8
+def test_two_concurrent_senders_stay_within_the_allowance(per_s):
+    assert _max_sends_in_a_second(2, per_s) <= 1.5 * per_s + 8
 
 
-def test_so_do_three_at_a_low_rate():
-    assert _most_in_a_second(3, _PER_S) <= _ALLOWED
+def test_three_concurrent_senders_stay_within_it_at_a_low_rate():
+    assert _max_sends_in_a_second(3, _PER_S) <= _ALLOWED
 
 
-def test_where_its_domain_has_no_vm_one_of_all_sends():
+def test_a_vm_of_another_domain_sends_if_the_own_domain_has_none():
     book = builders.book(
         builders.upstream("u-1", cold_s=_COLD_S, failure_domain="third")
     )
@@ -148,7 +148,7 @@
     assert limits.may_send(target, 0.1)
 
 
-def test_one_that_says_that_it_is_cold_again_is_limited_again():
+def test_an_upstream_that_reports_cold_again_is_limited_again():
     book, target = _cold()
     limits = _limits(book, "vm-1")
     assert not limits.is_limited(target, 10.0)
@@ -160,7 +160,7 @@
     assert not limits.is_limited(target, 12.0)
 
 
-def test_upstreams_that_are_taken_back_are_taken_for_cold():
+def test_upstreams_count_as_cold_after_an_evacuation():
     book = builders.book(builders.upstream("u-1"))
     limits = _limits(book, "vm-1")
     book.evacuate(builders.HOME, 0.0)
@@ -170,7 +170,7 @@
     assert not limits.is_limited(target, 20.0 + _COLD_S)
 
 
-class _Owned:
+class _ColdOwner:
     """A cold upstream that owns the key of each request, seen by one VM."""
 
     def __init__(self, is_sender: bool):
@@ -189,28 +189,28 @@
 
 
 def test_requests_for_a_cold_owner_are_spaced():
-    owned = _Owned(is_sender=True)
-    assert owned.offer(0.1) is owned.target
-    assert owned.offer(0.1) is None
-    assert owned.decisions.pump(0.2) == ([], [])
+    cold_owner = _ColdOwner(is_sender=True)
+    assert cold_owner.offer(0.1) is cold_owner.target
+    assert cold_owner.offer(0.1) is None
+    assert cold_owner.decisions.pump(0.2) == ([], [])
     spaced_at = 0.1 + 1 / (coldstart.RATE_FRACTION * _PER_S)
-    assigned, _ = owned.decisions.pump(spaced_at)
+    assigned, _ = cold_owner.decisions.pump(spaced_at)
     assert len(assigned) == 1
 
 
 def test_a_vm_that_cannot_ask_the_sender_sends_nothing_to_a_cold_owner():
-    owned = _Owned(is_sender=False)
+    cold_owner = _ColdOwner(is_sender=False)
     # It could be served once the owner is warm.
-    assert owned.offer(0.1, timeout_s=9.0) is None
-    assert owned.decisions.pump(_COLD_S - 0.1) == ([], [])
-    assigned, _ = owned.decisions.pump(_COLD_S)
+    assert cold_owner.offer(0.1, timeout_s=9.0) is None
+    assert cold_owner.decisions.pump(_COLD_S - 0.1) == ([], [])
+    assigned, _ = cold_owner.decisions.pump(_COLD_S)
     assert len(assigned) == 1
     # One that can't wait so long is refused at once.
-    refused = _Owned(is_sender=False).offer(0.1, timeout_s=1.0)
+    refused = _ColdOwner(is_sender=False).offer(0.1, timeout_s=1.0)
     assert isinstance(refused, admission.Overload)
 
 
-class _Plan:
+class _PlanSetup:
     """A cold upstream and a warm one that may own keys."""
 
     def __init__(self, *cold: bool):
@@ -233,16 +233,16 @@
 
 
 def test_a_cold_upstream_gets_no_keys_until_it_is_warm():
-    plan = _Plan(True, False).plan
+    plan = _PlanSetup(True, False).plan
     assert set(plan.weights(0.1)) == {"u-2"}
     assert set(plan.weights(_COLD_S)) == {"u-1", "u-2"}
 
 
-def test_one_that_owns_keys_keeps_them():
-    plan = _Plan(True, False).plan
+def test_a_cold_upstream_keeps_the_keys_that_it_owns():
+    plan = _PlanSetup(True, False).plan
     assert set(plan.weights(0.1, {"u-1": [1]})) == {"u-1", "u-2"}
 
 
-def test_where_all_are_cold_they_get_keys_all_the_same():
-    plan = _Plan(True, True).plan
+def test_cold_upstreams_get_keys_if_all_are_cold():
+    plan = _PlanSetup(True, True).plan
     assert set(plan.weights(0.1)) == {"u-1", "u-2"}
--- a/tests/unit/test_gateway_domain_search.py
+++ b/tests/unit/test_gateway_domain_search.py
@@ -28,7 +28,7 @@
     return search.plan(waiter, _group(*domains), now)
 
 
-def test_home_is_asked_first_and_last():
+def test_the_local_domain_is_tried_first_and_last():
     search = domain_search.DomainSearch(builders.HOME)
     steps = _plan(search, builders.HOME, *_OTHERS)
     assert [step.domain for step in steps[:: len(steps) - 1]] == [
@@ -40,7 +40,7 @@
     assert steps[-1].max_wait_s is None
 
 
-def test_a_wait_at_home_is_worth_what_the_way_elsewhere_costs():
+def test_the_local_wait_is_limited_by_the_cost_of_another_domain():
     search = domain_search.DomainSearch(builders.HOME)
     small = _plan(search, builders.HOME, "north", objective_s=1.0)[0]
     large = _plan(
@@ -54,7 +54,7 @@
     assert large.max_wait_s == admission.OTHER_DOMAIN_LARGE
 
 
-def test_a_domain_that_was_full_is_passed_over_for_a_moment():
+def test_a_full_domain_is_skipped_for_a_short_time():
     search = domain_search.DomainSearch(builders.HOME)
     north = domain_search.SearchStep("north", 0.0)
     search.note_refused(builders.LOOKUPS, north, _NOW)
@@ -64,7 +64,7 @@
     assert len(_plan(search, builders.HOME, *_OTHERS, now=later)) == 4
 
 
-def test_with_all_others_full_home_is_asked_once():
+def test_only_the_local_domain_is_tried_if_all_others_are_full():
     search = domain_search.DomainSearch(builders.HOME)
     search.note_refused(
         builders.LOOKUPS, domain_search.SearchStep("north", 0.0), _NOW
@@ -73,7 +73,7 @@
     assert steps == [domain_search.SearchStep(builders.HOME, None)]
 
 
-def test_without_upstreams_at_home_one_of_the_others_is_waited_for():
+def test_a_request_waits_in_another_domain_without_local_upstreams():
     search = domain_search.DomainSearch(builders.HOME)
     steps = _plan(search, *_OTHERS)
     assert {step.domain for step in steps} == set(_OTHERS)
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -18,12 +18,12 @@
 from tests import opcode_counter
 
 # Of what a steady count may miss straight growth, for what is done once.
-_LEEWAY = 1.2
+_TOLERANCE = 1.2
 # Instructions for one more VM of the own domain.
-_NEAR_STEPS = 35
+_OPCODES_PER_NEAR_VM = 35
 
 
-class _StandingTask:
+class _IdleTask:
     """The task that renews an upstream's grants, while nothing is due."""
 
     def done(self) -> bool:
@@ -35,15 +35,15 @@
 
 @pytest.fixture(name="sites")
 def _sites(monkeypatch):
-    def stand_in(coroutine):
+    def idle_task(coroutine):
         coroutine.close()
-        return _StandingTask()
+        return _IdleTask()
 
-    monkeypatch.setattr(asyncio, "create_task", stand_in)
+    monkeypatch.setattr(asyncio, "create_task", idle_task)
     return [many_vms.LargeSiteVm(size, monkeypatch) for size in many_vms.SIZES]
 
 
-def _steps(sites, call) -> list[int]:
+def _opcodes(sites, call) -> list[int]:
     """Returns what a call takes at each size, once it was done before."""
     for site in sites:
         call(site)
@@ -52,24 +52,24 @@
     ]
 
 
-def _grow_with_near_vms_at_most(counts: list[int], far_steps: int) -> None:
+def _assert_growth_with_near_vms(counts: list[int], far_opcodes: int) -> None:
     """Checks that VMs of other domains cost no more than so much each."""
     first = many_vms.SIZES[0]
     for count, size in zip(counts, many_vms.SIZES, strict=True):
         near = size.vms // size.domains - first.vms // first.domains
         far = size.vms - first.vms - near
-        allowed = counts[0] + _NEAR_STEPS * near + far_steps * far
-        assert count <= _LEEWAY * allowed, counts
+        allowed = counts[0] + _OPCODES_PER_NEAR_VM * near + far_opcodes * far
+        assert count <= _TOLERANCE * allowed, counts
 
 
-def _grow_with_vms_at_most(counts: list[int]) -> None:
+def _assert_growth_with_vms(counts: list[int]) -> None:
     """Checks that a count grows no faster than the VMs do."""
     first = many_vms.SIZES[0].vms
     for count, size in zip(counts, many_vms.SIZES, strict=True):
-        assert count <= _LEEWAY * counts[0] * size.vms / first, counts
+        assert count <= _TOLERANCE * counts[0] * size.vms / first, counts
 
 
-def test_sharing_upstreams_out_again_costs_no_more_for_each_vm(sites):
+def test_cost_of_dividing_upstreams_grows_at_most_linearly(sites):
     """Callers at 195 VMs were served late, by processes that were busy.
 
     Each VM worked out seven times a second, and at each change of a map, which
@@ -78,13 +78,13 @@
     each time, 4% of a core (profile of one VM without a network); at 12 VMs it
     is 0.1 ms.
     """
-    _grow_with_vms_at_most(
-        _steps(sites, lambda site: site.daemon._renewing._share_out(site.now))
+    _assert_growth_with_vms(
+        _opcodes(sites, lambda site: site.daemon._renewing._share_out(site.now))
     )
 
 
 @pytest.mark.parametrize(
-    ("far_steps", "ask"),
+    ("far_opcodes", "query"),
     [
         (10, lambda daemon, now: daemon._peers.circulation.to_tell(now)),
         (5, lambda daemon, now: daemon._peers.circulation.leaders()),
@@ -99,17 +99,17 @@
     ],
     ids=["to-tell", "leaders", "near-heard", "reachable", "tables"],
 )
-def test_what_is_asked_of_near_vms_hardly_grows_with_far_ones(
-    sites, ask, far_steps
+def test_cost_of_near_vm_queries_hardly_grows_with_far_vms(
+    sites, query, far_opcodes
 ):
     # Each of these went through all VMs, most with a call for each, 20 to 60
     # times a second.
-    _grow_with_near_vms_at_most(
-        _steps(sites, lambda site: ask(site.daemon, site.now)), far_steps
+    _assert_growth_with_near_vms(
+        _opcodes(sites, lambda site: query(site.daemon, site.now)), far_opcodes
     )
 
 
-def test_what_changes_is_shared_out_anew(sites):
+def test_the_cached_division_of_upstreams_follows_changes(sites):
     # What is remembered must not outlive what it was worked out from.
     site = sites[0]
     renewing, peers = site.daemon._renewing, site.daemon._peers
@@ -152,7 +152,7 @@
     return queue
 
 
-def test_a_look_at_the_queue_goes_through_the_upstreams_once(sites):
+def test_a_scan_of_the_queue_evaluates_the_upstreams_once(sites):
     # Fifty times a second each request that waited for a service went through
     # all of its upstreams: 20 of them, with 72 upstreams, took a quarter of a
     # core.
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("is_compared", [True, False])
-def test_speeds_are_not_added_up_anew_for_each_vm_that_told(is_compared):
+def test_cost_of_reading_speeds_does_not_grow_with_vms(is_compared):
     # The leader added up what 195 VMs told of 60 upstreams each, twice for each
     # keyed service and 20 times a second.
     names = [f"u-{number}" for number in range(60)]
@@ -176,18 +176,18 @@
         for number in range(size.vms):
             book.receive(f"vm-{number}", dict.fromkeys(names, (9, 90)), 50.0)
 
-        def ask(now: float, of=book):
+        def query(now: float, of=book):
             return (
                 of.placement_ratios(names, now)
                 if is_compared
                 else of.ratios(now)
             )
 
-        ask(50.0)
+        query(50.0)
         counts.append(
-            opcode_counter.count_opcodes(lambda again=ask: again(50.1))
+            opcode_counter.count_opcodes(lambda again=query: again(50.1))
         )
-    assert max(counts) <= _LEEWAY * min(counts), counts
+    assert max(counts) <= _TOLERANCE * min(counts), counts
 
 
 class _Network:
@@ -198,11 +198,11 @@
 
     def sendto(self, data: bytes, address) -> None:
         report = msgspec.msgpack.decode(data[2:], type=reports.Report)
-        told = msgspec.structs.replace(report, run="")
-        self.sent.append((data[:2], address, told))
+        report = msgspec.structs.replace(report, run="")
+        self.sent.append((data[:2], address, report))
 
 
-def _told_in_a_while(site, is_always_whole: bool) -> tuple[list, int]:
+def _reports_of_a_busy_vm(site, is_always_whole: bool) -> tuple[list, int]:
     """Returns what a busy VM sent, and how many of its reports were whole."""
     daemon, whole = site.daemon, 0
     peers = daemon._peers
@@ -223,18 +223,18 @@
 
 
 @pytest.mark.parametrize("size", many_vms.SIZES)
-def test_a_report_holds_what_only_its_domain_is_told_when_it_goes_there(
+def test_content_for_the_own_domain_is_only_built_for_its_reports(
     size, monkeypatch
 ):
     # At 200 VMs a report was made 20 times a second and sent to the own domain
     # twice; all the while the requests at each upstream were counted.
     ticks, start = 160, clocks.monotonic()
-    told = []
+    results = []
     for is_always_whole in (True, False):
         site = many_vms.LargeSiteVm(size, monkeypatch)
         site.now = start
-        told.append(_told_in_a_while(site, is_always_whole))
-    (expected, _), (sent, whole) = told
+        results.append(_reports_of_a_busy_vm(site, is_always_whole))
+    (expected, _), (sent, whole) = results
     assert expected
     assert sent == expected
     if size.vms >= 200:
--- a/tests/unit/test_gateway_measurements.py
+++ b/tests/unit/test_gateway_measurements.py
@@ -48,10 +48,10 @@
 
     def _add(self, name, port, is_leader=False, **changes):
         row = builders.node_row(name, address=f"127.0.0.1:{port}", **changes)
-        told = builders.report(row, is_leader=is_leader)
-        self.peers.by_node[row.node] = builders.peer(row, told, 1e9)
+        report = builders.report(row, is_leader=is_leader)
+        self.peers.by_node[row.node] = builders.peer(row, report, 1e9)
 
-    def play(self, for_s: float) -> None:
+    def run(self, for_s: float) -> None:
         """Answers and requests come all the time; a report at each tick."""
         end = self.now + for_s
         while self.now < end:
@@ -63,38 +63,38 @@
             report = builders.report(self.peers.me, sequence, local=busy)
             self.peers._send(report)
 
-    def told(self, port: int, what: str) -> int:
+    def count_with(self, port: int, what: str) -> int:
         """Returns how many reports with measures of a sort were sent."""
         sent = self.network.by_address[port]
         return sum(bool(getattr(report, what)) for report in sent)
 
 
 @pytest.mark.parametrize("port", [_Vm.NEAR, _Vm.LEADER])
-def test_speeds_and_heat_come_at_their_pace(monkeypatch, port):
+def test_speeds_and_key_loads_are_sent_at_their_interval(monkeypatch, port):
     vm = _Vm(monkeypatch)
-    vm.play(for_s=8.0)
+    vm.run(for_s=8.0)
     # The leader of another domain gets a report each 0.35 s, so a pace of
     # 0.8 s becomes 1.05 s there.
-    assert 7 <= vm.told(port, "speeds") <= 11
-    assert 20 <= vm.told(port, "heat") <= 28
+    assert 7 <= vm.count_with(port, "speeds") <= 11
+    assert 20 <= vm.count_with(port, "heat") <= 28
 
 
-def test_other_vms_of_other_domains_are_spared(monkeypatch):
+def test_other_vms_of_other_domains_get_no_measurements(monkeypatch):
     vm = _Vm(monkeypatch)
-    vm.play(for_s=8.0)
-    assert vm.told(vm.OTHER, "speeds") == 0
-    assert vm.told(vm.OTHER, "heat") == 0
+    vm.run(for_s=8.0)
+    assert vm.count_with(vm.OTHER, "speeds") == 0
+    assert vm.count_with(vm.OTHER, "heat") == 0
 
 
-def test_where_vms_are_many_speeds_are_told_less_often():
-    book = speeds.SpeedTable()
-    reporter = measurements.MeasurementReporter(book, heat.HeatBook())
+def test_speeds_are_sent_less_often_with_many_vms():
+    table = speeds.SpeedTable()
+    reporter = measurements.MeasurementReporter(table, heat.HeatBook())
     report = builders.report(builders.node_row("vm-0"))
     last_sent = measurements.LastSent()
     count = 0
     for tick in range(600):
         now = 100.0 + tick * 0.1
-        book.add_sample(_UPSTREAM, 1.0, now)
+        table.add_sample(_UPSTREAM, 1.0, now)
         count += bool(
             reporter.add_due(report, last_sent, vms=80, now=now).speeds
         )
--- a/tests/unit/test_gateway_permits.py
+++ b/tests/unit/test_gateway_permits.py
@@ -64,7 +64,7 @@
             address=f"127.0.0.1:{port}",
         )
         network.by_address["127.0.0.1", port] = self
-        self.book = builders.book(
+        self.targets = builders.book(
             *(
                 builders.upstream(
                     f"u-{i}", slots=_SLOTS, address=f"10.0.0.{i}:1"
@@ -79,15 +79,17 @@
         # Requests that were decided on here.
         self.demand: list[admission.Waiter] = []
         self.meters = metrics.Meters()
-        self.limits = coldstart.ColdLimits(self.book, self.peers, lambda: True)
+        self.limits = coldstart.ColdLimits(
+            self.targets, self.peers, lambda: True
+        )
         self.gate = gate_lib.Gate(
-            admission.Admission(self.book, domain, 2.0, self.limits),
+            admission.Admission(self.targets, domain, 2.0, self.limits),
             self.demand.append,
         )
         self.arbiter = arbiter_lib.Arbiter(
             self.peers,
             self.gate,
-            self.book,
+            self.targets,
             lambda: self.is_leaving,
             self.meters,
         )
@@ -95,18 +97,18 @@
             self.peers,
             self.gate,
             self.arbiter,
-            self.book,
+            self.targets,
             self.meters,
             self.limits,
         )
 
-    def cool(self, cold_s: float, per_s: float) -> None:
+    def make_cold(self, cold_s: float, per_s: float) -> None:
         """An upstream is cold, and bears little meanwhile."""
         service = builders.service(cold_per_s=per_s)
         self.limits.set_services({builders.LOOKUPS: service})
-        self.book.by_id["u-1"].extend_cold(clocks.monotonic() + cold_s)
+        self.targets.by_id["u-1"].extend_cold(clocks.monotonic() + cold_s)
 
-    def hears(self, other: "_Vm") -> None:
+    def learn_of(self, other: "_Vm") -> None:
         now = clocks.monotonic()
         self.peers.apply(other.row, other.row.node, now)
         peer = self.peers.by_node[other.row.node]
@@ -128,7 +130,7 @@
         self.name = name
 
     def target(self, now):
-        return self._vm.book.by_id[self.name]
+        return self._vm.targets.by_id[self.name]
 
     def ready_in_s(self, now):
         return 0.0
@@ -146,7 +148,7 @@
         for vm in vms:
             for other in vms:
                 if other is not vm:
-                    vm.hears(other)
+                    vm.learn_of(other)
         tasks = [
             asyncio.create_task(run)
             for vm in vms
@@ -167,7 +169,7 @@
         await asyncio.sleep(0.001)
 
 
-def _is(kind: int):
+def _is_kind(kind: int):
     """Returns a test for datagrams of one kind, by their tag."""
     return lambda data, to: data[:1] == b"p" and data[2] == kind
 
@@ -175,12 +177,12 @@
 _REQUEST, _REPLY, _RELEASE = 1, 2, 3
 
 
-def test_the_arbiter_counts_what_it_permits_until_it_ends():
+def test_the_arbiter_counts_granted_permits_until_their_release():
     async def scenario(_network, arbiter, far):
         waiter = far.waiter()
         target = await far.permits.acquire(waiter)
-        assert target is far.book.by_id["u-1"]
-        counted = arbiter.book.by_id["u-1"]
+        assert target is far.targets.by_id["u-1"]
+        counted = arbiter.targets.by_id["u-1"]
         assert counted.in_flight == 1
         # The other VM doesn't tell of it, or it would count twice.
         assert target.in_flight - target.permitted == 0
@@ -193,8 +195,8 @@
 
 def test_requests_of_all_vms_wait_in_one_queue():
     async def scenario(_network, arbiter, far, farther):
-        room = _SLOTS + admission.QUEUE_AHEAD
-        held = [far.waiter() for _ in range(room)]
+        capacity = _SLOTS + admission.QUEUE_AHEAD
+        held = [far.waiter() for _ in range(capacity)]
         for waiter in held:
             await far.permits.acquire(waiter)
         late = asyncio.create_task(farther.permits.acquire(farther.waiter()))
@@ -202,10 +204,10 @@
         urgent = arbiter.waiter(priority=0)
         first = asyncio.create_task(arbiter.permits.acquire(urgent))
         await _until(lambda: len(arbiter.gate.decisions) == 2)
-        far.permits.release(held[0], far.book.by_id["u-1"])
+        far.permits.release(held[0], far.targets.by_id["u-1"])
         await first
         assert not late.done()
-        far.permits.release(held[1], far.book.by_id["u-1"])
+        far.permits.release(held[1], far.targets.by_id["u-1"])
         await late
 
     _run(scenario, far=2)
@@ -217,7 +219,7 @@
         for vm in others:
             waiter = vm.waiter()
             await vm.permits.acquire(waiter)
-            vm.permits.release(waiter, vm.book.by_id["u-1"])
+            vm.permits.release(waiter, vm.targets.by_id["u-1"])
         assert len(arbiter.demand) == len(others)
         assert {waiter.key for waiter in arbiter.demand} == {7}
         assert not any(vm.demand for vm in others)
@@ -233,12 +235,12 @@
 
 def test_the_arbiter_of_a_service_chooses_among_its_upstreams():
     async def scenario(_network, arbiter, far, farther):
-        builders.occupy(arbiter.book.by_id["u-1"], 60, clocks.monotonic())
+        builders.occupy(arbiter.targets.by_id["u-1"], 60, clocks.monotonic())
         for vm in (far, farther):
             waiter = _any_waiter(vm)
             target = await vm.permits.acquire(waiter)
-            assert target is vm.book.by_id["u-2"]
-        counted = arbiter.book.by_id["u-2"]
+            assert target is vm.targets.by_id["u-2"]
+        counted = arbiter.targets.by_id["u-2"]
         assert counted.in_flight == 2
         farther.permits.release(waiter, target)
         await _until(lambda: counted.in_flight == 1)
@@ -246,13 +248,13 @@
     _run(scenario, far=2)
 
 
-def test_the_arbiter_of_a_service_hears_that_an_upstream_failed():
+def test_the_arbiter_of_a_service_learns_that_an_upstream_failed():
     async def scenario(_network, arbiter, far):
         waiter = _any_waiter(far)
         target = await far.permits.acquire(waiter)
         target.note_failure(clocks.monotonic())
         far.permits.release(waiter, target)
-        counted = arbiter.book.by_id[target.id]
+        counted = arbiter.targets.by_id[target.id]
         await _until(lambda: counted.is_penalised(clocks.monotonic()))
         other = await far.permits.acquire(_any_waiter(far))
         assert other is not target
@@ -260,13 +262,13 @@
     _run(scenario)
 
 
-def test_the_arbiter_of_a_service_hears_that_work_takes_longer_somewhere():
+def test_the_arbiter_of_a_service_learns_that_an_upstream_slowed_down():
     async def scenario(_network, arbiter, far):
         waiter = _any_waiter(far)
         target = await far.permits.acquire(waiter)
         target.note_slowdown(3.0, clocks.monotonic())
         far.permits.release(waiter, target)
-        counted = arbiter.book.by_id[target.id]
+        counted = arbiter.targets.by_id[target.id]
         await _until(lambda: counted.slow_factor(clocks.monotonic()) == 3.0)
         other = await far.permits.acquire(_any_waiter(far))
         assert other is not target
@@ -277,7 +279,7 @@
     _run(scenario)
 
 
-def test_an_upstream_that_turned_a_request_away_is_not_chosen_for_it_again():
+def test_an_upstream_that_refused_a_request_is_not_chosen_for_it_again():
     async def scenario(_network, _arbiter, far):
         waiter = _any_waiter(far)
         waiter.excluded.add("u-1")
@@ -289,9 +291,9 @@
     _run(scenario)
 
 
-def test_without_a_slot_anywhere_a_request_is_refused_by_its_domain():
+def test_a_request_is_refused_if_no_upstream_has_a_free_slot():
     async def scenario(_network, arbiter, far):
-        for target in arbiter.book.by_id.values():
+        for target in arbiter.targets.by_id.values():
             builders.occupy(target, 60, clocks.monotonic())
         with pytest.raises(outcomes.RefusedError) as caught:
             await far.permits.acquire(_any_waiter(far))
@@ -300,18 +302,18 @@
     _run(scenario)
 
 
-def test_with_a_silent_arbiter_of_a_service_a_vm_decides_itself():
+def test_a_vm_decides_itself_if_a_services_arbiter_is_unresponsive():
     async def scenario(network, _arbiter, far):
-        network.lose = _is(_REPLY)
+        network.lose = _is_kind(_REPLY)
         target = await far.permits.acquire(_any_waiter(far))
         assert target.in_flight == 1 and target.permitted == 0
 
     _run(scenario)
 
 
-def test_a_refusal_tells_when_to_come_back():
+def test_a_refusal_has_a_retry_time():
     async def scenario(_network, arbiter, far):
-        builders.occupy(arbiter.book.by_id["u-1"], 60, clocks.monotonic())
+        builders.occupy(arbiter.targets.by_id["u-1"], 60, clocks.monotonic())
         with pytest.raises(outcomes.RefusedError) as caught:
             await far.permits.acquire(far.waiter())
         assert caught.value.retry_after_s > 0.5
@@ -321,12 +323,12 @@
 
 
 @pytest.mark.parametrize("kind", [_REQUEST, _REPLY])
-def test_a_lost_datagram_is_made_good_and_nothing_is_counted_twice(kind):
+def test_a_lost_datagram_is_resent_and_nothing_is_counted_twice(kind):
     async def scenario(network, arbiter, far):
         left = [1]
 
         def lose(data, to):
-            if _is(kind)(data, to) and left:
+            if _is_kind(kind)(data, to) and left:
                 left.pop()
                 return True
             return False
@@ -335,50 +337,50 @@
         waiter = far.waiter()
         target = await far.permits.acquire(waiter)
         assert not left
-        assert arbiter.book.by_id["u-1"].in_flight == 1
+        assert arbiter.targets.by_id["u-1"].in_flight == 1
         assert far.meters.permits.get("arbiter-silent") == 0
         far.permits.release(waiter, target)
-        await _until(lambda: arbiter.book.by_id["u-1"].in_flight == 0)
+        await _until(lambda: arbiter.targets.by_id["u-1"].in_flight == 0)
 
     _run(scenario)
 
 
-def test_an_end_that_was_lost_is_told_with_the_next_message():
+def test_a_lost_release_is_repeated_with_the_next_message():
     async def scenario(network, arbiter, far):
         waiter = far.waiter()
         target = await far.permits.acquire(waiter)
-        network.lose = _is(_RELEASE)
+        network.lose = _is_kind(_RELEASE)
         far.permits.release(waiter, target)
         network.lose = lambda data, to: False
-        assert arbiter.book.by_id["u-1"].in_flight == 1
+        assert arbiter.targets.by_id["u-1"].in_flight == 1
         await far.permits.acquire(far.waiter())
-        assert arbiter.book.by_id["u-1"].in_flight == 1
+        assert arbiter.targets.by_id["u-1"].in_flight == 1
 
     _run(scenario)
 
 
-def test_a_permit_of_which_nothing_is_heard_lapses():
+def test_a_permit_without_a_release_expires():
     async def scenario(_network, arbiter, far):
         await far.permits.acquire(far.waiter(timeout_s=0.3))
-        await _until(lambda: arbiter.book.by_id["u-1"].in_flight == 0)
+        await _until(lambda: arbiter.targets.by_id["u-1"].in_flight == 0)
         assert arbiter.meters.permits.get("lapsed") == 1
 
     _run(scenario)
 
 
-def test_the_permits_of_a_vm_that_started_again_end():
+def test_the_permits_of_a_restarted_vm_end():
     async def scenario(_network, arbiter, far):
         await far.permits.acquire(far.waiter())
         row = builders.node_row(far.name, run="again---", domain=builders.AWAY)
         arbiter.peers.apply(row, row.node, clocks.monotonic())
-        await _until(lambda: arbiter.book.by_id["u-1"].in_flight == 0)
+        await _until(lambda: arbiter.targets.by_id["u-1"].in_flight == 0)
 
     _run(scenario)
 
 
-def test_without_an_answer_a_vm_decides_itself_and_soon():
+def test_a_vm_soon_decides_itself_if_an_owners_arbiter_is_unresponsive():
     async def scenario(network, _arbiter, far):
-        network.lose = _is(_REPLY)
+        network.lose = _is_kind(_REPLY)
         began = clocks.monotonic()
         waiter = far.waiter()
         target = await far.permits.acquire(waiter)
@@ -394,38 +396,38 @@
     _run(scenario)
 
 
-def test_a_caller_that_leaves_frees_its_place():
+def test_a_disconnected_caller_leaves_the_queue():
     async def scenario(_network, arbiter, far):
-        builders.occupy(arbiter.book.by_id["u-1"], 3, clocks.monotonic())
+        builders.occupy(arbiter.targets.by_id["u-1"], 3, clocks.monotonic())
         waiting = asyncio.create_task(far.permits.acquire(far.waiter()))
         await _until(lambda: len(arbiter.gate.decisions) == 1)
         waiting.cancel()
         await _until(lambda: len(arbiter.gate.decisions) == 0)
-        assert arbiter.book.by_id["u-1"].waiting == 0
+        assert arbiter.targets.by_id["u-1"].waiting == 0
         assert not arbiter.arbiter._permits
 
     _run(scenario)
 
 
-def test_a_caller_that_leaves_with_its_permit_under_way_frees_the_slot():
+def test_a_caller_that_disconnects_before_its_permit_arrives_frees_the_slot():
     async def scenario(_network, arbiter, far):
         waiting = asyncio.create_task(far.permits.acquire(far.waiter()))
-        await _until(lambda: arbiter.book.by_id["u-1"].in_flight == 1)
+        await _until(lambda: arbiter.targets.by_id["u-1"].in_flight == 1)
         waiting.cancel()
-        await _until(lambda: arbiter.book.by_id["u-1"].in_flight == 0)
+        await _until(lambda: arbiter.targets.by_id["u-1"].in_flight == 0)
 
     _run(scenario)
 
 
-def test_a_key_that_moves_meanwhile_is_asked_for_at_its_new_owner():
+def test_a_permit_is_requested_for_the_new_owner_of_a_moved_key():
     async def scenario(_network, arbiter, far):
-        builders.occupy(arbiter.book.by_id["u-1"], 3, clocks.monotonic())
+        builders.occupy(arbiter.targets.by_id["u-1"], 3, clocks.monotonic())
         waiter = far.waiter()
         waiting = asyncio.create_task(far.permits.acquire(waiter))
         await _until(lambda: len(arbiter.gate.decisions) == 1)
         waiter.owner.name = "u-2"
         assert (await waiting).id == "u-2"
-        assert arbiter.book.by_id["u-2"].in_flight == 1
+        assert arbiter.targets.by_id["u-2"].in_flight == 1
         await _until(lambda: len(arbiter.gate.decisions) == 0)
 
     _run(scenario)
@@ -436,7 +438,7 @@
         now = clocks.monotonic()
 
         def chosen(vm):
-            peer = vm.permits._selector.arbiter_of(vm.book.by_id["u-1"], now)
+            peer = vm.permits._selector.arbiter_of(vm.targets.by_id["u-1"], now)
             return vm.name if peer is None else peer.row.node
 
         names = {chosen(vm) for vm in vms}
@@ -447,14 +449,14 @@
         near[first].is_leaving = True
         for vm in vms:
             if vm is not near[first]:
-                vm.hears(near[first])
+                vm.learn_of(near[first])
         after = {chosen(vm) for vm in vms}
         assert len(after) == 1 and after != names
 
     _run(scenario, near=3, far=3)
 
 
-def test_vms_with_little_bandwidth_are_no_arbiters():
+def test_vms_with_low_bandwidth_are_not_arbiters():
     async def scenario(_network, *vms):
         links = {"vm-0": 10.0, "vm-1": 200.0, "vm-2": 10.0, "vm-3": 200.0}
         for vm in vms:
@@ -464,18 +466,20 @@
         for vm in vms:
             for other in vms:
                 if other is not vm:
-                    vm.hears(other)
+                    vm.learn_of(other)
         now = clocks.monotonic()
         for name in ("u-1", "u-2"):
             for vm in vms:
-                peer = vm.permits._selector.arbiter_of(vm.book.by_id[name], now)
+                peer = vm.permits._selector.arbiter_of(
+                    vm.targets.by_id[name], now
+                )
                 chosen = vm.name if peer is None else peer.row.node
                 assert chosen in ("vm-1", "vm-3")
 
     _run(scenario, near=4, far=2)
 
 
-def test_a_domain_that_is_not_heard_is_not_asked():
+def test_an_unreachable_domain_is_not_asked():
     async def scenario(network, _arbiter, far):
         peer = far.peers.by_node["vm-0"]
         peer.heard_at = clocks.monotonic() - 5
@@ -505,7 +509,7 @@
             granted_at.append(clocks.monotonic())
 
         for vm in vms:
-            vm.cool(60.0, per_s)
+            vm.make_cold(60.0, per_s)
         await asyncio.gather(*map(ask, vms[: _SLOTS + 1]))
         least_s = 0.8 / (coldstart.RATE_FRACTION * per_s)
         for earlier, later in itertools.pairwise(granted_at):
@@ -514,12 +518,12 @@
     _run(scenario, near=2, far=2)
 
 
-def test_without_word_of_its_only_sender_a_cold_owner_gets_nothing():
+def test_a_cold_owner_gets_no_requests_if_its_sender_is_unreachable():
     async def scenario(network, *vms):
         now = clocks.monotonic()
         for vm in vms:
-            vm.cool(60.0, 20.0)
-        target = vms[0].book.by_id["u-1"]
+            vm.make_cold(60.0, 20.0)
+        target = vms[0].targets.by_id["u-1"]
         sender = vms[0].limits.designated_sender(target, now).node
         network.lose = lambda data, to: to == sender
         others = [vm for vm in vms if vm.name != sender]
--- a/tests/unit/test_gateway_settings.py
+++ b/tests/unit/test_gateway_settings.py
@@ -26,7 +26,7 @@
     return settings.load(file)
 
 
-def test_defaults_fill_what_is_left_out(tmp_path):
+def test_defaults_apply_to_missing_options(tmp_path):
     loaded = _load(tmp_path, _GOOD)
     assert settings.parse_seconds(loaded.bounds.grace) == 6.0
     assert loaded.vm.metrics == ""
@@ -43,13 +43,13 @@
         ("id = vm-1", "id = vm-1\nodd = 1", "[vm] odd: unknown option"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path, old, new, problem):
+def test_the_error_names_the_fault(tmp_path, old, new, problem):
     with pytest.raises(errors.SettingsError) as caught:
         _load(tmp_path, _GOOD.replace(old, new))
     assert problem in str(caught.value)
 
 
-def test_all_faults_are_named_at_once(tmp_path):
+def test_the_error_lists_all_faults(tmp_path):
     text = _GOOD.replace("id = vm-1", "id =").replace("127.0.0.1:2", "x")
     with pytest.raises(errors.SettingsError) as caught:
         _load(tmp_path, text)
@@ -57,7 +57,7 @@
     assert "ready: expected" in str(caught.value)
 
 
-def test_the_command_line_checks_a_file(tmp_path, capsys):
+def test_the_command_checks_a_file(tmp_path, capsys):
     file = tmp_path / "gateway.ini"
     file.write_text(_GOOD)
     assert cli.main(["check-gateway", str(file)]) == shared.EXIT_OK
--- a/tests/unit/test_gateway_speeds.py
+++ b/tests/unit/test_gateway_speeds.py
@@ -22,17 +22,17 @@
 )
 
 
-def _added_up(last_by_node, now: float) -> dict[str, float]:
+def _summed_ratios(samples_by_node, now: float) -> dict[str, float]:
     """Returns the ratios by what each VM told last, if that isn't too old."""
     sums: dict[str, tuple[float, float]] = {}
-    for samples, heard in last_by_node.values():
-        if now - heard > speeds.PEER_TTL_S:
+    for samples, received_at in samples_by_node.values():
+        if now - received_at > speeds.PEER_TTL_S:
             continue
-        part = 0.5 ** ((now - heard) / speeds.HALF_LIFE_S)
+        decay = 0.5 ** ((now - received_at) / speeds.HALF_LIFE_S)
         for name, (count, ratio) in samples.items():
             total, weight = sums.get(name, (0.0, 0.0))
-            more = 0.1 * count * part
-            sums[name] = total + more * 0.01 * ratio, weight + more
+            added = 0.1 * count * decay
+            sums[name] = total + added * 0.01 * ratio, weight + added
     prior = speeds.PRIOR_COUNT
     return {
         name: (prior + total) / (prior + weight)
@@ -41,26 +41,26 @@
 
 
 @hypothesis.given(_STEPS)
-def test_sums_that_are_kept_are_those_of_what_was_told(steps):
-    book, last_by_node, now = speeds.SpeedTable(), {}, 1000.0
+def test_incremental_sums_match_a_full_summation(steps):
+    table, samples_by_node, now = speeds.SpeedTable(), {}, 1000.0
     for node, samples, after_s in steps:
         now += after_s
-        book.receive(node, samples, now)
-        last_by_node[node] = (samples, now)
-        expected = _added_up(last_by_node, now)
-        found = book.ratios(now)
+        table.receive(node, samples, now)
+        samples_by_node[node] = (samples, now)
+        expected = _summed_ratios(samples_by_node, now)
+        found = table.ratios(now)
         assert found.keys() == expected.keys()
         for name, ratio in expected.items():
             assert found[name] == pytest.approx(ratio, rel=1e-9)
 
 
-def test_an_upstream_that_nobody_tells_of_any_more_counts_as_unknown():
+def test_an_upstream_without_current_samples_is_unknown():
     # What is left of a sum after taking its parts off is rounding, not an
     # answer: it would make the upstream seem one of mean speed.
-    book = speeds.SpeedTable()
-    book.receive("vm-1", {"u-1": (33, 217)}, 100.0)
-    book.receive("vm-2", {"u-1": (7, 333), "u-2": (70, 120)}, 100.7)
-    book.receive("vm-1", {}, 101.1)
-    book.receive("vm-2", {"u-2": (70, 120)}, 101.3)
-    assert book.ratios(101.3).keys() == {"u-2"}
-    assert book.ratios(101.3 + speeds.PEER_TTL_S + 0.1) == {}
+    table = speeds.SpeedTable()
+    table.receive("vm-1", {"u-1": (33, 217)}, 100.0)
+    table.receive("vm-2", {"u-1": (7, 333), "u-2": (70, 120)}, 100.7)
+    table.receive("vm-1", {}, 101.1)
+    table.receive("vm-2", {"u-2": (70, 120)}, 101.3)
+    assert table.ratios(101.3).keys() == {"u-2"}
+    assert table.ratios(101.3 + speeds.PEER_TTL_S + 0.1) == {}
--- a/tests/unit/test_route_lookup.py
+++ b/tests/unit/test_route_lookup.py
@@ -45,10 +45,10 @@
     _HOSTS,
     _PATHS,
 )
-def test_a_look_up_answers_as_a_scan_of_all_routes(places, host, path):
+def test_a_lookup_matches_a_linear_scan(prefixes, host, path):
     routes = [
         builders.route(name=f"r-{number}", host=of_host, prefix=prefix)
-        for number, (of_host, prefix) in enumerate(places)
+        for number, (of_host, prefix) in enumerate(prefixes)
     ]
     config = builders.config(1, *routes)
     assert config.find(host, path) is _scan(routes, host, path)
@@ -59,7 +59,7 @@
     assert builders.config(1, first, second).find("a.example", "/a/") is first
 
 
-def test_a_look_up_does_not_grow_with_routes_and_slashes():
+def test_the_cost_of_a_lookup_does_not_grow_with_routes_and_slashes():
     """Steps of a look-up: 1470 when each route is compared, 4 by prefix."""
     routes = [
         builders.route(name=f"r-{number}", prefix=f"/area/item-{number}/")
