--- a/src/swiftstile/gateway/interfaces.py
+++ b/src/swiftstile/gateway/interfaces.py
@@ -76,7 +76,7 @@
     async def wait_for_changes(
         self, after: int, wait_s: float
     ) -> Snapshot | None:
-        """Returns rows changed since version `after`; none on a timeout.
+        """Returns rows changed since version `after`; no rows on a timeout.
 
         Args:
             after: Newest known version.
@@ -180,9 +180,9 @@
         keys: KeyRange,
         fence: int,
     ) -> str:
-        """Releases keys; returns a hand-over token for their next owner.
+        """Makes an upstream release keys; returns a hand-over token.
 
-        With the token, the keys aren't slow after the move.
+        With the token, the next owner serves the keys at full speed at once.
 
         Raises:
             PeerUnavailableError: No answer.
--- a/tests/many_vms.py
+++ b/tests/many_vms.py
@@ -1,7 +1,7 @@
-"""One VM of a site with many, as the composition root makes it.
+"""One VM of a large site, as built by the composition root.
 
-It hears the VMs of its own failure domain and the leader, as an ordinary VM
-does where VMs are many. Nothing runs, and the time stands still.
+It has reports from the VMs of its own failure domain and from the leader, like
+an ordinary VM of a large site. No tasks run, and the clock is stopped.
 """
 
 import types
@@ -20,13 +20,13 @@
 
 _LEADER_VERSION, _MAP_VERSION = 7, 5
 _SLOTS = 4096
-# VMs of a domain that are told as its readers.
+# VMs of each domain that report themselves as its readers.
 _READERS = 2
 _LEADER = 1
 
 
 class Size(msgspec.Struct, frozen=True):
-    """How large a site is: VMs, failure domains, and upstreams with keys."""
+    """Size of a site: VMs, failure domains, and upstreams that own keys."""
 
     vms: int
     domains: int
@@ -41,7 +41,7 @@
 
     Attributes:
         daemon: Its daemon.
-        now: The time, on the steady clock.
+        now: The time on the monotonic clock.
     """
 
     def __init__(self, size: Size, monkeypatch):
--- a/tests/opcode_counter.py
+++ b/tests/opcode_counter.py
@@ -1,4 +1,4 @@
-"""Counts the work of a call without a clock: alike on each run and machine."""
+"""Measures the cost of a call reproducibly, by counting interpreter opcodes."""
 
 import collections.abc
 import sys
@@ -7,9 +7,9 @@
 
 
 def count_opcodes(call: collections.abc.Callable[[], object]) -> int:
-    """Returns how many instructions of the interpreter a call takes.
+    """Returns how many interpreter instructions a call executes.
 
-    What built-in functions do inside isn't counted.
+    The work inside built-in functions isn't counted.
     """
     count = 0
 
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -1,8 +1,8 @@
-"""What is sent to upstreams that are cold, by all VMs together.
+"""Tests the limit on requests to cold upstreams from all VMs together.
 
-What was seen: when an evacuated failure domain was taken back, its upstreams
-were cold, all VMs sent there at once, and single upstreams got more requests in
-a second than they bear, since no VM knows what the others are just sending.
+Guards against overload after an evacuation ends: the upstreams are cold, all
+VMs send to them at once, and no VM knows what the others are sending, so single
+upstreams get more requests a second than they can take.
 """
 
 import pytest
@@ -18,7 +18,7 @@
 
 _PER_S = 5.9
 _COLD_S = 3.0
-# What the platform allows in any second.
+# Requests that the platform allows in any one second.
 _ALLOWED = 1.5 * _PER_S + 8
 _NODES = ("vm-1", "vm-2", "vm-3")
 
@@ -47,18 +47,18 @@
 def test_all_vms_together_stay_within_the_limit_of_a_cold_upstream(seed):
     result = _play(cold_per_s=_PER_S, seed=seed)
     assert 0 < _max_rate_at_a_cold_upstream(result) <= _PER_S
-    # The load is one that breaks the bound otherwise.
+    # Without the limit the same load exceeds the bound.
     assert _max_rate_at_a_cold_upstream(_play(seed=seed)) > _ALLOWED
 
 
 def test_most_requests_are_in_time_despite_the_limit():
-    # Two thirds of the upstreams are warm and bear all of the load.
+    # Two thirds of the upstreams are warm and can take the whole load.
     result = _play(cold_per_s=_PER_S, per_s=150.0)
     assert result.share_in_time > 0.95
 
 
 def _limits(book, me: str, domain=builders.HOME, is_registered=True):
-    """Returns the limits of one of three VMs at home and one away."""
+    """Returns the limits of one VM; three VMs are at home and one away."""
     rows = [builders.node_row(name) for name in _NODES]
     rows.append(builders.node_row("vm-away", domain=builders.AWAY))
     own = builders.node_row(me, domain=domain)
@@ -92,11 +92,11 @@
 
 
 def _max_sends_in_a_second(vms: int, per_s: float) -> int:
-    """Returns what VMs send that each take themselves for the only sender."""
+    """Returns the sends of VMs that each consider themselves the sender."""
     book, _ = _cold()
     sends = []
     for number in range(vms):
-        # Each has its own view of the upstream, and is a moment behind.
+        # Each has its own state of the upstream and starts 1 ms later.
         _, target = _cold()
         peers = gossip.Peers(builders.node_row(), lambda *_: None)
         limits = coldstart.ColdLimits(book, peers, lambda: True)
@@ -131,7 +131,7 @@
 
 
 def test_a_vm_that_is_not_registered_sends_nothing():
-    # It knows nobody yet, and would take itself for the only one.
+    # It knows no other VM yet, and would select itself as the sender.
     book, target = _cold()
     assert not any(
         _limits(book, name, is_registered=False).may_send(target, 0.1)
@@ -154,7 +154,7 @@
     assert not limits.is_limited(target, 10.0)
     book.put(builders.upstream("u-1", cold_s=2.0), 10.0)
     assert limits.is_limited(target, 11.9)
-    # What it wrote before may be read after that.
+    # An older registration may be read later and must not shorten the limit.
     book.put(builders.upstream("u-1", cold_s=0.0), 10.5)
     assert limits.is_limited(target, 11.9)
     assert not limits.is_limited(target, 12.0)
@@ -171,7 +171,7 @@
 
 
 class _ColdOwner:
-    """A cold upstream that owns the key of each request, seen by one VM."""
+    """A cold upstream that owns the key of each request, as one VM sees it."""
 
     def __init__(self, is_sender: bool):
         self.book, self.target = _cold()
@@ -200,18 +200,18 @@
 
 def test_a_vm_that_cannot_ask_the_sender_sends_nothing_to_a_cold_owner():
     cold_owner = _ColdOwner(is_sender=False)
-    # It could be served once the owner is warm.
+    # The request can be served once the owner is warm.
     assert cold_owner.offer(0.1, timeout_s=9.0) is None
     assert cold_owner.decisions.pump(_COLD_S - 0.1) == ([], [])
     assigned, _ = cold_owner.decisions.pump(_COLD_S)
     assert len(assigned) == 1
-    # One that can't wait so long is refused at once.
+    # A request that can't wait that long is refused at once.
     refused = _ColdOwner(is_sender=False).offer(0.1, timeout_s=1.0)
     assert isinstance(refused, admission.Overload)
 
 
 class _PlanSetup:
-    """A cold upstream and a warm one that may own keys."""
+    """Upstreams that may own keys; each is cold or warm."""
 
     def __init__(self, *cold: bool):
         self.book = builders.book(
--- a/tests/unit/test_gateway_domain_search.py
+++ b/tests/unit/test_gateway_domain_search.py
@@ -1,4 +1,4 @@
-"""Where requests of services without owners look for a slot."""
+"""Tests the order of domains for requests of services without owners."""
 
 from swiftstile.gateway import admission
 from swiftstile.gateway import domain_search
@@ -35,7 +35,7 @@
         builders.HOME
     ] * 2
     assert {step.domain for step in steps[1:-1]} == set(_OTHERS)
-    # Only a slot that is free at once is worth the way.
+    # Another domain is worth its latency only if a slot is free at once.
     assert [step.max_wait_s for step in steps[1:-1]] == [0.0, 0.0]
     assert steps[-1].max_wait_s is None
 
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -1,7 +1,8 @@
-"""What a VM does again and again, counted at 12, 80 and 200 VMs.
+"""Tests the cost of a VM's periodic work at sites of 12, 80 and 200 VMs.
 
-Counts of instructions, no times. A calm day of 195 VMs took more processor time
-than it may, most of it for work whose result was the same as before.
+The tests count interpreter instructions instead of time. They guard against
+periodic work that repeats unchanged results: with it, an idle site of 195 VMs
+used more processor time than allowed.
 """
 
 import asyncio
@@ -17,14 +18,14 @@
 from tests import many_vms
 from tests import opcode_counter
 
-# Of what a steady count may miss straight growth, for what is done once.
+# Tolerance above linear growth, for one-time work.
 _TOLERANCE = 1.2
-# Instructions for one more VM of the own domain.
+# Allowed instructions per additional VM of the own domain.
 _OPCODES_PER_NEAR_VM = 35
 
 
 class _IdleTask:
-    """The task that renews an upstream's grants, while nothing is due."""
+    """Stands in for a task that renews an upstream's grants, with none due."""
 
     def done(self) -> bool:
         return False
@@ -44,7 +45,7 @@
 
 
 def _opcodes(sites, call) -> list[int]:
-    """Returns what a call takes at each size, once it was done before."""
+    """Returns the instructions of a repeated call at each size of site."""
     for site in sites:
         call(site)
     return [
@@ -53,7 +54,7 @@
 
 
 def _assert_growth_with_near_vms(counts: list[int], far_opcodes: int) -> None:
-    """Checks that VMs of other domains cost no more than so much each."""
+    """Asserts a bound on the cost per VM of other domains."""
     first = many_vms.SIZES[0]
     for count, size in zip(counts, many_vms.SIZES, strict=True):
         near = size.vms // size.domains - first.vms // first.domains
@@ -63,20 +64,20 @@
 
 
 def _assert_growth_with_vms(counts: list[int]) -> None:
-    """Checks that a count grows no faster than the VMs do."""
+    """Asserts that the cost grows at most linearly with the VMs."""
     first = many_vms.SIZES[0].vms
     for count, size in zip(counts, many_vms.SIZES, strict=True):
         assert count <= _TOLERANCE * counts[0] * size.vms / first, counts
 
 
 def test_cost_of_dividing_upstreams_grows_at_most_linearly(sites):
-    """Callers at 195 VMs were served late, by processes that were busy.
+    """Dividing the upstreams must not iterate over all VMs per upstream.
 
-    Each VM worked out seven times a second, and at each change of a map, which
-    of 241 upstreams it looks after: for each of them it went through all VMs,
-    those of other domains included, which it doesn't hear at all. That was 6 ms
-    each time, 4% of a core (profile of one VM without a network); at 12 VMs it
-    is 0.1 ms.
+    Each VM computes which of 241 upstreams it is responsible for seven times a
+    second and at each change of a map. With a pass over all 195 VMs for each
+    upstream, including VMs of other domains from which it gets no reports, this
+    took 6 ms, 4% of a core (profile of one VM without a network); at 12 VMs it
+    takes 0.1 ms. Busy processes then answered callers late.
     """
     _assert_growth_with_vms(
         _opcodes(sites, lambda site: site.daemon._renewing._share_out(site.now))
@@ -102,15 +103,15 @@
 def test_cost_of_near_vm_queries_hardly_grows_with_far_vms(
     sites, query, far_opcodes
 ):
-    # Each of these went through all VMs, most with a call for each, 20 to 60
-    # times a second.
+    # Guards against passes over all VMs: these queries run 20 to 60 times a
+    # second, and most made a call for each VM.
     _assert_growth_with_near_vms(
         _opcodes(sites, lambda site: query(site.daemon, site.now)), far_opcodes
     )
 
 
 def test_the_cached_division_of_upstreams_follows_changes(sites):
-    # What is remembered must not outlive what it was worked out from.
+    # The cached division must be recomputed when its inputs change.
     site = sites[0]
     renewing, peers = site.daemon._renewing, site.daemon._peers
     renewing._share_out(site.now)
@@ -153,9 +154,8 @@
 
 
 def test_a_scan_of_the_queue_evaluates_the_upstreams_once(sites):
-    # Fifty times a second each request that waited for a service went through
-    # all of its upstreams: 20 of them, with 72 upstreams, took a quarter of a
-    # core.
+    # Guards against a pass over all upstreams for each waiting request, 50
+    # times a second: 20 requests with 72 upstreams took a quarter of a core.
     site = sites[-1]
     one = _full_service(site, 1)
     alone = opcode_counter.count_opcodes(lambda: one.pump(site.now))
@@ -167,8 +167,9 @@
 
 @pytest.mark.parametrize("is_compared", [True, False])
 def test_cost_of_reading_speeds_does_not_grow_with_vms(is_compared):
-    # The leader added up what 195 VMs told of 60 upstreams each, twice for each
-    # keyed service and 20 times a second.
+    # Guards against summation at each read: the leader summed the samples of
+    # 195 VMs for 60 upstreams each, twice per keyed service and 20 times a
+    # second.
     names = [f"u-{number}" for number in range(60)]
     counts = []
     for size in many_vms.SIZES:
@@ -191,7 +192,7 @@
 
 
 class _Network:
-    """Keeps what is sent, without what tells one run from another."""
+    """Records sent reports without the run, which differs between VMs."""
 
     def __init__(self):
         self.sent: list[tuple] = []
@@ -203,7 +204,7 @@
 
 
 def _reports_of_a_busy_vm(site, is_always_whole: bool) -> tuple[list, int]:
-    """Returns what a busy VM sent, and how many of its reports were whole."""
+    """Returns the reports that a busy VM sent, and how many were whole."""
     daemon, whole = site.daemon, 0
     peers = daemon._peers
     network = peers._transport = _Network()
@@ -226,8 +227,9 @@
 def test_content_for_the_own_domain_is_only_built_for_its_reports(
     size, monkeypatch
 ):
-    # At 200 VMs a report was made 20 times a second and sent to the own domain
-    # twice; all the while the requests at each upstream were counted.
+    # Guards against unused content: at 200 VMs a report is made 20 times a
+    # second, but sent to the own domain only twice, and the requests at each
+    # upstream were counted for every report.
     ticks, start = 160, clocks.monotonic()
     results = []
     for is_always_whole in (True, False):
--- a/tests/unit/test_gateway_measurements.py
+++ b/tests/unit/test_gateway_measurements.py
@@ -1,4 +1,4 @@
-"""What VMs measured reaches those who need it, however seldom reports go."""
+"""Tests that measurements reach their audiences, however rare reports are."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 class _Network:
-    """Keeps what is sent, by address."""
+    """Records sent reports by port."""
 
     def __init__(self):
         self.by_address = {}
@@ -27,7 +27,7 @@
 
 
 class _Vm:
-    """A VM that has measured, and three that it tells of it."""
+    """A VM with measurements, and three VMs to which it reports."""
 
     NEAR, LEADER, OTHER = 7001, 7002, 7003
 
@@ -52,7 +52,7 @@
         self.peers.by_node[row.node] = builders.peer(row, report, 1e9)
 
     def run(self, for_s: float) -> None:
-        """Answers and requests come all the time; a report at each tick."""
+        """Adds measurements and sends a report at each tick."""
         end = self.now + for_s
         while self.now < end:
             self.now += gossip.NEAR_INTERVAL_S
@@ -64,7 +64,7 @@
             self.peers._send(report)
 
     def count_with(self, port: int, what: str) -> int:
-        """Returns how many reports with measures of a sort were sent."""
+        """Returns how many reports with a kind of measurement were sent."""
         sent = self.network.by_address[port]
         return sum(bool(getattr(report, what)) for report in sent)
 
@@ -73,8 +73,8 @@
 def test_speeds_and_key_loads_are_sent_at_their_interval(monkeypatch, port):
     vm = _Vm(monkeypatch)
     vm.run(for_s=8.0)
-    # The leader of another domain gets a report each 0.35 s, so a pace of
-    # 0.8 s becomes 1.05 s there.
+    # The leader of another domain gets a report every 0.35 s, so an interval
+    # of 0.8 s becomes 1.05 s there.
     assert 7 <= vm.count_with(port, "speeds") <= 11
     assert 20 <= vm.count_with(port, "heat") <= 28
 
--- a/tests/unit/test_gateway_permits.py
+++ b/tests/unit/test_gateway_permits.py
@@ -1,4 +1,4 @@
-"""Slots of an upstream that one VM hands out to all."""
+"""Tests that one VM assigns the slots of an upstream to all VMs."""
 
 import asyncio
 import itertools
@@ -22,11 +22,11 @@
 
 
 class _Network:
-    """Carries datagrams between VMs of a test.
+    """Delivers datagrams between the VMs of a test.
 
     Attributes:
-        lose: Whether a datagram is lost, by its bytes and receiver.
-        sent: All datagrams, lost ones included.
+        lose: Returns whether to drop a datagram, by its bytes and receiver.
+        sent: All datagrams, including dropped ones.
     """
 
     def __init__(self):
@@ -76,7 +76,7 @@
         self.peers._transport = _Transport(network)
         self.peers._tick_at = float("inf")
         self.is_leaving = False
-        # Requests that were decided on here.
+        # Requests that this VM decided on.
         self.demand: list[admission.Waiter] = []
         self.meters = metrics.Meters()
         self.limits = coldstart.ColdLimits(
@@ -103,7 +103,7 @@
         )
 
     def make_cold(self, cold_s: float, per_s: float) -> None:
-        """An upstream is cold, and bears little meanwhile."""
+        """Makes an upstream cold, with a rate limit."""
         service = builders.service(cold_per_s=per_s)
         self.limits.set_services({builders.LOOKUPS: service})
         self.targets.by_id["u-1"].extend_cold(clocks.monotonic() + cold_s)
@@ -123,7 +123,7 @@
 
 
 class _Owner(admission.OwnerLookup):
-    """An owner that a test may change."""
+    """An owner lookup whose result a test can change."""
 
     def __init__(self, vm: _Vm, name: str):
         self._vm = vm
@@ -137,7 +137,7 @@
 
 
 def _run(scenario, near: int = 1, far: int = 1) -> None:
-    """Plays with `near` VMs in the upstreams' domain and `far` elsewhere."""
+    """Runs a scenario with `near` VMs in the upstreams' domain."""
 
     async def main():
         network = _Network()
@@ -170,7 +170,7 @@
 
 
 def _is_kind(kind: int):
-    """Returns a test for datagrams of one kind, by their tag."""
+    """Returns a predicate for datagrams of one kind, by their tag."""
     return lambda data, to: data[:1] == b"p" and data[2] == kind
 
 
@@ -184,7 +184,7 @@
         assert target is far.targets.by_id["u-1"]
         counted = arbiter.targets.by_id["u-1"]
         assert counted.in_flight == 1
-        # The other VM doesn't tell of it, or it would count twice.
+        # The requesting VM must not report it too, or it would count twice.
         assert target.in_flight - target.permitted == 0
         far.permits.release(waiter, target)
         await _until(lambda: counted.in_flight == 0)
@@ -214,7 +214,7 @@
 
 
 def test_requests_of_all_vms_count_as_demand_at_the_arbiter():
-    # Each of many VMs sees too few requests for a slot to tell that it is hot.
+    # Each of many VMs sees too few requests for a slot to detect a hotspot.
     async def scenario(_network, arbiter, *others):
         for vm in others:
             waiter = vm.waiter()
@@ -272,7 +272,7 @@
         await _until(lambda: counted.slow_factor(clocks.monotonic()) == 3.0)
         other = await far.permits.acquire(_any_waiter(far))
         assert other is not target
-        # It changes several times a second.
+        # The slowdown changes several times a second, so it soon expires.
         later = clocks.monotonic() + targets.SLOWDOWN_TTL_S
         assert counted.slow_factor(later) == 1.0
 
@@ -387,7 +387,7 @@
         took_s = clocks.monotonic() - began
         retry_s = permits.REQUEST_RETRY_FRACTION * builders.route().objective_s
         assert took_s < (permits.MAX_REQUEST_SENDS + 2) * retry_s
-        # Now it counts it itself, and tells the others.
+        # Now the VM counts the request itself and reports it to the others.
         assert target.in_flight - target.permitted == 1
         asked = far.meters.permits.get("asked")
         await far.permits.acquire(far.waiter())
--- a/tests/unit/test_gateway_settings.py
+++ b/tests/unit/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway: from the platform's template, and wrong ones."""
+"""Tests valid and invalid settings files of the gateway."""
 
 import pytest
 
--- a/tests/unit/test_gateway_speeds.py
+++ b/tests/unit/test_gateway_speeds.py
@@ -1,4 +1,4 @@
-"""Sums of what all VMs measured, against adding it all up each time."""
+"""Tests the incremental speed sums against a full summation."""
 
 import hypothesis
 from hypothesis import strategies
@@ -11,7 +11,7 @@
     strategies.sampled_from(_NAMES),
     strategies.tuples(strategies.integers(1, 90), strategies.integers(20, 900)),
 )
-# Who tells, what, and how long after what was told before.
+# Steps: reporting VM, its samples, and the time since the previous step.
 _STEPS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(["vm-1", "vm-2", "vm-3"]),
@@ -23,7 +23,7 @@
 
 
 def _summed_ratios(samples_by_node, now: float) -> dict[str, float]:
-    """Returns the ratios by what each VM told last, if that isn't too old."""
+    """Returns the ratios from each VM's latest samples, unless expired."""
     sums: dict[str, tuple[float, float]] = {}
     for samples, received_at in samples_by_node.values():
         if now - received_at > speeds.PEER_TTL_S:
@@ -55,8 +55,8 @@
 
 
 def test_an_upstream_without_current_samples_is_unknown():
-    # What is left of a sum after taking its parts off is rounding, not an
-    # answer: it would make the upstream seem one of mean speed.
+    # After all samples are subtracted from a sum, a rounding error remains. It
+    # must not count as a sample, or the upstream would seem to have mean speed.
     table = speeds.SpeedTable()
     table.receive("vm-1", {"u-1": (33, 217)}, 100.0)
     table.receive("vm-2", {"u-1": (7, 333), "u-2": (70, 120)}, 100.7)
--- a/tests/unit/test_route_lookup.py
+++ b/tests/unit/test_route_lookup.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request among the routes of its host."""
+"""Tests the lookup of a request's route among the routes of its host."""
 
 import hypothesis
 from hypothesis import strategies
@@ -6,9 +6,9 @@
 from swiftstile.gateway import model
 from tests import gateway_builders as builders
 
-# As many on one host as on a large deployment.
+# Routes of one host in a large deployment.
 ROUTES = 1470
-# Steps that one look-up may take there, whatever the path.
+# Maximum steps of a lookup among them, for any path.
 MAX_STEPS = 16
 
 _PARTS = strategies.sampled_from(["", "/", "a", "b", "aa", "é"])
@@ -17,7 +17,7 @@
 
 
 class _CountingPath(str):
-    """A path that counts the comparisons and cuts made of it."""
+    """A path that counts its prefix comparisons and slices."""
 
     steps = 0
 
@@ -60,7 +60,7 @@
 
 
 def test_the_cost_of_a_lookup_does_not_grow_with_routes_and_slashes():
-    """Steps of a look-up: 1470 when each route is compared, 4 by prefix."""
+    """A scan of all routes takes 1470 steps; a lookup by prefix length 4."""
     routes = [
         builders.route(name=f"r-{number}", prefix=f"/area/item-{number}/")
         for number in range(ROUTES)
