--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -92,13 +92,13 @@
         while True:
             await pacing.pause(_SWEEP_INTERVAL_S)
             now = clocks.monotonic()
-            lapsed = [
+            expired = [
                 name
                 for name, permit in self._permits.items()
                 if now > permit.expires_at
                 or self._peers.of_run(name[0]) is None
             ]
-            for name in lapsed:
+            for name in expired:
                 self._meters.permits.add("lapsed")
                 self._end(name)
 
--- a/src/swiftstile/gateway/targets.py
+++ b/src/swiftstile/gateway/targets.py
@@ -96,16 +96,16 @@
         """Returns the known number of requests of all VMs there."""
         return self.in_flight + sum(
             count
-            for count, _, heard in self.peer_counts.values()
-            if now - heard < PEER_COUNT_TTL_S
+            for count, _, reported_at in self.peer_counts.values()
+            if now - reported_at < PEER_COUNT_TTL_S
         )
 
     def waiting_elsewhere(self, now: float) -> int:
         """Returns the number of requests that wait for it at other VMs."""
         return sum(
             waiting
-            for _, waiting, heard in self.peer_counts.values()
-            if now - heard < PEER_COUNT_TTL_S
+            for _, waiting, reported_at in self.peer_counts.values()
+            if now - reported_at < PEER_COUNT_TTL_S
         )
 
     def accepts_requests(self, now: float, drain_s: float) -> bool:
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -57,7 +57,7 @@
     assert result.share_in_time > 0.95
 
 
-def _limits(book, me: str, domain=builders.HOME, is_registered=True):
+def _limits(table, me: str, domain=builders.HOME, is_registered=True):
     """Returns the limits of one VM; three VMs are at home and one away."""
     rows = [builders.node_row(name) for name in _NODES]
     rows.append(builders.node_row("vm-away", domain=builders.AWAY))
@@ -65,27 +65,27 @@
     peers = gossip.Peers(own, lambda *_: None)
     for row in rows:
         peers.apply(row, row.node, 0.0)
-    made = coldstart.ColdLimits(book, peers, lambda: is_registered)
+    made = coldstart.ColdLimits(table, peers, lambda: is_registered)
     service = builders.service(cold_per_s=_PER_S, cold_start_s=_COLD_S)
     made.set_services({builders.LOOKUPS: service})
     return made
 
 
 def _cold(now: float = 0.0) -> tuple[targets.TargetTable, targets.Target]:
-    book = builders.book(builders.upstream("u-1", cold_s=_COLD_S), now=now)
-    return book, book.by_id["u-1"]
+    table = builders.book(builders.upstream("u-1", cold_s=_COLD_S), now=now)
+    return table, table.by_id["u-1"]
 
 
-def _senders(target, book) -> list[str]:
+def _senders(target, table) -> list[str]:
     return [
-        name for name in _NODES if _limits(book, name).may_send(target, 0.1)
+        name for name in _NODES if _limits(table, name).may_send(target, 0.1)
     ]
 
 
 def test_one_vm_of_the_domain_sends_until_the_upstream_is_warm():
-    book, target = _cold()
-    assert len(_senders(target, book)) == 1
-    away = _limits(book, "vm-away", domain=builders.AWAY)
+    table, target = _cold()
+    assert len(_senders(target, table)) == 1
+    away = _limits(table, "vm-away", domain=builders.AWAY)
     assert away.is_blocked(target, 0.1)
     assert away.may_send(target, _COLD_S)
     assert not away.is_limited(target, _COLD_S)
@@ -93,13 +93,13 @@
 
 def _max_sends_in_a_second(vms: int, per_s: float) -> int:
     """Returns the sends of VMs that each consider themselves the sender."""
-    book, _ = _cold()
+    table, _ = _cold()
     sends = []
     for number in range(vms):
         # Each has its own state of the upstream and starts 1 ms later.
         _, target = _cold()
         peers = gossip.Peers(builders.node_row(), lambda *_: None)
-        limits = coldstart.ColdLimits(book, peers, lambda: True)
+        limits = coldstart.ColdLimits(table, peers, lambda: True)
         service = builders.service(cold_per_s=per_s)
         limits.set_services({builders.LOOKUPS: service})
         for tick in range(number, int(_COLD_S * 1000), 1):
@@ -121,27 +121,27 @@
 
 
 def test_a_vm_of_another_domain_sends_if_the_own_domain_has_none():
-    book = builders.book(
+    table = builders.book(
         builders.upstream("u-1", cold_s=_COLD_S, failure_domain="third")
     )
-    target = book.by_id["u-1"]
-    away = _limits(book, "vm-away", domain=builders.AWAY)
-    sending = len(_senders(target, book)) + away.may_send(target, 0.1)
+    target = table.by_id["u-1"]
+    away = _limits(table, "vm-away", domain=builders.AWAY)
+    sending = len(_senders(target, table)) + away.may_send(target, 0.1)
     assert sending == 1
 
 
 def test_a_vm_that_is_not_registered_sends_nothing():
     # It knows no other VM yet, and would select itself as the sender.
-    book, target = _cold()
+    table, target = _cold()
     assert not any(
-        _limits(book, name, is_registered=False).may_send(target, 0.1)
+        _limits(table, name, is_registered=False).may_send(target, 0.1)
         for name in _NODES
     )
 
 
 def test_a_service_without_a_rate_has_no_limit():
-    book, target = _cold()
-    limits = _limits(book, "vm-1")
+    table, target = _cold()
+    limits = _limits(table, "vm-1")
     limits.set_services({builders.LOOKUPS: builders.service()})
     assert all(limits.may_send(target, 0.1) for _ in range(100))
     limits.note_sent(target, 0.1)
@@ -149,23 +149,23 @@
 
 
 def test_an_upstream_that_reports_cold_again_is_limited_again():
-    book, target = _cold()
-    limits = _limits(book, "vm-1")
+    table, target = _cold()
+    limits = _limits(table, "vm-1")
     assert not limits.is_limited(target, 10.0)
-    book.put(builders.upstream("u-1", cold_s=2.0), 10.0)
+    table.put(builders.upstream("u-1", cold_s=2.0), 10.0)
     assert limits.is_limited(target, 11.9)
     # An older registration may be read later and must not shorten the limit.
-    book.put(builders.upstream("u-1", cold_s=0.0), 10.5)
+    table.put(builders.upstream("u-1", cold_s=0.0), 10.5)
     assert limits.is_limited(target, 11.9)
     assert not limits.is_limited(target, 12.0)
 
 
 def test_upstreams_count_as_cold_after_an_evacuation():
-    book = builders.book(builders.upstream("u-1"))
-    limits = _limits(book, "vm-1")
-    book.evacuate(builders.HOME, 0.0)
-    book.end_evacuation(builders.HOME, 20.0)
-    target = book.by_id["u-1"]
+    table = builders.book(builders.upstream("u-1"))
+    limits = _limits(table, "vm-1")
+    table.evacuate(builders.HOME, 0.0)
+    table.end_evacuation(builders.HOME, 20.0)
+    target = table.by_id["u-1"]
     assert limits.is_limited(target, 20.0 + _COLD_S - 0.1)
     assert not limits.is_limited(target, 20.0 + _COLD_S)
 
@@ -174,12 +174,12 @@
     """A cold upstream that owns the key of each request, as one VM sees it."""
 
     def __init__(self, is_sender: bool):
-        self.book, self.target = _cold()
-        sender = _senders(self.target, self.book)[0]
+        self.table, self.target = _cold()
+        sender = _senders(self.target, self.table)[0]
         others = [name for name in _NODES if name != sender]
-        limits = _limits(self.book, sender if is_sender else others[0])
+        limits = _limits(self.table, sender if is_sender else others[0])
         self.decisions = admission.Admission(
-            self.book, builders.HOME, 2.0, limits
+            self.table, builders.HOME, 2.0, limits
         )
 
     def offer(self, now: float, **changes):
@@ -214,7 +214,7 @@
     """Upstreams that may own keys; each is cold or warm."""
 
     def __init__(self, *cold: bool):
-        self.book = builders.book(
+        self.table = builders.book(
             *(
                 builders.upstream(f"u-{number}", cold_s=_COLD_S * is_cold)
                 for number, is_cold in enumerate(cold, 1)
@@ -223,12 +223,12 @@
         parts = keeper_parts.Parts()
         self.plan = slotplan.SlotPlan(
             builders.LOOKUPS,
-            self.book,
+            self.table,
             parts.speeds,
             parts.heat,
             lambda _: None,
             0.0,
-            _limits(self.book, "vm-1"),
+            _limits(self.table, "vm-1"),
         )
 
 
--- a/tests/unit/test_gateway_domain_search.py
+++ b/tests/unit/test_gateway_domain_search.py
@@ -10,7 +10,7 @@
 
 
 def _group(*domains: str):
-    book = builders.book(
+    table = builders.book(
         *(
             builders.upstream(
                 f"u-{i}",
@@ -20,7 +20,7 @@
             for i, domain in enumerate(domains)
         )
     )
-    return book.by_id.values()
+    return table.by_id.values()
 
 
 def _plan(search: domain_search.DomainSearch, *domains: str, now=_NOW, **route):
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -98,7 +98,7 @@
         ),
         (0, lambda daemon, now: daemon._tables_to_tell(now)),
     ],
-    ids=["to-tell", "leaders", "near-heard", "reachable", "tables"],
+    ids=["recipients", "leaders", "near-reachable", "reachable", "tables"],
 )
 def test_cost_of_near_vm_queries_hardly_grows_with_far_vms(
     sites, query, far_opcodes
@@ -122,8 +122,10 @@
         peer.heard_at = site.now - 2.0
     renewing._share_out(site.now)
     alone = set(renewing._tasks)
-    book = site.daemon._book.by_id.values()
-    own = {t.id for t in book if t.upstream.failure_domain == peers.me.domain}
+    upstreams = site.daemon._book.by_id.values()
+    own = {
+        t.id for t in upstreams if t.upstream.failure_domain == peers.me.domain
+    }
     assert before < own
     assert own <= alone
     for peer in near:
@@ -173,11 +175,11 @@
     names = [f"u-{number}" for number in range(60)]
     counts = []
     for size in many_vms.SIZES:
-        book = speeds.SpeedTable()
+        table = speeds.SpeedTable()
         for number in range(size.vms):
-            book.receive(f"vm-{number}", dict.fromkeys(names, (9, 90)), 50.0)
+            table.receive(f"vm-{number}", dict.fromkeys(names, (9, 90)), 50.0)
 
-        def query(now: float, of=book):
+        def query(now: float, of=table):
             return (
                 of.placement_ratios(names, now)
                 if is_compared
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -177,9 +177,10 @@
     _off(
         "counts from other VMs",
         "targets",
-        "            if now - heard < PEER_COUNT_TTL_S\n        )\n\n"
+        "            if now - reported_at < PEER_COUNT_TTL_S\n        )\n\n"
+        "    def waiting_elsewhere",
+        "            if now < reported_at\n        )\n\n"
         "    def waiting_elsewhere",
-        "            if now < heard\n        )\n\n    def waiting_elsewhere",
     ),
     _off(
         "home first",
