--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -12,9 +12,9 @@
 import typing
 
 from swiftstile import ids
+from swiftstile.gateway import caller_retries
 from swiftstile.gateway import coldstart
 from swiftstile.gateway import model
-from swiftstile.gateway import returns
 from swiftstile.gateway import targets
 
 __all__ = [
@@ -232,7 +232,7 @@
 
     def __init__(
         self,
-        target_table: targets.TargetBook,
+        target_table: targets.TargetTable,
         domain: ids.FailureDomain,
         drain_s: float,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
@@ -245,7 +245,7 @@
         # Start of the current uninterrupted period in which requests that can
         # still be in time have been waiting, by what they queue for.
         self._contention_started: dict[QueueKey, float] = {}
-        self._returns = returns.Returns()
+        self._returns = caller_retries.RetryTracker()
         self.vm_count = 1
 
     def __len__(self) -> int:
@@ -262,7 +262,7 @@
         """
         if waiter.owner is not None:
             waiter.awaited = waiter.owner.target(now)
-        self._returns.recognise(waiter, now)
+        self._returns.match_retry(waiter, now)
         if not self._is_preceded(waiter, now):
             target = self.select_target(waiter, now)
             if target is not None:
@@ -319,7 +319,7 @@
                 self.remove(waiter)
                 # Counted temporarily, so that later requests of this scan see
                 # the slot as taken.
-                target.own += 1
+                target.in_flight += 1
                 self._limits.note_sent(target, now)
                 groups.pop((waiter.service, waiter.domain), None)
                 assigned.append(Assignment(waiter, target))
@@ -335,7 +335,7 @@
                 rejected.append((waiter, self._reject_queued(waiter, now)))
         self._update_contention(contested, only, now)
         for assignment in assigned:
-            assignment.target.own -= 1
+            assignment.target.in_flight -= 1
         return assigned, rejected
 
     @staticmethod
@@ -420,7 +420,7 @@
             slots = target.upstream.slots
             rate += min(
                 slots / (waiter.expected_s * target.slow_factor(now)),
-                self._limits.per_s(target, now),
+                self._limits.rate_per_s(target, now),
             )
             elsewhere += target.waiting_elsewhere(now)
             excess += max(0, target.occupied(now) - slots)
@@ -434,7 +434,7 @@
         if waiter.owner is None:
             return _INFINITY
         owner = waiter.owner.target(now)
-        if owner is not None and self._limits.is_barred(owner, now):
+        if owner is not None and self._limits.is_blocked(owner, now):
             return owner.cold_until - now
         return waiter.owner.ready_in_s(now)
 
@@ -533,12 +533,12 @@
         self, target: targets.Target, waiter: Waiter, now: float
     ) -> bool:
         """Whether a target may be sent a request, as far as this VM knows."""
-        return target.id not in waiter.excluded and target.takes_requests(
+        return target.id not in waiter.excluded and target.accepts_requests(
             now, self._drain_s
         )
 
     def _is_barred(self, target: targets.Target, now: float) -> bool:
-        return now < target.cold_until and self._limits.is_barred(target, now)
+        return now < target.cold_until and self._limits.is_blocked(target, now)
 
     def _domain_penalty_s(self, waiter, target) -> float:
         if target.upstream.failure_domain == self._domain:
@@ -595,7 +595,7 @@
         spread = 1 + random.uniform(0, RETRY_JITTER)
         owner = None if waiter.awaited is None else waiter.awaited.id
         if waiter.max_wait_s is None:
-            self._returns.expect(waiter, now + base_s * spread)
+            self._returns.expect_retry(waiter, now + base_s * spread)
         is_ownerless = waiter.owner is not None and owner is None
         return Rejection(base_s * spread, wait_s, owner, is_ownerless)
 
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -61,7 +61,7 @@
         handler: handler_lib.RequestHandler,
         gate: gate_lib.Gate,
         arbiter: arbiter_lib.Arbiter,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         maps: renewals.KeyMaps,
         renewing: renewals.GrantRenewer,
         right: authority.PeerAuthority,
@@ -74,7 +74,7 @@
         row_relay: relay.RowRelay,
         server: links.ControlServer,
         retry_budget: budget.RetryBudget,
-        speed_book: speeds.SpeedBook,
+        speed_book: speeds.SpeedTable,
         heat_book: key_load.KeyLoadTable,
         cold_limits: coldstart.ColdLimits,
         suspect_book: suspects.SuspectTable,
@@ -226,7 +226,7 @@
     def _counts(self) -> tuple[reports.Counts, reports.Counts]:
         shared, local = {}, {}
         for target in self._book.by_id.values():
-            own = target.own - target.permitted
+            own = target.in_flight - target.permitted
             if own or target.waiting:
                 is_shared = target.upstream.service in self._maps.by_service
                 counts = shared if is_shared else local
@@ -244,7 +244,7 @@
         if peer.report.heat:
             self._heat.receive(node, peer.report.heat, now)
         if peer.report.speeds:
-            self._speeds.hear(node, peer.report.speeds, now)
+            self._speeds.receive(node, peer.report.speeds, now)
         if peer.report.suspicions:
             self._suspects.receive(peer.report.suspicions, peer.heard_at)
         self._gate.on_peer_report()
@@ -255,10 +255,10 @@
         by_id, node = self._book.by_id, peer.row.node
         for name in peer.told_of - counts.keys():
             if name in by_id:
-                by_id[name].peers.pop(node, None)
+                by_id[name].peer_counts.pop(node, None)
         for name, counted in counts.items():
             if name in by_id:
-                by_id[name].peers[node] = (*counted, now)
+                by_id[name].peer_counts[node] = (*counted, now)
         peer.told_of = set(counts)
 
     async def _housekeeping(self) -> None:
@@ -272,12 +272,12 @@
                 ratios = self._speeds.ratios(now)
                 for target in self._book.by_id.values():
                     target.slowness = ratios.get(
-                        target.id, speeds.UNKNOWN_RATIO
+                        target.id, speeds.DEFAULT_RATIO
                     )
             self._gate.admission.vm_count = self._peers.circulation.near_heard(
                 now
             )
-            self._budget.set_vms(len(self._peers.by_node) + 1)
+            self._budget.set_vm_count(len(self._peers.by_node) + 1)
 
     async def _lead(self) -> None:
         while True:
--- a/src/swiftstile/gateway/exchange.py
+++ b/src/swiftstile/gateway/exchange.py
@@ -46,7 +46,7 @@
     method: str
     target: str
     headers: object
-    inbound: interfaces.Inbound
+    inbound: interfaces.RequestMetadata
     body: bytes | None
     stream: collections.abc.AsyncIterator[bytes] | None
     length: int | None
@@ -90,7 +90,7 @@
     headers: list[tuple[str, str]]
     body: bytes | None
     stream: object
-    verdict: interfaces.Verdict
+    verdict: interfaces.AnswerMetadata
     finish: collections.abc.Callable[[bool], None]
 
 
@@ -199,7 +199,7 @@
     async def _receive(self, call, target, connection) -> UpstreamResponse:
         while True:
             head = await connection.next_head()
-            verdict = self._dialect.judge(head.status, head.headers)
+            verdict = self._dialect.parse_answer(head.status, head.headers)
             expected_id = call.inbound.attempt_id
             if verdict.attempt_id in ("", expected_id):
                 break
@@ -213,7 +213,7 @@
             target.note_load(verdict.load, clocks.monotonic())
         if verdict.kind is not interfaces.AnswerKind.RAN:
             await self._raise_not_run(head, verdict, connection, target)
-        if not verdict.is_sound:
+        if not verdict.is_relayable:
             raise outcomes.UnknownOutcomeError(
                 "unsigned or encoded", step="check answer", peer=target.id
             )
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -22,9 +22,9 @@
 from swiftstile.gateway import outcomes
 from swiftstile.gateway import owners
 from swiftstile.gateway import permits as permits_lib
-from swiftstile.gateway import shares
 from swiftstile.gateway import speeds
 from swiftstile.gateway import targets
+from swiftstile.gateway import weighted_round_robin
 from swiftstile.gateway import work_times
 
 __all__ = ["RequestHandler"]
@@ -76,13 +76,13 @@
 
     def __init__(
         self,
-        permits: permits_lib.Permits,
+        permits: permits_lib.PermitClient,
         client: exchange.UpstreamClient,
         dialect: interfaces.RequestDialect,
-        target_table: targets.TargetBook,
+        target_table: targets.TargetTable,
         key_owners: owners.KeyOwners,
         retry_budget: budget.RetryBudget,
-        speed_table: speeds.SpeedBook,
+        speed_table: speeds.SpeedTable,
         log: decision_log.BoundedLog,
         store: follow.TableFollower,
         operations: follow.TableFollower,
@@ -103,8 +103,8 @@
         self._operations = operations
         self._crashes = crashes
         self._meters = meters
-        self._times = work_times.ServiceTimes()
-        self._shares = shares.ShareDealer()
+        self._times = work_times.WorkTimeEstimates()
+        self._shares = weighted_round_robin.WeightedRoundRobin()
 
     def may_run_concurrently(self, request: web_request.BaseRequest) -> bool:
         """Whether it may run concurrently with earlier ones of a connection."""
@@ -126,7 +126,7 @@
             GatewayError: No upstream responded to the request.
         """
         request, arrived = incoming.request, incoming.arrived
-        inbound = self._dialect.read_request(request.headers)
+        inbound = self._dialect.parse_request(request.headers)
         trace = decision_log.RequestTrace(self._log)
         succeeded = False
         route = None
@@ -156,7 +156,7 @@
 
     def mean_service_time_s(self, service: ids.ServiceName) -> float | None:
         """Returns the mean service time of a service, or None if unmeasured."""
-        return self._times.of_service(service)
+        return self._times.service_mean_s(service)
 
     def _route(self, request) -> tuple[model.Route, model.Config]:
         config = self.config
@@ -198,11 +198,11 @@
 
     async def _serve(self, incoming, inbound, route, config, trace):
         request, arrived = incoming.request, incoming.arrived
-        service = self._shares.draw(route)
+        service = self._shares.next_service(route)
         self._budget.note_request(service, arrived)
         wait_s = route.timeout_s
-        if inbound.wait_s is not None:
-            wait_s = min(wait_s, inbound.wait_s)
+        if inbound.timeout_s is not None:
+            wait_s = min(wait_s, inbound.timeout_s)
         call = await self._make_call(
             request, inbound, route, config, arrived + wait_s
         )
@@ -220,7 +220,7 @@
             call.deadline,
             self._times.expected_s(route),
             inbound.key,
-            None if inbound.wait_s is None else arrived + inbound.wait_s,
+            None if inbound.timeout_s is None else arrived + inbound.timeout_s,
         )
         upstream_response = await self._send_with_retries(call, waiter, trace)
         if upstream_response.body is None:
@@ -359,7 +359,7 @@
             target.note_failure(now)
         elif isinstance(error, outcomes.NotRunError):
             if not error.had_free_slot:
-                target.note_shed(now, OVERLOADED_TARGET_PAUSE_S)
+                target.note_rejected(now, OVERLOADED_TARGET_PAUSE_S)
             if waiter.owner is None:
                 waiter.excluded.add(target.id)
         else:
@@ -424,10 +424,10 @@
         if response.status < 300 and _is_service_time_only(
             waiter, target, response
         ):
-            prior_s = work_times.prior_s(waiter.route)
+            prior_s = work_times.default_work_s(waiter.route)
             slowdown = _slowdown(response)
-            self._speeds.note(target.id, took_s / prior_s / slowdown, now)
-            self._times.note(
+            self._speeds.add_sample(target.id, took_s / prior_s / slowdown, now)
+            self._times.add_sample(
                 waiter.route, waiter.service, took_s / target.slowness
             )
         trace.add(
--- a/src/swiftstile/gateway/key_assigner.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -91,7 +91,7 @@
         self,
         service: ids.ServiceName,
         maps: renewals.KeyMaps,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         plan: slotplan.SlotPlan,
         peers: gossip.Peers,
         renewer: renewals.GrantRenewer,
@@ -204,7 +204,7 @@
             owner
             for owner in current.slots_by_owner
             if owner in self._book.by_id
-            and self._book.by_id[owner].upstream.is_life_after(
+            and self._book.by_id[owner].upstream.has_restarted_since(
                 current.started_ms.get(owner, 0)
             )
         ]
--- a/src/swiftstile/gateway/owners.py
+++ b/src/swiftstile/gateway/owners.py
@@ -41,7 +41,7 @@
     def __init__(
         self,
         maps: renewals.KeyMaps,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         key_load_table: key_load.KeyLoadTable,
         peers: gossip.Peers,
         drain_s: float,
@@ -97,11 +97,13 @@
         index = key_map.index_of(key)
         slot = key_map.slots[index]
         target = self._book.by_id.get(slot.owner)
-        if target is None or not target.takes_requests(now, self._drain_s):
+        if target is None or not target.accepts_requests(now, self._drain_s):
             # Checked here rather than by the arbiter, which may learn later
             # that the owner is leaving.
             return None, self._next_owner_s(service)
-        if target.upstream.is_life_after(key_map.started_ms.get(slot.owner, 0)):
+        if target.upstream.has_restarted_since(
+            key_map.started_ms.get(slot.owner, 0)
+        ):
             # A restarted owner holds nothing until the leader has assigned its
             # slots to it again.
             return None, HANDOVER_S
@@ -117,7 +119,7 @@
             if now - at > MISDIRECTED_TTL_S or fence != slot.fence:
                 del self._misdirected[service, index]
         if target.is_failing and (
-            target.is_gone or self._is_partitioned(target, now)
+            target.is_unregistered or self._is_partitioned(target, now)
         ):
             return None, FAILED_OWNER_S
         if target.is_penalised(now):
@@ -126,7 +128,7 @@
 
     def _next_owner_s(self, service: ids.ServiceName) -> float:
         """Returns the expected wait for an owner that accepts requests."""
-        if self._book.evacuated_at and not self._book.has_staying(service):
+        if self._book.evacuated_at and not self._book.has_active(service):
             return NO_UPSTREAM_S
         return HANDOVER_S
 
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -1,20 +1,21 @@
-"""Permits: one VM assigns the slots of an upstream to requests of all VMs.
+"""Requests permits, which let one VM assign an upstream's slots for all VMs.
 
-Counts that VMs tell each other are as old as the work is long between failure
-domains, and each VM sees a small part of an upstream's requests. So one VM of
-the upstream's own domain, its *arbiter*, decides for all: a VM asks it before
-it sends, and reports when the request has ended. Losing it costs nothing but
-order: without an answer a VM decides by the counts that it knows.
+Between failure domains, the in-flight counts that VMs exchange are as old as a
+request takes to serve, and each VM sees only a small part of an upstream's
+requests. One VM in the upstream's own domain, its *arbiter*, therefore decides
+for all: a VM requests a permit before it sends, and releases it when the
+request has ended. Losing the arbiter affects only the order of requests:
+without a reply, a VM decides by the counts that it knows.
 
-A key has one owner, so there is nothing to choose but when to send: each owner
+A key has one owner, so only the time of sending is left to decide: each owner
 has an arbiter. Where many VMs share upstreams without owners, each domain has
-one arbiter a service, which chooses among the upstreams of its domain. The own
-domain's is asked first, those of others when the wait there is worth it
-(`detours.py`).
+one arbiter per service, which chooses among the upstreams of its domain. The
+local domain's arbiter is asked first, those of other domains when local waiting
+costs more (`domain_search.py`).
 
-The load that this answers: requests at two thirds to nine tenths of what
-upstreams can do, with upstreams of half and of one and a half times the mean
-speed, which don't answer what they can't queue.
+Designed for a load of two thirds to nine tenths of the upstreams' capacity,
+with upstreams at half and at one and a half times the mean speed, which don't
+answer requests that they can't queue.
 """
 
 import asyncio
@@ -30,9 +31,9 @@
 from swiftstile import metrics
 from swiftstile.gateway import admission
 from swiftstile.gateway import arbiter as arbiter_lib
-from swiftstile.gateway import arbiters
+from swiftstile.gateway import arbiter_selection
 from swiftstile.gateway import coldstart
-from swiftstile.gateway import detours
+from swiftstile.gateway import domain_search
 from swiftstile.gateway import gate as gate_lib
 from swiftstile.gateway import gossip
 from swiftstile.gateway import model
@@ -41,71 +42,71 @@
 from swiftstile.gateway import reports
 from swiftstile.gateway import targets
 
-__all__ = ["Permits"]
+__all__ = ["PermitClient"]
 
-# A question without an answer is asked again after this part of its objective,
-# and not before the latter, ten round trips between the users' failure domains.
-# Links of 10 Mbit/s are taken for 50 ms by each large body.
-ASK_AGAIN, LEAST_ASK_AGAIN_S = 0.08, 0.025
-# Without an answer to so many questions the arbiter counts as out of reach.
-# Few, as the request waits meanwhile.
-MOST_ASKED = 3
-# While a request waits at the arbiter it is asked again now and then, as its
-# answer may be lost, or the arbiter gone: first after this, then after twice as
-# long each time, up to the latter. Asked each 0.1 s, lookups that wait for
-# seconds doubled what goes between domains.
-WAITING_AGAIN_S, LONGEST_AGAIN_S = 0.1, 0.8
-# Ends of requests are told again with the next messages to the same arbiter,
-# in case a datagram was lost.
-MOST_ENDED = 4
+# A permit request without a reply is sent again after this fraction of the
+# route's objective, but not before the minimum, ten round trips between failure
+# domains. One large body occupies a 10 Mbit/s link for 50 ms.
+REQUEST_RETRY_FRACTION, MIN_REQUEST_RETRY_S = 0.08, 0.025
+# The arbiter counts as unreachable after this many sends without a reply. Low,
+# because the caller's request waits meanwhile.
+MAX_REQUEST_SENDS = 3
+# While a request waits at the arbiter, the permit request is repeated, because
+# the reply may be lost or the arbiter may have crashed. The interval starts at
+# the first value and doubles up to the second. Repeats every 0.1 s for lookups
+# that wait for seconds doubled the traffic between domains.
+WAITING_RETRY_S, MAX_WAITING_RETRY_S = 0.1, 0.8
+# The most recent releases are repeated in the next messages to the same
+# arbiter, in case a datagram was lost.
+MAX_REPEATED_RELEASES = 4
 
 
-class _Asked:
-    """A question of this VM that isn't settled yet.
+class _PendingRequest:
+    """A permit request of this VM that has no final decision yet.
 
     Attributes:
-        decided: The last answer, if any.
+        reply: The latest reply, if any.
     """
 
     def __init__(self):
-        self.decided: permit_messages.Decided | None = None
-        self._news = asyncio.Event()
+        self.reply: permit_messages.PermitReply | None = None
+        self._replied = asyncio.Event()
 
     @property
-    def is_settled(self) -> bool:
-        """Whether it was decided for good."""
-        decided = self.decided
+    def is_final(self) -> bool:
+        """Whether the permit was granted or refused."""
+        reply = self.reply
         return (
-            decided is not None
-            and decided.verdict is not permit_messages.Verdict.WAITING
+            reply is not None
+            and reply.status is not permit_messages.PermitStatus.WAITING
         )
 
-    def note(self, decided: permit_messages.Decided) -> None:
-        """An answer came."""
-        self.decided = decided
-        self._news.set()
+    def set_reply(self, reply: permit_messages.PermitReply) -> None:
+        """Stores a reply and wakes up the waiting task."""
+        self.reply = reply
+        self._replied.set()
 
-    async def news_within(self, seconds: float) -> bool:
-        """Waits for an answer; whether one came."""
+    async def wait_for_reply(self, seconds: float) -> bool:
+        """Waits for a reply; returns whether one arrived in time."""
         try:
             async with asyncio.timeout(seconds):
-                await self._news.wait()
+                await self._replied.wait()
         except TimeoutError:
             return False
-        self._news.clear()
+        self._replied.clear()
         return True
 
 
-class Permits:
-    """Gets slots for the requests of this VM, from whoever hands them out.
+class PermitClient:
+    """Acquires slots for the requests of this VM, from itself or an arbiter.
 
     Args:
         peers: The other VMs.
-        gate: The slots that this VM hands out itself.
-        arbiter: Answers the questions of other VMs.
-        book: The upstreams.
+        gate: Assigns the slots that this VM decides on itself.
+        arbiter: Handles the permit requests of other VMs.
+        table: The upstreams.
         meters: Counts permits.
-        limits: Names the one VM that hands out the slots of a cold upstream.
+        limits: Names the one VM that assigns the slots of a cold upstream.
     """
 
     def __init__(
@@ -113,68 +114,76 @@
         peers: gossip.Peers,
         gate: gate_lib.Gate,
         arbiter: arbiter_lib.Arbiter,
-        book: targets.TargetBook,
+        table: targets.TargetTable,
         meters: metrics.Meters,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
     ):
-        self._arbiters = arbiters.Arbiters(peers, arbiter.is_leaving, limits)
+        self._selector = arbiter_selection.ArbiterSelector(
+            peers, arbiter.is_leaving, limits
+        )
         self._peers = peers
         self._gate = gate
         self._arbiter = arbiter
-        self._book = book
+        self._targets = table
         self._meters = meters
-        self._detours = detours.Detours(peers.me.domain)
+        self._domain_search = domain_search.DomainSearch(peers.me.domain)
         self._numbers = itertools.count(1)
-        self._asked: dict[int, _Asked] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._arbiter_by_number: dict[int, reports.Peer] = {}
         self._ended_by_node: dict[model.NodeId, collections.deque[int]] = {}
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(permit_messages.Message)
-        # The permit of each request that has one from another VM.
+        # Permit numbers of requests that another VM granted, by waiter.
         self._number_by_waiter: dict[int, int] = {}
         peers.on_permit = self._receive
 
     async def acquire(self, waiter: admission.Waiter) -> targets.Target:
-        """Returns a target that has room, with the request counted there.
+        """Returns a target with a free slot, with the request counted there.
 
         Raises:
-            RejectedError: No slot in time.
+            RejectedError: No slot became free in time.
         """
         if waiter.owner is not None:
-            return await self._acquire_owner(waiter)
+            return await self._acquire_from_owner(waiter)
         if self._gate.admission.vm_count > admission.MAX_VMS_WITHOUT_SAMPLING:
-            return await self._acquire_any(waiter)
+            return await self._acquire_from_any(waiter)
         return await self._gate.acquire(waiter)
 
-    async def _acquire_owner(self, waiter: admission.Waiter) -> targets.Target:
+    async def _acquire_from_owner(
+        self, waiter: admission.Waiter
+    ) -> targets.Target:
         while True:
             now = clocks.monotonic()
             target = waiter.owner.target(now)
-            arbiter = None if target is None else self._arbiters.of(target, now)
+            arbiter = None
+            if target is not None:
+                arbiter = self._selector.arbiter_of(target, now)
             if arbiter is None:
                 return await self._gate.acquire(waiter)
-            granted = await self._ask(waiter, target, arbiter)
+            granted = await self._request_permit(waiter, target, arbiter)
             if granted is not None:
                 return granted
-            if self._arbiters.is_avoided(arbiter, clocks.monotonic()):
-                # It waited long enough for one that doesn't answer.
+            if self._selector.is_avoided(arbiter, clocks.monotonic()):
+                # The arbiter is unresponsive; waiting longer would not help.
                 return await self._gate.acquire(waiter)
-            # The key has another owner by now.
+            # The key has moved to another owner; look the arbiter up again.
 
-    async def _acquire_any(self, waiter: admission.Waiter) -> targets.Target:
-        """Gets a slot of any upstream, from the domain that gives one first."""
+    async def _acquire_from_any(
+        self, waiter: admission.Waiter
+    ) -> targets.Target:
+        """Acquires a slot of any upstream, in the planned order of domains."""
         now = clocks.monotonic()
         group = self._gate.admission.usable_targets(waiter, now)
         refusal: outcomes.RejectedError | None = None
-        for stop in self._detours.plan(waiter, group, now):
-            waiter.domain = stop.domain
-            waiter.max_wait_s = stop.most_wait_s
+        for step in self._domain_search.plan(waiter, group, now):
+            waiter.domain = step.domain
+            waiter.max_wait_s = step.max_wait_s
             try:
-                target = await self._acquire_in(waiter, stop.domain)
+                target = await self._acquire_in_domain(waiter, step.domain)
             except outcomes.RejectedError as error:
                 refusal = error
-                self._detours.note_refused(
-                    waiter.service, stop, clocks.monotonic()
+                self._domain_search.note_refused(
+                    waiter.service, step, clocks.monotonic()
                 )
                 continue
             if target is not None:
@@ -185,134 +194,142 @@
         waiter.domain = waiter.max_wait_s = None
         return await self._gate.acquire(waiter)
 
-    async def _acquire_in(
+    async def _acquire_in_domain(
         self, waiter: admission.Waiter, domain: ids.FailureDomain
     ) -> targets.Target | None:
-        """Returns a target of a domain; None if nobody there answers."""
-        arbiter, is_me = self._arbiters.in_domain(
+        """Returns a target in a domain; None if no arbiter there replies."""
+        arbiter, is_me = self._selector.arbiter_in_domain(
             domain, waiter.service, clocks.monotonic()
         )
         if is_me:
             return await self._gate.acquire(waiter)
         if arbiter is None:
             return None
-        return await self._ask(waiter, None, arbiter)
+        return await self._request_permit(waiter, None, arbiter)
 
     def release(self, waiter: admission.Waiter, target: targets.Target) -> None:
-        """The request is no longer at the target."""
+        """Releases the slot of a request that is no longer at the target."""
         number = self._number_by_waiter.pop(waiter.sequence, None)
         if number is None:
             self._gate.release(waiter, target)
             return
         target.note_permit_ended(waiter.sequence)
         if waiter.owner is not None:
-            self._end(number)
+            self._send_release(number)
             return
-        # What this VM learned of the upstream, its arbiter should know.
+        # Report the penalty and slowdown of the upstream to its arbiter.
         now = clocks.monotonic()
-        self._end(
+        self._send_release(
             number, target.penalty_left_s(now), target.reported_slowdown(now)
         )
 
     @property
     def queued(self) -> int:
-        """Requests that wait at this VM for a slot that it hands out."""
+        """Requests that wait for a slot that this VM assigns."""
         return len(self._gate.admission)
 
-    async def _ask(
+    async def _request_permit(
         self,
         waiter: admission.Waiter,
         target: targets.Target | None,
         arbiter: reports.Peer,
     ) -> targets.Target | None:
-        """Returns the target that was granted; None to ask elsewhere.
+        """Returns the granted target; None to ask elsewhere.
 
         Args:
             waiter: The request.
             target: The owner of its key; None for any upstream.
-            arbiter: Who is asked.
+            arbiter: The VM that decides.
 
         Raises:
-            RejectedError: The arbiter refused it.
+            RejectedError: The arbiter refused the permit.
         """
         number = next(self._numbers)
-        asked = self._asked[number] = _Asked()
+        pending = self._pending[number] = _PendingRequest()
         self._arbiter_by_number[number] = arbiter
         granted = None
         try:
-            decided = await self._await_verdict(
-                number, asked, waiter, target, arbiter
+            reply = await self._await_decision(
+                number, pending, waiter, target, arbiter
             )
-            if decided is None:
+            if reply is None:
                 return None
-            if decided.verdict is permit_messages.Verdict.REFUSED:
-                raise _refused(decided, target)
-            granted = self._granted_target(waiter, target, decided)
+            if reply.status is permit_messages.PermitStatus.REFUSED:
+                raise _refused(reply, target)
+            granted = self._granted_target(waiter, target, reply)
             if granted is not None:
                 self._number_by_waiter[waiter.sequence] = number
-                waiter.occupied = decided.occupied
+                waiter.occupied = reply.occupied
                 granted.note_permitted(
                     waiter.sequence, clocks.monotonic(), waiter.expected_s
                 )
             return granted
         finally:
-            del self._asked[number]
+            del self._pending[number]
             if granted is None:
-                self._end(number)
+                self._send_release(number)
 
     def _granted_target(
         self,
         waiter: admission.Waiter,
         target: targets.Target | None,
-        decided: permit_messages.Decided,
+        reply: permit_messages.PermitReply,
     ) -> targets.Target | None:
-        """Returns the target of a permit, if the request may still go there."""
+        """Returns the target of a permit, if it can still take the request."""
         now = clocks.monotonic()
         if target is not None:
             return target if waiter.owner.target(now) is target else None
-        granted = self._book.by_id.get(decided.upstream)
+        granted = self._targets.by_id.get(reply.upstream)
         if granted is None or not self._gate.admission.is_usable(
             granted, waiter, now
         ):
-            # This VM knows better, or heard of it earlier, that it leaves.
-            waiter.excluded.add(decided.upstream)
+            # This VM already knows that the upstream is leaving or unusable,
+            # and the arbiter doesn't yet.
+            waiter.excluded.add(reply.upstream)
             return None
         return granted
 
-    async def _await_verdict(
-        self, number, asked, waiter, target, arbiter
-    ) -> permit_messages.Decided | None:
-        pause_s = WAITING_AGAIN_S
+    async def _await_decision(
+        self, number, pending, waiter, target, arbiter
+    ) -> permit_messages.PermitReply | None:
+        pause_s = WAITING_RETRY_S
         while True:
-            if not await self._hear(number, asked, waiter, target, arbiter):
-                self._arbiters.avoid(arbiter, clocks.monotonic())
+            if not await self._request_until_replied(
+                number, pending, waiter, target, arbiter
+            ):
+                self._selector.avoid(arbiter, clocks.monotonic())
                 self._meters.permits.add("arbiter-silent")
                 logs.logger.info("arbiter silent", peer_node=arbiter.row.node)
                 return None
             end = clocks.monotonic() + pause_s
-            while not asked.is_settled and clocks.monotonic() < end:
-                await asked.news_within(WAITING_AGAIN_S)
+            while not pending.is_final and clocks.monotonic() < end:
+                await pending.wait_for_reply(WAITING_RETRY_S)
                 if target is None:
                     continue
                 if waiter.owner.target(clocks.monotonic()) is not target:
                     return None
-            if asked.is_settled:
-                return asked.decided
-            pause_s = min(2 * pause_s, LONGEST_AGAIN_S)
-
-    async def _hear(self, number, asked, waiter, target, arbiter) -> bool:
-        """Asks until anything is heard; whether something was, in time."""
-        again_s = max(LEAST_ASK_AGAIN_S, ASK_AGAIN * waiter.route.objective_s)
-        for _ in range(MOST_ASKED):
-            self._send_ask(number, waiter, target, arbiter)
-            if await asked.news_within(again_s):
+            if pending.is_final:
+                return pending.reply
+            pause_s = min(2 * pause_s, MAX_WAITING_RETRY_S)
+
+    async def _request_until_replied(
+        self, number, pending, waiter, target, arbiter
+    ) -> bool:
+        """Sends the permit request until a reply arrives or it times out."""
+        retry_s = max(
+            MIN_REQUEST_RETRY_S,
+            REQUEST_RETRY_FRACTION * waiter.route.objective_s,
+        )
+        for _ in range(MAX_REQUEST_SENDS):
+            self._send_request(number, waiter, target, arbiter)
+            if await pending.wait_for_reply(retry_s):
                 return True
         return False
 
-    def _send_ask(self, number, waiter, target, arbiter) -> None:
+    def _send_request(self, number, waiter, target, arbiter) -> None:
         now = clocks.monotonic()
         gives_up_at = waiter.gives_up_at
-        ask = permit_messages.Ask(
+        request = permit_messages.PermitRequest(
             reports.short_run(self._peers.me.incarnation),
             number,
             "" if target is None else target.id,
@@ -328,33 +345,33 @@
             list(self._ended_by_node.get(arbiter.row.node, ())),
         )
         if target is None:
-            ask.service = waiter.service
-            ask.excluded = sorted(waiter.excluded)
+            request.service = waiter.service
+            request.excluded = sorted(waiter.excluded)
             if waiter.max_wait_s is not None:
-                ask.most_wait_ms = clocks.milliseconds(waiter.max_wait_s)
-        self._peers.send_permit(arbiter, self._encoder.encode(ask))
+                request.max_wait_ms = clocks.milliseconds(waiter.max_wait_s)
+        self._peers.send_permit(arbiter, self._encoder.encode(request))
         self._meters.permits.add("asked")
 
-    def _end(
+    def _send_release(
         self,
         number: int,
         pause_s: float = 0.0,
         slowdown: float | None = None,
     ) -> None:
-        """Reports that a request ended, or gave up waiting.
+        """Reports that a request ended, or no longer waits.
 
         Args:
-            number: The request.
-            pause_s: For how long its upstream is best passed over.
-            slowdown: How long work takes there over the usual, if known.
+            number: Number of the permit request.
+            pause_s: Remaining penalty of its upstream, in seconds.
+            slowdown: Current over usual work time there, if known.
         """
         arbiter = self._arbiter_by_number.pop(number)
         ended = self._ended_by_node.setdefault(
-            arbiter.row.node, collections.deque(maxlen=MOST_ENDED)
+            arbiter.row.node, collections.deque(maxlen=MAX_REPEATED_RELEASES)
         )
         ended.append(number)
         run = reports.short_run(self._peers.me.incarnation)
-        message = permit_messages.Ended(
+        message = permit_messages.PermitRelease(
             run,
             list(ended),
             clocks.milliseconds(pause_s),
@@ -371,29 +388,30 @@
             )
             logs.logger.warning("permit message dropped", error=str(problem))
             return
-        if isinstance(message, permit_messages.Decided):
-            asked = self._asked.get(message.number)
-            if asked is not None:
-                asked.note(message)
+        if isinstance(message, permit_messages.PermitReply):
+            pending = self._pending.get(message.number)
+            if pending is not None:
+                pending.set_reply(message)
             return
         peer = self._peers.of_run(message.run)
         if peer is None:
-            # Its registration will follow, or this is of an earlier run.
+            # The sender isn't registered here yet, or this is from its
+            # previous run.
             return
-        if isinstance(message, permit_messages.Ended) and message.ended:
-            self._arbiter.note_outcome(peer, message)
+        if isinstance(message, permit_messages.PermitRelease) and message.ended:
+            self._arbiter.note_upstream_state(peer, message)
         for number in message.ended:
-            self._arbiter.end(peer, number)
-        if isinstance(message, permit_messages.Ask):
-            self._arbiter.decide(peer, message)
+            self._arbiter.end_permit(peer, number)
+        if isinstance(message, permit_messages.PermitRequest):
+            self._arbiter.handle_request(peer, message)
 
 
 def _refused(
-    decided: permit_messages.Decided, target: targets.Target | None
+    reply: permit_messages.PermitReply, target: targets.Target | None
 ) -> outcomes.RejectedError:
     overload = admission.Rejection(
-        decided.retry_after_ms / 1000,
-        decided.wait_ms / 1000,
+        reply.retry_after_ms / 1000,
+        reply.wait_ms / 1000,
         None if target is None else target.id,
     )
     return gate_lib.rejected_error(overload)
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -154,7 +154,7 @@
         self,
         service: ids.ServiceName,
         maps: renewals.KeyMaps,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         renewer: renewals.GrantRenewer,
         leader_state: leadership.Leadership,
         control: interfaces.UpstreamControl,
@@ -332,7 +332,7 @@
         """
         target = self._book.by_id.get(owner)
         now = clocks.monotonic()
-        if target is None or target.is_gone or target.is_failing:
+        if target is None or target.is_unregistered or target.is_failing:
             return
         if not source.may_keep(now):
             return
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -166,7 +166,7 @@
     def __init__(
         self,
         maps: KeyMaps,
-        book: targets.TargetBook,
+        book: targets.TargetTable,
         peers: gossip.Peers,
         control: interfaces.UpstreamControl,
         authority: Authority,
@@ -445,7 +445,7 @@
     def _has_restarted(self, key_map: keymap.KeyMap, owner) -> bool:
         """Whether an owner restarted since its slots were assigned to it."""
         target = self._book.by_id.get(owner)
-        return target is not None and target.upstream.is_life_after(
+        return target is not None and target.upstream.has_restarted_since(
             key_map.started_ms.get(owner, 0)
         )
 
--- a/src/swiftstile/gateway/settings.py
+++ b/src/swiftstile/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway process, read from an INI file and checked."""
+"""Settings of a gateway process: reads and validates an INI file."""
 
 import pathlib
 import re
@@ -16,23 +16,23 @@
     "NodeSettings",
     "StoreSettings",
     "load",
-    "seconds",
+    "parse_seconds",
 ]
 
 
 class NodeSettings(msgspec.Struct, frozen=True):
-    """[vm]: what this VM is and where it listens.
+    """Section [vm]: identity and addresses of this VM.
 
     Attributes:
         id: Name of the VM.
-        failure_domain: Where it runs.
+        failure_domain: Its failure domain.
         listen: `host:port` for callers.
-        ready: `host:port` of the page that the balancer asks.
-        peers: `host:port` of datagrams of other VMs.
+        ready: `host:port` of the readiness page for the load balancer.
+        peers: `host:port` for datagrams from other VMs.
         metrics: `host:port` of the metrics endpoint; empty for none.
-        seeds: `host:port` of VMs that may be asked for rows while the store
-            is away. Only the hosts count: the port is that of `peers`.
-        link_mbps: Bandwidth of its link, in Mbit/s; 0 if it isn't known.
+        seeds: `host:port` of VMs that may be asked for rows while the store is
+            unavailable. Only the hosts are used: the port is that of `peers`.
+        link_mbps: Bandwidth of its link, in Mbit/s; 0 if unknown.
     """
 
     id: model.NodeId
@@ -46,11 +46,11 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True):
-    """[store]: the platform's store.
+    """Section [store]: the platform's store.
 
     Attributes:
         address: `host:port`.
-        row_bytes: Longest value of a row, in bytes.
+        row_bytes: Maximum length of a row's value, in bytes.
     """
 
     address: str
@@ -58,14 +58,14 @@
 
 
 class BoundSettings(msgspec.Struct, frozen=True):
-    """[bounds]: what the platform expects, as times with their unit.
+    """Section [bounds]: requirements of the platform; times have a unit.
 
     Attributes:
-        drain: A leaving upstream gets no request later than this.
-        grace: From the order to stop until the process is killed.
-        retry_ratio: Repeats allowed for each request.
-        retry_allowance: Repeats allowed besides, of all VMs together.
-        retry_window: Length of the window in which repeats are counted.
+        drain: Time after which a leaving upstream must get no requests.
+        grace: Time from the stop signal until the process is killed.
+        retry_ratio: Retries allowed per request.
+        retry_allowance: Additional retries per window, for all VMs together.
+        retry_window: Length of the window in which retries are counted.
     """
 
     drain: str = "2000ms"
@@ -98,8 +98,8 @@
     ("vm", "metrics"),
     ("store", "address"),
 )
-# A template of the platform leaves these empty where a field is missing.
-_NEVER_EMPTY = (
+# The platform's settings template leaves these empty if a field is missing.
+_NON_EMPTY = (
     ("vm", "id"),
     ("vm", "failure_domain"),
     ("vm", "listen"),
@@ -107,41 +107,41 @@
     ("vm", "peers"),
     ("store", "address"),
 )
-_TIMES = ("drain", "grace", "retry_window")
-_TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
+_DURATIONS = ("drain", "grace", "retry_window")
+_DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
 _UNITS_S = {"ms": 0.001, "s": 1.0}
 
 
-def seconds(text: str) -> float:
-    """Returns a time such as `1500ms` or `2.5s`, in seconds.
+def parse_seconds(text: str) -> float:
+    """Returns a duration such as `1500ms` or `2.5s`, in seconds.
 
     Raises:
-        ValueError: It has another form.
+        ValueError: The text isn't a duration.
     """
-    match = _TIME.fullmatch(text)
+    match = _DURATION.fullmatch(text)
     if match is None:
         raise ValueError(f"expected a time such as 1500ms or 2s, got {text!r}")
     return float(match[1]) * _UNITS_S[match[2]]
 
 
 def load(path: pathlib.Path) -> GatewaySettings:
-    """Reads a settings file.
+    """Reads and validates a settings file.
 
     Raises:
-        SettingsError: Names the file and every fault in it.
+        SettingsError: Lists all faults in the file.
     """
     sections, faults = ini.to_sections(ini.read(path), _SECTIONS, _REQUIRED)
-    faults += _bad_values(sections)
+    faults += _find_faults(sections)
     ini.raise_for(faults, path)
     return GatewaySettings(**sections)
 
 
-def _bad_values(sections) -> list[ini.Fault]:
+def _find_faults(sections) -> list[ini.Fault]:
     faults = [
         ini.Fault(section, option, "is empty")
-        for section, option in _NEVER_EMPTY
+        for section, option in _NON_EMPTY
         if getattr(sections.get(section), option, None) == ""
     ]
     checks = [(*where, settings_lib.split_address) for where in _ADDRESSES]
-    checks += [("bounds", option, seconds) for option in _TIMES]
+    checks += [("bounds", option, parse_seconds) for option in _DURATIONS]
     return faults + ini.bad_values(sections, checks)
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -64,8 +64,8 @@
     def __init__(
         self,
         service: ids.ServiceName,
-        book: targets.TargetBook,
-        speed_book: speeds.SpeedBook,
+        book: targets.TargetTable,
+        speed_book: speeds.SpeedTable,
         key_load_table: key_load.KeyLoadTable,
         work_s,
         now: float,
@@ -103,7 +103,7 @@
             owners: Upstreams that own keys.
         """
         group = self._book.by_service.get(self._service, {})
-        ratios = self._speeds.compared(group.keys(), now)
+        ratios = self._speeds.placement_ratios(group.keys(), now)
         staying = [
             target for target in group.values() if target.leaving_since is None
         ]
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -29,7 +29,7 @@
 from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
 from swiftstile.gateway import leadership
-from swiftstile.gateway import measures
+from swiftstile.gateway import measurements
 from swiftstile.gateway import membership
 from swiftstile.gateway import model
 from swiftstile.gateway import outage
@@ -126,7 +126,7 @@
         # Before this, an earlier run of this VM may have granted.
         self._started = self._now()
         vm = settings.vm
-        self._drain_s = settings_lib.seconds(settings.bounds.drain)
+        self._drain_s = settings_lib.parse_seconds(settings.bounds.drain)
         incarnation = ids.new_incarnation(ids.VmId(vm.id))
         self._node = reports.NodeRow(
             vm.id,
@@ -135,15 +135,15 @@
             vm.peers,
             link_mbps=vm.link_mbps,
         )
-        self._book = targets.TargetBook()
+        self._book = targets.TargetTable()
         self._maps = renewals.KeyMaps()
-        self._speeds = speeds.SpeedBook()
+        self._speeds = speeds.SpeedTable()
         self._heat = key_load.KeyLoadTable()
         self._suspects = suspects.SuspectTable()
         self._peers = gossip.Peers(
             self._node,
             self._on_report,
-            measures.Measures(self._speeds, self._heat),
+            measurements.MeasurementReporter(self._speeds, self._heat),
             self._meters,
         )
         self._readers = readers.StoreReaders(
@@ -187,7 +187,7 @@
         retry_budget = budget.RetryBudget(
             bounds.retry_ratio,
             bounds.retry_allowance,
-            settings_lib.seconds(bounds.retry_window),
+            settings_lib.parse_seconds(bounds.retry_window),
         )
         key_owners = owners.KeyOwners(
             self._maps,
@@ -236,7 +236,7 @@
         )
         pool = connections.ConnectionPool()
         self._handler = handler = handler_lib.RequestHandler(
-            permits.Permits(
+            permits.PermitClient(
                 self._peers,
                 gate,
                 arbiter,
@@ -305,7 +305,7 @@
             self._suspects,
             self._lines,
             self._make_keeper,
-            settings_lib.seconds(bounds.grace),
+            settings_lib.parse_seconds(bounds.grace),
             self._meters,
         )
         return self._daemon
--- a/tests/assigner_parts.py
+++ b/tests/assigner_parts.py
@@ -108,7 +108,7 @@
         )
         follower = types.SimpleNamespace(failing_since=None, version=0)
         self.key_load = key_load.KeyLoadTable()
-        self.speeds = speeds.SpeedBook()
+        self.speeds = speeds.SpeedTable()
         self.work_s: float | None = None
         self.max_ranges = max_ranges
         self.plan = slotplan.SlotPlan(
--- a/tests/load_simulation.py
+++ b/tests/load_simulation.py
@@ -253,6 +253,6 @@
             if other is vm:
                 continue
             for target in vm.book.by_id.values():
-                counted = (target.own, target.waiting, now)
-                other.book.by_id[target.id].peers[vm.name] = counted
+                counted = (target.in_flight, target.waiting, now)
+                other.book.by_id[target.id].peer_counts[vm.name] = counted
             self._dispatch(now, other)
--- a/tests/many_vms.py
+++ b/tests/many_vms.py
@@ -1,7 +1,7 @@
-"""One VM of a site with many, as the composition root makes it.
+"""One VM of a large site, as built by the composition root.
 
-It hears the VMs of its own failure domain and the leader, as an ordinary VM
-does where VMs are many. Nothing runs, and the time stands still.
+It has reports from the VMs of its own failure domain and from the leader, like
+an ordinary VM of a large site. No tasks run, and the clock is stopped.
 """
 
 import types
@@ -16,17 +16,17 @@
 from swiftstile.gateway import settings
 from tests import gateway_builders as builders
 
-__all__ = ["SIZES", "ManyVms", "Size"]
+__all__ = ["SIZES", "LargeSiteVm", "Size"]
 
 _LEADER_VERSION, _MAP_VERSION = 7, 5
 _SLOTS = 4096
-# VMs of a domain that are told as its readers.
+# VMs of each domain that report themselves as its readers.
 _READERS = 2
 _LEADER = 1
 
 
 class Size(msgspec.Struct, frozen=True):
-    """How large a site is: VMs, failure domains, and upstreams with keys."""
+    """Size of a site: VMs, failure domains, and upstreams that own keys."""
 
     vms: int
     domains: int
@@ -36,12 +36,12 @@
 SIZES = (Size(12, 2, 38), Size(80, 4, 110), Size(200, 5, 241))
 
 
-class ManyVms:
+class LargeSiteVm:
     """The last VM of a site.
 
     Attributes:
         daemon: Its daemon.
-        now: The time, on the steady clock.
+        now: The time on the monotonic clock.
     """
 
     def __init__(self, size: Size, monkeypatch):
@@ -128,14 +128,16 @@
         domains = len(self._domains)
         is_reader = number // domains < _READERS
         near = self._size.vms // domains
-        words = {n: reports.TableWord(1, 0.1) for n in self.daemon._followers}
+        table_words = {
+            n: reports.TableWord(1, 0.1) for n in self.daemon._followers
+        }
         own = self._domains[number % domains]
         return builders.report(
             self._row(number),
             is_leader=number == _LEADER,
             leader_version=_LEADER_VERSION,
             versions={builders.LOOKUPS: _MAP_VERSION},
-            tables=words if is_reader else {},
+            tables=table_words if is_reader else {},
             is_reader=is_reader,
             near_heard=near,
             far_heard={name: near for name in self._domains if name != own},
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -7,9 +7,9 @@
 
 from swiftstile.gateway import admission
 from swiftstile.gateway import budget
+from swiftstile.gateway import caller_retries
 from swiftstile.gateway import gate
 from swiftstile.gateway import model
-from swiftstile.gateway import returns
 from swiftstile.gateway import speeds
 from tests import gateway_builders as builders
 
@@ -96,7 +96,7 @@
     for number, waiter in enumerate(waiting):
         target = controller.select_target(waiter, 0.0)
         if target is not None:
-            target.own += 1
+            target.in_flight += 1
             one_by_one[number] = target.id
     assert together == one_by_one
 
@@ -133,13 +133,13 @@
 
 def test_requests_of_other_vms_count_as_load():
     book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
-    book.by_id["u-1"].peers["vm-2"] = (3, 0, 0.0)
+    book.by_id["u-1"].peer_counts["vm-2"] = (3, 0, 0.0)
     assert _admission(book).offer(builders.waiter(), 0.0).id == "u-2"
 
 
 def test_counts_of_unresponsive_peer_expire():
     book = builders.book(builders.upstream())
-    book.by_id["u-1"].peers["vm-2"] = (9, 9, 0.0)
+    book.by_id["u-1"].peer_counts["vm-2"] = (9, 9, 0.0)
     late = 10.0
     assert book.by_id["u-1"].occupied(late) == 0
     assert book.by_id["u-1"].waiting_elsewhere(late) == 0
@@ -369,29 +369,29 @@
 
 
 def test_retry_is_recognised_by_key_and_deadline():
-    book = returns.Returns()
-    book.expect(_retrying(7, 10.0, 0.8), back_at=10.1)
+    book = caller_retries.RetryTracker()
+    book.expect_retry(_retrying(7, 10.0, 0.8), retry_at=10.1)
     others = [
         _retrying(8, 10.1, 0.7),
         _retrying(7, 10.1, 0.75),
         _retrying(7, 10.02, 0.78),
     ]
     for other in others:
-        book.recognise(other, other.arrived)
+        book.match_retry(other, other.arrived)
         assert other.arrived > 10.0
     back = _retrying(7, 10.105, 0.693)
-    book.recognise(back, 10.105)
+    book.match_retry(back, 10.105)
     assert back.arrived == 10.0
     again = _retrying(7, 10.106, 0.694)
-    book.recognise(again, 10.106)
+    book.match_retry(again, 10.106)
     assert again.arrived == 10.106
 
 
 def test_expected_retries_that_do_not_arrive_expire():
-    book = returns.Returns()
+    book = caller_retries.RetryTracker()
     for number in range(100):
-        book.expect(_retrying(number, 10.0, 0.8), back_at=10.1)
-    book.recognise(_retrying(500, 11.0, 0.8), 11.0)
+        book.expect_retry(_retrying(number, 10.0, 0.8), retry_at=10.1)
+    book.match_retry(_retrying(500, 11.0, 0.8), 11.0)
     assert not book._by_key
 
 
@@ -427,7 +427,7 @@
         builders.upstream("u-1", state=model.UpstreamState.DRAINING), now=1.0
     )
     assert _admission(book).offer(builders.waiter(1.0), 1.0).id == "u-2"
-    assert not book.by_id["u-1"].takes_requests(3.1, drain_s=2.0)
+    assert not book.by_id["u-1"].accepts_requests(3.1, drain_s=2.0)
 
 
 def test_waiting_count_is_balanced_after_removals():
@@ -445,10 +445,10 @@
 
 def test_replaced_target_is_not_used():
     book = builders.book(builders.upstream("u-1", address="127.0.0.1:1"))
-    book.mark_gone("u-1", 1.0)
+    book.mark_unregistered("u-1", 1.0)
     book.put(builders.upstream("u-2", address="127.0.0.1:1"), 1.5)
     assert book.by_id["u-1"].is_replaced
-    assert not book.by_id["u-1"].takes_requests(1.5, drain_s=2.0)
+    assert not book.by_id["u-1"].accepts_requests(1.5, drain_s=2.0)
     # A delayed registration must not reactivate it.
     book.put(builders.upstream("u-1", address="127.0.0.1:1"), 1.6)
     assert book.by_id["u-1"].leaving_since is not None
@@ -456,48 +456,48 @@
 
 def test_retry_budget_is_a_fraction_of_the_requests():
     repeats = budget.RetryBudget(0.2, 50, 10.0)
-    repeats.set_vms(10)
+    repeats.set_vm_count(10)
     for _ in range(100):
         repeats.note_request(builders.LOOKUPS, 0.0)
     spent = 0
     while repeats.can_spend(builders.LOOKUPS, 1.0):
         repeats.spend(builders.LOOKUPS, 1.0)
         spent += 1
-    assert 0 < spent <= budget.SAFETY * (0.2 * 100 + 5)
+    assert 0 < spent <= budget.SAFETY_FACTOR * (0.2 * 100 + 5)
     # The sliding window has moved on.
     assert repeats.can_spend(builders.LOOKUPS, 11.5)
 
 
 def test_speeds_are_learned_from_all_vms_and_expire():
-    book = speeds.SpeedBook()
+    book = speeds.SpeedTable()
 
     def ratio(name: str, now: float) -> float:
-        return book.ratios(now).get(name, speeds.UNKNOWN_RATIO)
+        return book.ratios(now).get(name, speeds.DEFAULT_RATIO)
 
     told = {model.UpstreamId("u-1"): (200, 300)}
-    book.hear(model.NodeId("vm-2"), told, 0.0)
+    book.receive(model.NodeId("vm-2"), told, 0.0)
     assert ratio("u-1", 0.0) > 2.0
     assert ratio("u-1", 30.0) == 1.0
     for _ in range(20):
-        book.note("u-2", 4.0, 0.0)
+        book.add_sample("u-2", 4.0, 0.0)
     assert ratio("u-2", 0.0) > 3.0
     assert ratio("u-2", 40.0) < 1.2
-    assert speeds.SpeedBook().tell(0.0) == {}
+    assert speeds.SpeedTable().own_samples(0.0) == {}
 
 
 def test_speeds_differ_only_after_enough_responses():
-    book = speeds.SpeedBook()
+    book = speeds.SpeedTable()
     asked, unasked = model.UpstreamId("u-0"), model.UpstreamId("u-1")
     slow = model.UpstreamId("u-2")
     members = [asked, unasked, slow]
     for _ in range(4):
-        book.note(asked, 0.2, 0.0)
-        book.note(slow, 0.4, 0.0)
-    assert book.compared(members, 0.0) == dict.fromkeys(members, 1.0)
+        book.add_sample(asked, 0.2, 0.0)
+        book.add_sample(slow, 0.4, 0.0)
+    assert book.placement_ratios(members, 0.0) == dict.fromkeys(members, 1.0)
     for _ in range(40):
-        book.note(asked, 0.2, 0.0)
-        book.note(slow, 0.4, 0.0)
-    told = book.compared(members, 0.0)
+        book.add_sample(asked, 0.2, 0.0)
+        book.add_sample(slow, 0.4, 0.0)
+    told = book.placement_ratios(members, 0.0)
     assert told[asked] < told[unasked] < told[slow]
 
 
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -1,8 +1,8 @@
-"""What is sent to upstreams that are cold, by all VMs together.
+"""Tests the limit on requests to cold upstreams from all VMs together.
 
-What was seen: when an evacuated failure domain was taken back, its upstreams
-were cold, all VMs sent there at once, and single upstreams got more requests in
-a second than they bear, since no VM knows what the others are just sending.
+Guards against overload after an evacuation ends: the upstreams are cold, all
+VMs send to them at once, and no VM knows what the others are sending, so single
+upstreams get more requests a second than they can take.
 """
 
 import pytest
@@ -18,7 +18,7 @@
 
 _PER_S = 5.9
 _COLD_S = 3.0
-# What the platform allows in any second.
+# Requests that the platform allows in any one second.
 _ALLOWED = 1.5 * _PER_S + 8
 _NODES = ("vm-1", "vm-2", "vm-3")
 
@@ -36,7 +36,7 @@
     return load_simulation.Simulation(load).run()
 
 
-def _most_to_a_cold_one(result: load_simulation.Result) -> int:
+def _max_rate_at_a_cold_upstream(result: load_simulation.Result) -> int:
     return max(
         result.most_in_a_second(f"u-{number}", _COLD_S)
         for number in range(_LOAD.cold_upstreams)
@@ -44,62 +44,62 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_all_vms_together_stay_within_what_a_cold_upstream_bears(seed):
+def test_all_vms_together_stay_within_the_limit_of_a_cold_upstream(seed):
     result = _play(cold_per_s=_PER_S, seed=seed)
-    assert 0 < _most_to_a_cold_one(result) <= _PER_S
-    # The load is one that breaks the bound otherwise.
-    assert _most_to_a_cold_one(_play(seed=seed)) > _ALLOWED
+    assert 0 < _max_rate_at_a_cold_upstream(result) <= _PER_S
+    # Without the limit the same load exceeds the bound.
+    assert _max_rate_at_a_cold_upstream(_play(seed=seed)) > _ALLOWED
 
 
-def test_callers_lose_little_by_it():
-    # Two thirds of the upstreams are warm and bear all of the load.
+def test_most_requests_are_in_time_despite_the_limit():
+    # Two thirds of the upstreams are warm and can take the whole load.
     result = _play(cold_per_s=_PER_S, per_s=150.0)
     assert result.share_in_time > 0.95
 
 
-def _limits(book, me: str, domain=builders.HOME, is_registered=True):
-    """Returns the limits of one of three VMs at home and one away."""
+def _limits(table, me: str, domain=builders.HOME, is_registered=True):
+    """Returns the limits of one VM; three VMs are at home and one away."""
     rows = [builders.node_row(name) for name in _NODES]
     rows.append(builders.node_row("vm-away", domain=builders.AWAY))
     own = builders.node_row(me, domain=domain)
     peers = gossip.Peers(own, lambda *_: None)
     for row in rows:
         peers.apply(row, row.node, 0.0)
-    made = coldstart.ColdLimits(book, peers, lambda: is_registered)
+    made = coldstart.ColdLimits(table, peers, lambda: is_registered)
     service = builders.service(cold_per_s=_PER_S, cold_start_s=_COLD_S)
     made.set_services({builders.LOOKUPS: service})
     return made
 
 
-def _cold(now: float = 0.0) -> tuple[targets.TargetBook, targets.Target]:
-    book = builders.book(builders.upstream("u-1", cold_s=_COLD_S), now=now)
-    return book, book.by_id["u-1"]
+def _cold(now: float = 0.0) -> tuple[targets.TargetTable, targets.Target]:
+    table = builders.book(builders.upstream("u-1", cold_s=_COLD_S), now=now)
+    return table, table.by_id["u-1"]
 
 
-def _senders(target, book) -> list[str]:
+def _senders(target, table) -> list[str]:
     return [
-        name for name in _NODES if _limits(book, name).may_send(target, 0.1)
+        name for name in _NODES if _limits(table, name).may_send(target, 0.1)
     ]
 
 
-def test_one_vm_of_its_domain_sends_and_after_that_all_do():
-    book, target = _cold()
-    assert len(_senders(target, book)) == 1
-    away = _limits(book, "vm-away", domain=builders.AWAY)
-    assert away.is_barred(target, 0.1)
+def test_one_vm_of_the_domain_sends_until_the_upstream_is_warm():
+    table, target = _cold()
+    assert len(_senders(target, table)) == 1
+    away = _limits(table, "vm-away", domain=builders.AWAY)
+    assert away.is_blocked(target, 0.1)
     assert away.may_send(target, _COLD_S)
     assert not away.is_limited(target, _COLD_S)
 
 
-def _most_in_a_second(vms: int, per_s: float) -> int:
-    """Returns what VMs send that each take themselves for the only sender."""
-    book, _ = _cold()
+def _max_sends_in_a_second(vms: int, per_s: float) -> int:
+    """Returns the sends of VMs that each consider themselves the sender."""
+    table, _ = _cold()
     sends = []
     for number in range(vms):
-        # Each has its own view of the upstream, and is a moment behind.
+        # Each has its own state of the upstream and starts 1 ms later.
         _, target = _cold()
         peers = gossip.Peers(builders.node_row(), lambda *_: None)
-        limits = coldstart.ColdLimits(book, peers, lambda: True)
+        limits = coldstart.ColdLimits(table, peers, lambda: True)
         service = builders.service(cold_per_s=per_s)
         limits.set_services({builders.LOOKUPS: service})
         for tick in range(number, int(_COLD_S * 1000), 1):
@@ -112,74 +112,74 @@
 
 
 @pytest.mark.parametrize("per_s", [0.5, 1.0, 2.0, 5.9, 10.0, 40.0, 200.0])
-def test_two_that_disagree_stay_within_the_allowance(per_s):
-    assert _most_in_a_second(2, per_s) <= 1.5 * per_s + 8
+def test_two_concurrent_senders_stay_within_the_allowance(per_s):
+    assert _max_sends_in_a_second(2, per_s) <= 1.5 * per_s + 8
 
 
-def test_so_do_three_at_a_low_rate():
-    assert _most_in_a_second(3, _PER_S) <= _ALLOWED
+def test_three_concurrent_senders_stay_within_it_at_a_low_rate():
+    assert _max_sends_in_a_second(3, _PER_S) <= _ALLOWED
 
 
-def test_where_its_domain_has_no_vm_one_of_all_sends():
-    book = builders.book(
+def test_a_vm_of_another_domain_sends_if_the_own_domain_has_none():
+    table = builders.book(
         builders.upstream("u-1", cold_s=_COLD_S, failure_domain="third")
     )
-    target = book.by_id["u-1"]
-    away = _limits(book, "vm-away", domain=builders.AWAY)
-    sending = len(_senders(target, book)) + away.may_send(target, 0.1)
+    target = table.by_id["u-1"]
+    away = _limits(table, "vm-away", domain=builders.AWAY)
+    sending = len(_senders(target, table)) + away.may_send(target, 0.1)
     assert sending == 1
 
 
 def test_a_vm_that_is_not_registered_sends_nothing():
-    # It knows nobody yet, and would take itself for the only one.
-    book, target = _cold()
+    # It knows no other VM yet, and would select itself as the sender.
+    table, target = _cold()
     assert not any(
-        _limits(book, name, is_registered=False).may_send(target, 0.1)
+        _limits(table, name, is_registered=False).may_send(target, 0.1)
         for name in _NODES
     )
 
 
 def test_a_service_without_a_rate_has_no_limit():
-    book, target = _cold()
-    limits = _limits(book, "vm-1")
+    table, target = _cold()
+    limits = _limits(table, "vm-1")
     limits.set_services({builders.LOOKUPS: builders.service()})
     assert all(limits.may_send(target, 0.1) for _ in range(100))
     limits.note_sent(target, 0.1)
     assert limits.may_send(target, 0.1)
 
 
-def test_one_that_says_that_it_is_cold_again_is_limited_again():
-    book, target = _cold()
-    limits = _limits(book, "vm-1")
+def test_an_upstream_that_reports_cold_again_is_limited_again():
+    table, target = _cold()
+    limits = _limits(table, "vm-1")
     assert not limits.is_limited(target, 10.0)
-    book.put(builders.upstream("u-1", cold_s=2.0), 10.0)
+    table.put(builders.upstream("u-1", cold_s=2.0), 10.0)
     assert limits.is_limited(target, 11.9)
-    # What it wrote before may be read after that.
-    book.put(builders.upstream("u-1", cold_s=0.0), 10.5)
+    # An older registration may be read later and must not shorten the limit.
+    table.put(builders.upstream("u-1", cold_s=0.0), 10.5)
     assert limits.is_limited(target, 11.9)
     assert not limits.is_limited(target, 12.0)
 
 
-def test_upstreams_that_are_taken_back_are_taken_for_cold():
-    book = builders.book(builders.upstream("u-1"))
-    limits = _limits(book, "vm-1")
-    book.evacuate(builders.HOME, 0.0)
-    book.take_back(builders.HOME, 20.0)
-    target = book.by_id["u-1"]
+def test_upstreams_count_as_cold_after_an_evacuation():
+    table = builders.book(builders.upstream("u-1"))
+    limits = _limits(table, "vm-1")
+    table.evacuate(builders.HOME, 0.0)
+    table.end_evacuation(builders.HOME, 20.0)
+    target = table.by_id["u-1"]
     assert limits.is_limited(target, 20.0 + _COLD_S - 0.1)
     assert not limits.is_limited(target, 20.0 + _COLD_S)
 
 
-class _Owned:
-    """A cold upstream that owns the key of each request, seen by one VM."""
+class _ColdOwner:
+    """A cold upstream that owns the key of each request, as one VM sees it."""
 
     def __init__(self, is_sender: bool):
-        self.book, self.target = _cold()
-        sender = _senders(self.target, self.book)[0]
+        self.table, self.target = _cold()
+        sender = _senders(self.target, self.table)[0]
         others = [name for name in _NODES if name != sender]
-        limits = _limits(self.book, sender if is_sender else others[0])
+        limits = _limits(self.table, sender if is_sender else others[0])
         self.decisions = admission.AdmissionController(
-            self.book, builders.HOME, 2.0, limits
+            self.table, builders.HOME, 2.0, limits
         )
 
     def offer(self, now: float, **changes):
@@ -189,32 +189,32 @@
 
 
 def test_requests_for_a_cold_owner_are_spaced():
-    owned = _Owned(is_sender=True)
-    assert owned.offer(0.1) is owned.target
-    assert owned.offer(0.1) is None
-    assert owned.decisions.dispatch(0.2) == ([], [])
-    spaced_at = 0.1 + 1 / (coldstart.RATE_PART * _PER_S)
-    assigned, _ = owned.decisions.dispatch(spaced_at)
+    cold_owner = _ColdOwner(is_sender=True)
+    assert cold_owner.offer(0.1) is cold_owner.target
+    assert cold_owner.offer(0.1) is None
+    assert cold_owner.decisions.dispatch(0.2) == ([], [])
+    spaced_at = 0.1 + 1 / (coldstart.RATE_FRACTION * _PER_S)
+    assigned, _ = cold_owner.decisions.dispatch(spaced_at)
     assert len(assigned) == 1
 
 
 def test_a_vm_that_cannot_ask_the_sender_sends_nothing_to_a_cold_owner():
-    owned = _Owned(is_sender=False)
-    # It could be served once the owner is warm.
-    assert owned.offer(0.1, timeout_s=9.0) is None
-    assert owned.decisions.dispatch(_COLD_S - 0.1) == ([], [])
-    assigned, _ = owned.decisions.dispatch(_COLD_S)
+    cold_owner = _ColdOwner(is_sender=False)
+    # The request can be served once the owner is warm.
+    assert cold_owner.offer(0.1, timeout_s=9.0) is None
+    assert cold_owner.decisions.dispatch(_COLD_S - 0.1) == ([], [])
+    assigned, _ = cold_owner.decisions.dispatch(_COLD_S)
     assert len(assigned) == 1
-    # One that can't wait so long is refused at once.
-    refused = _Owned(is_sender=False).offer(0.1, timeout_s=1.0)
+    # A request that can't wait that long is refused at once.
+    refused = _ColdOwner(is_sender=False).offer(0.1, timeout_s=1.0)
     assert isinstance(refused, admission.Rejection)
 
 
-class _Plan:
-    """A cold upstream and a warm one that may own keys."""
+class _PlanSetup:
+    """Upstreams that may own keys; each is cold or warm."""
 
     def __init__(self, *cold: bool):
-        self.book = builders.book(
+        self.table = builders.book(
             *(
                 builders.upstream(f"u-{number}", cold_s=_COLD_S * is_cold)
                 for number, is_cold in enumerate(cold, 1)
@@ -223,26 +223,26 @@
         parts = assigner_parts.Parts()
         self.plan = slotplan.SlotPlan(
             builders.LOOKUPS,
-            self.book,
+            self.table,
             parts.speeds,
             parts.key_load,
             lambda _: None,
             0.0,
-            _limits(self.book, "vm-1"),
+            _limits(self.table, "vm-1"),
         )
 
 
 def test_a_cold_upstream_gets_no_keys_until_it_is_warm():
-    plan = _Plan(True, False).plan
+    plan = _PlanSetup(True, False).plan
     assert set(plan.weights(0.1)) == {"u-2"}
     assert set(plan.weights(_COLD_S)) == {"u-1", "u-2"}
 
 
-def test_one_that_owns_keys_keeps_them():
-    plan = _Plan(True, False).plan
+def test_a_cold_upstream_keeps_the_keys_that_it_owns():
+    plan = _PlanSetup(True, False).plan
     assert set(plan.weights(0.1, {"u-1": [1]})) == {"u-1", "u-2"}
 
 
-def test_where_all_are_cold_they_get_keys_all_the_same():
-    plan = _Plan(True, True).plan
+def test_cold_upstreams_get_keys_if_all_are_cold():
+    plan = _PlanSetup(True, True).plan
     assert set(plan.weights(0.1)) == {"u-1", "u-2"}
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -56,7 +56,7 @@
         row = builders.node_row("vm-9", domain=builders.AWAY)
         peer = builders.peer(row, builders.report(row), clocks.monotonic() + 60)
         parts.peers.by_node[row.node] = peer
-        self.requested: list[permit_messages.Ask] = []
+        self.requested: list[permit_messages.PermitRequest] = []
         self._peers = parts.peers
         self._peers.send_permit = self._permit
         gate = gate_lib.Gate(
@@ -67,7 +67,7 @@
             self._peers, gate, self.book, lambda: False, meters
         )
         self.gate = gate
-        self.permits = permits.Permits(
+        self.permits = permits.PermitClient(
             self._peers, gate, arbiter, self.book, meters
         )
         self._owners = owners.KeyOwners(
@@ -99,11 +99,11 @@
 
     def _permit(self, peer, data: bytes) -> None:
         message = msgspec.msgpack.decode(data, type=permit_messages.Message)
-        if not isinstance(message, permit_messages.Ask):
+        if not isinstance(message, permit_messages.PermitRequest):
             return
         self.requested.append(message)
-        decided = permit_messages.Decided(
-            message.number, permit_messages.Verdict.GRANTED
+        decided = permit_messages.PermitReply(
+            message.number, permit_messages.PermitStatus.GRANTED
         )
         answer = msgspec.msgpack.encode(decided)
         asyncio.get_running_loop().call_soon(self._peers.on_permit, answer, "x")
@@ -207,7 +207,7 @@
     def __init__(self, monkeypatch, is_loaded: bool = True):
         self.clock = _Clock(monkeypatch, 0.0)
         self.store = _Store(self.clock)
-        self.book = targets.TargetBook()
+        self.book = targets.TargetTable()
         self.registry = registry.Registry(
             self.book, _decode, lambda: None, metrics.Meters()
         )
@@ -233,7 +233,7 @@
 
     def is_sent_to(self, at: float) -> bool:
         """Whether a request may be sent to the upstream at a time."""
-        return self.book.by_id["u-1"].takes_requests(at, _DRAIN_S)
+        return self.book.by_id["u-1"].accepts_requests(at, _DRAIN_S)
 
     def assert_sends_end_in_time(self, announced_at: float) -> None:
         """Checks that sends end in time after a leaving announcement."""
@@ -288,9 +288,7 @@
     vm = _Following(monkeypatch)
     vm.step(3.0, _rows(2, _LEAVING))
     announced_at = vm.clock.now
-    assert vm.is_sent_to(
-        announced_at + _DRAIN_S - targets.LEAVING_MARGIN_S - 0.1
-    )
+    assert vm.is_sent_to(announced_at + _DRAIN_S - targets.DRAIN_MARGIN_S - 0.1)
     vm.assert_sends_end_in_time(announced_at)
     vm.step(0.5, _rows(3, _READY))
     assert vm.is_sent_to(vm.clock.now + 60)
--- a/tests/unit/test_gateway_evacuation.py
+++ b/tests/unit/test_gateway_evacuation.py
@@ -22,11 +22,11 @@
 
 _KEY = 100
 _EVACUATED_AT = 50.0
-_CLOSED_AT = _EVACUATED_AT + targets.EVACUATED_SENDS_S
+_CLOSED_AT = _EVACUATED_AT + targets.EVACUATION_GRACE_S
 _DRAIN_S = 60.0
 
 
-def _book(*domains) -> targets.TargetBook:
+def _book(*domains) -> targets.TargetTable:
     """Returns upstreams `u-1`, `u-2`, ... in the domains."""
     return builders.book(
         *(
@@ -48,7 +48,7 @@
     book = _book(builders.HOME, builders.AWAY, builders.AWAY)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     assert _staying(book) == {"u-1"}
-    book.take_back(builders.AWAY, _CLOSED_AT)
+    book.end_evacuation(builders.AWAY, _CLOSED_AT)
     assert _staying(book) == {"u-1", "u-2", "u-3"}
 
 
@@ -57,7 +57,7 @@
     book.evacuate(builders.AWAY, _EVACUATED_AT)
     late = builders.upstream("u-9", failure_domain=builders.AWAY)
     target = book.put(late, _CLOSED_AT)
-    assert not target.takes_requests(_CLOSED_AT, _DRAIN_S)
+    assert not target.accepts_requests(_CLOSED_AT, _DRAIN_S)
     # Nor does one that registers there again.
     assert book.put(late, _CLOSED_AT + 1).leaving_since == _EVACUATED_AT
 
@@ -72,8 +72,8 @@
 def test_evacuated_owners_get_requests_for_a_limited_time():
     target = _book(builders.AWAY).by_id["u-1"]
     target.set_evacuated(_EVACUATED_AT)
-    assert target.takes_requests(_CLOSED_AT - 0.01, _DRAIN_S)
-    assert not target.takes_requests(_CLOSED_AT, _DRAIN_S)
+    assert target.accepts_requests(_CLOSED_AT - 0.01, _DRAIN_S)
+    assert not target.accepts_requests(_CLOSED_AT, _DRAIN_S)
 
 
 def test_a_draining_upstream_stays_away_when_its_domain_returns():
@@ -85,16 +85,16 @@
         state=model.UpstreamState.DRAINING,
     )
     book.put(drains, _EVACUATED_AT + 1)
-    book.take_back(builders.AWAY, _CLOSED_AT)
+    book.end_evacuation(builders.AWAY, _CLOSED_AT)
     assert book.by_id["u-1"].leaving_since == _EVACUATED_AT + 1
 
 
 def test_an_upstream_that_left_is_remembered_as_long_as_any_other():
     book = _book(builders.AWAY)
     book.evacuate(builders.AWAY, _EVACUATED_AT)
-    book.mark_gone("u-1", _EVACUATED_AT + 100)
-    assert book.sweep(_EVACUATED_AT + 110, registry.REMEMBER_S) == []
-    assert book.sweep(_EVACUATED_AT + 121, registry.REMEMBER_S) != []
+    book.mark_unregistered("u-1", _EVACUATED_AT + 100)
+    assert book.remove_departed(_EVACUATED_AT + 110, registry.REMEMBER_S) == []
+    assert book.remove_departed(_EVACUATED_AT + 121, registry.REMEMBER_S) != []
 
 
 def test_waiting_requests_are_checked_when_an_evacuation_changes():
@@ -164,7 +164,7 @@
     assert keys.offer(_CLOSED_AT - 0.01)[1] is keys.book.by_id["u-1"]
     waiter, offered = keys.offer(_CLOSED_AT)
     assert offered is None
-    keys.book.take_back(builders.AWAY, _CLOSED_AT)
+    keys.book.end_evacuation(builders.AWAY, _CLOSED_AT)
     assigned, refused = keys.decisions.dispatch(_CLOSED_AT + 0.1)
     assert [entry.waiter for entry in assigned] == [waiter]
     assert refused == []
@@ -207,7 +207,7 @@
         keys.book.evacuate(builders.AWAY, now[0])
         await tick()
         assert owning() == {"u-2": slotplan.SLOT_COUNT}
-        keys.book.take_back(builders.AWAY, now[0])
+        keys.book.end_evacuation(builders.AWAY, now[0])
         await tick()
         assert owning()["u-1"] > 0
 
--- a/tests/unit/test_gateway_exclusivity_concurrency.py
+++ b/tests/unit/test_gateway_exclusivity_concurrency.py
@@ -287,7 +287,7 @@
         ]
 
     def _crash_owner(self) -> None:
-        self._parts.book.mark_gone("u-1", self._clock.now)
+        self._parts.book.mark_unregistered("u-1", self._clock.now)
 
     def _replace_leader(self) -> None:
         """Makes another VM the leader; this one learns of it later."""
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -1,7 +1,8 @@
-"""What a VM does again and again, counted at 12, 80 and 200 VMs.
+"""Tests the cost of a VM's periodic work at sites of 12, 80 and 200 VMs.
 
-Counts of instructions, no times. A calm day of 195 VMs took more processor time
-than it may, most of it for work whose result was the same as before.
+The tests count interpreter instructions instead of time. They guard against
+periodic work that repeats unchanged results: with it, an idle site of 195 VMs
+used more processor time than allowed.
 """
 
 import asyncio
@@ -15,16 +16,16 @@
 from swiftstile.gateway import speeds
 from tests import gateway_builders as builders
 from tests import many_vms
-from tests import work_meter
+from tests import opcode_counter
 
-# Of what a steady count may miss straight growth, for what is done once.
-_LEEWAY = 1.2
-# Instructions for one more VM of the own domain.
-_NEAR_STEPS = 35
+# Tolerance above linear growth, for one-time work.
+_TOLERANCE = 1.2
+# Allowed instructions per additional VM of the own domain.
+_OPCODES_PER_NEAR_VM = 35
 
 
-class _StandingTask:
-    """The task that renews an upstream's grants, while nothing is due."""
+class _IdleTask:
+    """Stands in for a task that renews an upstream's grants, with none due."""
 
     def done(self) -> bool:
         return False
@@ -35,56 +36,58 @@
 
 @pytest.fixture(name="sites")
 def _sites(monkeypatch):
-    def stand_in(coroutine):
+    def idle_task(coroutine):
         coroutine.close()
-        return _StandingTask()
+        return _IdleTask()
 
-    monkeypatch.setattr(asyncio, "create_task", stand_in)
-    return [many_vms.ManyVms(size, monkeypatch) for size in many_vms.SIZES]
+    monkeypatch.setattr(asyncio, "create_task", idle_task)
+    return [many_vms.LargeSiteVm(size, monkeypatch) for size in many_vms.SIZES]
 
 
-def _steps(sites, call) -> list[int]:
-    """Returns what a call takes at each size, once it was done before."""
+def _opcodes(sites, call) -> list[int]:
+    """Returns the instructions of a repeated call at each size of site."""
     for site in sites:
         call(site)
-    return [work_meter.steps(lambda at=site: call(at)) for site in sites]
+    return [
+        opcode_counter.count_opcodes(lambda at=site: call(at)) for site in sites
+    ]
 
 
-def _grow_with_near_vms_at_most(counts: list[int], far_steps: int) -> None:
-    """Checks that VMs of other domains cost no more than so much each."""
+def _assert_growth_with_near_vms(counts: list[int], far_opcodes: int) -> None:
+    """Asserts a bound on the cost per VM of other domains."""
     first = many_vms.SIZES[0]
     for count, size in zip(counts, many_vms.SIZES, strict=True):
         near = size.vms // size.domains - first.vms // first.domains
         far = size.vms - first.vms - near
-        allowed = counts[0] + _NEAR_STEPS * near + far_steps * far
-        assert count <= _LEEWAY * allowed, counts
+        allowed = counts[0] + _OPCODES_PER_NEAR_VM * near + far_opcodes * far
+        assert count <= _TOLERANCE * allowed, counts
 
 
-def _grow_with_vms_at_most(counts: list[int]) -> None:
-    """Checks that a count grows no faster than the VMs do."""
+def _assert_growth_with_vms(counts: list[int]) -> None:
+    """Asserts that the cost grows at most linearly with the VMs."""
     first = many_vms.SIZES[0].vms
     for count, size in zip(counts, many_vms.SIZES, strict=True):
-        assert count <= _LEEWAY * counts[0] * size.vms / first, counts
+        assert count <= _TOLERANCE * counts[0] * size.vms / first, counts
 
 
-def test_sharing_upstreams_out_again_costs_no_more_for_each_vm(sites):
-    """Callers at 195 VMs were served late, by processes that were busy.
+def test_cost_of_dividing_upstreams_grows_at_most_linearly(sites):
+    """Dividing the upstreams must not iterate over all VMs per upstream.
 
-    Each VM worked out seven times a second, and at each change of a map, which
-    of 241 upstreams it looks after: for each of them it went through all VMs,
-    those of other domains included, which it doesn't hear at all. That was 6 ms
-    each time, 4% of a core (profile of one VM without a network); at 12 VMs it
-    is 0.1 ms.
+    Each VM computes which of 241 upstreams it is responsible for seven times a
+    second and at each change of a map. With a pass over all 195 VMs for each
+    upstream, including VMs of other domains from which it gets no reports, this
+    took 6 ms, 4% of a core (profile of one VM without a network); at 12 VMs it
+    takes 0.1 ms. Busy processes then answered callers late.
     """
-    _grow_with_vms_at_most(
-        _steps(
+    _assert_growth_with_vms(
+        _opcodes(
             sites, lambda site: site.daemon._renewing._update_tasks(site.now)
         )
     )
 
 
 @pytest.mark.parametrize(
-    ("far_steps", "ask"),
+    ("far_opcodes", "query"),
     [
         (10, lambda daemon, now: daemon._peers.circulation.to_tell(now)),
         (5, lambda daemon, now: daemon._peers.circulation.leaders()),
@@ -97,20 +100,20 @@
         ),
         (0, lambda daemon, now: daemon._tables_to_tell(now)),
     ],
-    ids=["to-tell", "leaders", "near-heard", "reachable", "tables"],
+    ids=["recipients", "leaders", "near-reachable", "reachable", "tables"],
 )
-def test_what_is_asked_of_near_vms_hardly_grows_with_far_ones(
-    sites, ask, far_steps
+def test_cost_of_near_vm_queries_hardly_grows_with_far_vms(
+    sites, query, far_opcodes
 ):
-    # Each of these went through all VMs, most with a call for each, 20 to 60
-    # times a second.
-    _grow_with_near_vms_at_most(
-        _steps(sites, lambda site: ask(site.daemon, site.now)), far_steps
+    # Guards against passes over all VMs: these queries run 20 to 60 times a
+    # second, and most made a call for each VM.
+    _assert_growth_with_near_vms(
+        _opcodes(sites, lambda site: query(site.daemon, site.now)), far_opcodes
     )
 
 
-def test_what_changes_is_shared_out_anew(sites):
-    # What is remembered must not outlive what it was worked out from.
+def test_the_cached_division_of_upstreams_follows_changes(sites):
+    # The cached division must be recomputed when its inputs change.
     site = sites[0]
     renewing, peers = site.daemon._renewing, site.daemon._peers
     renewing._update_tasks(site.now)
@@ -121,8 +124,10 @@
         peer.heard_at = site.now - 2.0
     renewing._update_tasks(site.now)
     alone = set(renewing._tasks)
-    book = site.daemon._book.by_id.values()
-    own = {t.id for t in book if t.upstream.failure_domain == peers.me.domain}
+    upstreams = site.daemon._book.by_id.values()
+    own = {
+        t.id for t in upstreams if t.upstream.failure_domain == peers.me.domain
+    }
     assert before < own
     assert own <= alone
     for peer in near:
@@ -145,59 +150,65 @@
     queue = site.daemon._gate.admission
     queue.vm_count = site.daemon._peers.circulation.near_heard(site.now)
     for target in site.daemon._book.by_id.values():
-        builders.occupy(target, 5 - target.own, site.now)
+        builders.occupy(target, 5 - target.in_flight, site.now)
     for _ in range(waiting):
         patient = builders.waiter(site.now, objective_s=60.0, timeout_s=90.0)
         assert queue.offer(patient, site.now) is None
     return queue
 
 
-def test_a_look_at_the_queue_goes_through_the_upstreams_once(sites):
-    # Fifty times a second each request that waited for a service went through
-    # all of its upstreams: 20 of them, with 72 upstreams, took a quarter of a
-    # core.
+def test_a_scan_of_the_queue_evaluates_the_upstreams_once(sites):
+    # Guards against a pass over all upstreams for each waiting request, 50
+    # times a second: 20 requests with 72 upstreams took a quarter of a core.
     site = sites[-1]
     one = _full_service(site, 1)
-    alone = work_meter.steps(lambda: one.dispatch(site.now))
+    alone = opcode_counter.count_opcodes(lambda: one.dispatch(site.now))
     _full_service(site, 19)
-    together = work_meter.steps(lambda: one.dispatch(site.now))
+    together = opcode_counter.count_opcodes(lambda: one.dispatch(site.now))
     assert len(one) == 20
     assert together < 3 * alone
 
 
 @pytest.mark.parametrize("is_compared", [True, False])
-def test_speeds_are_not_added_up_anew_for_each_vm_that_told(is_compared):
-    # The leader added up what 195 VMs told of 60 upstreams each, twice for each
-    # keyed service and 20 times a second.
+def test_cost_of_reading_speeds_does_not_grow_with_vms(is_compared):
+    # Guards against summation at each read: the leader summed the samples of
+    # 195 VMs for 60 upstreams each, twice per keyed service and 20 times a
+    # second.
     names = [f"u-{number}" for number in range(60)]
     counts = []
     for size in many_vms.SIZES:
-        book = speeds.SpeedBook()
+        table = speeds.SpeedTable()
         for number in range(size.vms):
-            book.hear(f"vm-{number}", dict.fromkeys(names, (9, 90)), 50.0)
-
-        def ask(now: float, of=book):
-            return of.compared(names, now) if is_compared else of.ratios(now)
-
-        ask(50.0)
-        counts.append(work_meter.steps(lambda again=ask: again(50.1)))
-    assert max(counts) <= _LEEWAY * min(counts), counts
+            table.receive(f"vm-{number}", dict.fromkeys(names, (9, 90)), 50.0)
+
+        def query(now: float, of=table):
+            return (
+                of.placement_ratios(names, now)
+                if is_compared
+                else of.ratios(now)
+            )
+
+        query(50.0)
+        counts.append(
+            opcode_counter.count_opcodes(lambda again=query: again(50.1))
+        )
+    assert max(counts) <= _TOLERANCE * min(counts), counts
 
 
 class _Network:
-    """Keeps what is sent, without what tells one run from another."""
+    """Records sent reports without the run, which differs between VMs."""
 
     def __init__(self):
         self.sent: list[tuple] = []
 
     def sendto(self, data: bytes, address) -> None:
         report = msgspec.msgpack.decode(data[2:], type=reports.Report)
-        told = msgspec.structs.replace(report, run="")
-        self.sent.append((data[:2], address, told))
+        report = msgspec.structs.replace(report, run="")
+        self.sent.append((data[:2], address, report))
 
 
-def _told_in_a_while(site, is_always_whole: bool) -> tuple[list, int]:
-    """Returns what a busy VM sent, and how many of its reports were whole."""
+def _reports_of_a_busy_vm(site, is_always_whole: bool) -> tuple[list, int]:
+    """Returns the reports that a busy VM sent, and how many were whole."""
     daemon, whole = site.daemon, 0
     peers = daemon._peers
     network = peers._transport = _Network()
@@ -207,7 +218,7 @@
     daemon._started = site.now
     for tick in range(160):
         site.now += peers._tick_s()
-        target.own = tick // 3 % 4
+        target.in_flight = tick // 3 % 4
         daemon._leads.version += tick % 40 == 0
         is_whole = is_always_whole or peers._needs_whole(site.now)
         whole += is_whole
@@ -217,18 +228,19 @@
 
 
 @pytest.mark.parametrize("size", many_vms.SIZES)
-def test_a_report_holds_what_only_its_domain_is_told_when_it_goes_there(
+def test_content_for_the_own_domain_is_only_built_for_its_reports(
     size, monkeypatch
 ):
-    # At 200 VMs a report was made 20 times a second and sent to the own domain
-    # twice; all the while the requests at each upstream were counted.
+    # Guards against unused content: at 200 VMs a report is made 20 times a
+    # second, but sent to the own domain only twice, and the requests at each
+    # upstream were counted for every report.
     ticks, start = 160, clocks.monotonic()
-    told = []
+    results = []
     for is_always_whole in (True, False):
-        site = many_vms.ManyVms(size, monkeypatch)
+        site = many_vms.LargeSiteVm(size, monkeypatch)
         site.now = start
-        told.append(_told_in_a_while(site, is_always_whole))
-    (expected, _), (sent, whole) = told
+        results.append(_reports_of_a_busy_vm(site, is_always_whole))
+    (expected, _), (sent, whole) = results
     assert expected
     assert sent == expected
     if size.vms >= 200:
--- a/tests/unit/test_gateway_key_assigner.py
+++ b/tests/unit/test_gateway_key_assigner.py
@@ -302,7 +302,7 @@
         parts = assigner_parts.Parts()
         parts.start()
         await parts.assigner.tick()
-        parts.book.mark_gone("u-1", key_assigner.clocks.monotonic())
+        parts.book.mark_unregistered("u-1", key_assigner.clocks.monotonic())
         parts.assigner._store_answered_at = 0.0
         parts.table.refuse = 10**6
         for _ in range(5):
--- a/tests/unit/test_gateway_keyed_load.py
+++ b/tests/unit/test_gateway_keyed_load.py
@@ -10,7 +10,7 @@
 import pytest
 
 from swiftstile.gateway import admission
-from swiftstile.gateway import returns
+from swiftstile.gateway import caller_retries
 from swiftstile.gateway import targets
 from tests import keyed_load_simulation
 
@@ -91,9 +91,15 @@
         # No request counts as late.
         (1.3, admission.Waiter, "is_late", _never, 0.04),
         # Retries of callers count as new requests.
-        (2.0, returns.Returns, "recognise", lambda *_: None, 0.04),
+        (
+            2.0,
+            caller_retries.RetryTracker,
+            "match_retry",
+            lambda *_: None,
+            0.04,
+        ),
         # A slightly longer service time makes an owner count as slow.
-        (2.0, targets, "OVERDUE", 1.4, 0.015),
+        (2.0, targets, "STALL_FACTOR", 1.4, 0.015),
     ],
 )
 def test_each_decision_rule_adds_value(
--- a/tests/unit/test_gateway_restart.py
+++ b/tests/unit/test_gateway_restart.py
@@ -33,14 +33,14 @@
     before = book.by_id["u-1"]
     builders.occupy(before, 4)
     before.note_failure(0.0)
-    before.peers["vm-2"] = (3, 1, 0.0)
+    before.peer_counts["vm-2"] = (3, 1, 0.0)
     after = book.put(_incarnation(_SECOND), 0.1)
     assert after is book.by_id["u-1"] is not before
     assert after.occupied(0.1) == 0 and not after.is_penalised(0.1)
     # Requests in flight to the earlier incarnation are counted there.
     assert before.is_replaced
     before.note_ended(-1)
-    assert after.own == 0
+    assert after.in_flight == 0
 
 
 def test_a_repeated_registration_changes_nothing():
@@ -52,10 +52,10 @@
 
 def test_an_upstream_that_left_and_restarts_is_used():
     book = builders.book(_incarnation(_FIRST))
-    book.mark_gone("u-1", 1.0)
-    assert not book.by_id["u-1"].takes_requests(9.0, drain_s=2.0)
+    book.mark_unregistered("u-1", 1.0)
+    assert not book.by_id["u-1"].accepts_requests(9.0, drain_s=2.0)
     book.put(_incarnation(_SECOND), 9.0)
-    assert book.by_id["u-1"].takes_requests(9.0, drain_s=2.0)
+    assert book.by_id["u-1"].accepts_requests(9.0, drain_s=2.0)
 
 
 def test_a_map_records_the_incarnation_that_slots_were_assigned_to():
--- a/tests/unit/test_gateway_slotplan.py
+++ b/tests/unit/test_gateway_slotplan.py
@@ -51,7 +51,7 @@
     # Only u-1 got requests so far, which says nothing about the speed of u-2.
     parts = assigner_parts.Parts()
     for _ in range(20):
-        parts.speeds.note("u-1", 0.2, _NOW)
+        parts.speeds.add_sample("u-1", 0.2, _NOW)
     weights = parts.plan.weights(_NOW)
     assert weights["u-1"] == pytest.approx(weights["u-2"])
 
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -157,8 +157,8 @@
 
 class _Dialect:
 
-    def read_request(self, headers):
-        return interfaces.Inbound("attempt-1", 1.0, None)
+    def parse_request(self, headers):
+        return interfaces.RequestMetadata("attempt-1", 1.0, None)
 
 
 def _handler(operations: follow.TableFollower) -> handler_lib.RequestHandler:
@@ -241,7 +241,7 @@
 
 class _NoShares:
 
-    def draw(self, route):
+    def next_service(self, route):
         return builders.LOOKUPS
 
 
--- a/tests/unit/test_route_lookup.py
+++ b/tests/unit/test_route_lookup.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request among the routes of its host."""
+"""Tests the lookup of a request's route among the routes of its host."""
 
 import hypothesis
 from hypothesis import strategies
@@ -6,9 +6,9 @@
 from swiftstile.gateway import model
 from tests import gateway_builders as builders
 
-# As many on one host as on a large deployment.
+# Routes of one host in a large deployment.
 ROUTES = 1470
-# Steps that one look-up may take there, whatever the path.
+# Maximum steps of a lookup among them, for any path.
 MAX_STEPS = 16
 
 _PARTS = strategies.sampled_from(["", "/", "a", "b", "aa", "é"])
@@ -17,7 +17,7 @@
 
 
 class _CountingPath(str):
-    """A path that counts the comparisons and cuts made of it."""
+    """A path that counts its prefix comparisons and slices."""
 
     steps = 0
 
@@ -45,10 +45,10 @@
     _HOSTS,
     _PATHS,
 )
-def test_a_look_up_answers_as_a_scan_of_all_routes(places, host, path):
+def test_a_lookup_matches_a_linear_scan(prefixes, host, path):
     routes = [
         builders.route(name=f"r-{number}", host=of_host, prefix=prefix)
-        for number, (of_host, prefix) in enumerate(places)
+        for number, (of_host, prefix) in enumerate(prefixes)
     ]
     config = builders.config(1, *routes)
     assert config.find(host, path) is _scan(routes, host, path)
@@ -59,8 +59,8 @@
     assert builders.config(1, first, second).find("a.example", "/a/") is first
 
 
-def test_a_look_up_does_not_grow_with_routes_and_slashes():
-    """Steps of a look-up: 1470 when each route is compared, 4 by prefix."""
+def test_the_cost_of_a_lookup_does_not_grow_with_routes_and_slashes():
+    """A scan of all routes takes 1470 steps; a lookup by prefix length 4."""
     routes = [
         builders.route(name=f"r-{number}", prefix=f"/area/item-{number}/")
         for number in range(ROUTES)
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -67,9 +67,8 @@
     _off(
         "permits from one VM an owner",
         "permits",
-        "            arbiter = None if target is None else"
-        " self._arbiters.of(target, now)",
-        "            arbiter = None",
+        "                arbiter = self._selector.arbiter_of(target, now)",
+        "                pass",
     ),
     _off(
         "one VM of a domain assigns slots without owners",
@@ -81,8 +80,8 @@
     _off(
         "slowdowns that upstreams report",
         "targets",
-        "SLOWDOWN_LIFE_S = 0.2",
-        "SLOWDOWN_LIFE_S = 0.0",
+        "SLOWDOWN_TTL_S = 0.2",
+        "SLOWDOWN_TTL_S = 0.0",
     ),
     _off(
         "ranges as wide as links ask for",
@@ -92,9 +91,9 @@
     ),
     _off(
         "returning callers are known",
-        "returns",
-        "        if not fitting:",
-        "        if fitting or not fitting:",
+        "caller_retries",
+        "        if not matches:",
+        "        if matches or not matches:",
     ),
     _off(
         "lookups wait beyond their objective",
@@ -131,8 +130,8 @@
     _off(
         "slow only beyond three times the usual",
         "targets",
-        "OVERDUE = 3.0",
-        "OVERDUE = 1.4",
+        "STALL_FACTOR = 3.0",
+        "STALL_FACTOR = 1.4",
     ),
     _off(
         "sheds with room return soon",
@@ -173,15 +172,16 @@
     _off(
         "speeds from all VMs' answers",
         "speeds",
-        "        self._peers.hear(node, samples, now)",
+        "        self._peers.receive(node, samples, now)",
         "        del node, samples, now",
     ),
     _off(
         "counts from other VMs",
         "targets",
-        "            if now - heard < PEER_COUNT_LIFE_S\n        )\n\n"
+        "            if now - reported_at < PEER_COUNT_TTL_S\n        )\n\n"
+        "    def waiting_elsewhere",
+        "            if now < reported_at\n        )\n\n"
         "    def waiting_elsewhere",
-        "            if now < heard\n        )\n\n    def waiting_elsewhere",
     ),
     _off(
         "home first",
@@ -216,8 +216,8 @@
     _off(
         "second sends",
         "budget",
-        "        return repeats + 1 <= SAFETY * bound",
-        "        return repeats + 1 <= 0 * bound",
+        "        return retries + 1 <= SAFETY_FACTOR * bound",
+        "        return retries + 1 <= 0 * bound",
     ),
     _off(
         "a successor knows its predecessor's marks",
