--- a/src/swiftstile/gateway/authority.py
+++ b/src/swiftstile/gateway/authority.py
@@ -78,7 +78,7 @@
         # How old handed-on word is rests on the one that hands it on, which may
         # have stood still meanwhile.
         followers = sum(
-            peer.is_heard_directly(now, FRESH_S)
+            peer.reported_directly(now, FRESH_S)
             and peer.report.leader_version == self._leads.version
             for peer in self._peers.by_node.values()
         )
@@ -109,7 +109,11 @@
     def _able_leader(self, now: float) -> reports.Peer | None:
         """Returns the leader, if it gives this VM the right to renew."""
         leader = self._leader(now)
-        if leader is None or not leader.report.is_able or not leader.hears_us:
+        if (
+            leader is None
+            or not leader.report.can_renew
+            or not leader.receives_us
+        ):
             return None
         return leader
 
@@ -118,7 +122,7 @@
         if row is None:
             return None
         peer = self._peers.by_node.get(row.node)
-        if peer is None or not peer.is_heard_directly(now, FRESH_S):
+        if peer is None or not peer.reported_directly(now, FRESH_S):
             return None
         is_same = (
             peer.report.is_leader
--- a/src/swiftstile/gateway/circulation.py
+++ b/src/swiftstile/gateway/circulation.py
@@ -162,11 +162,11 @@
 
     def leaders(self) -> list[reports.Peer]:
         """Returns the far peers that believe to lead."""
-        return [peer for peer in self._places.far if peer.claims_lead]
+        return [peer for peer in self._places.far if peer.claims_leadership]
 
     def near_heard(self, now: float) -> int:
         """Returns how many VMs of its own domain are heard, with itself."""
-        return 1 + len(reports.heard(self._places.near, now))
+        return 1 + len(reports.live_peers(self._places.near, now))
 
 
 class ToEveryVm(Circulation):
@@ -196,7 +196,11 @@
     def heard(self, now: float) -> int:
         """See base class."""
         near, far = self._places.near, self._places.far
-        return 1 + len(reports.heard(near, now)) + len(reports.heard(far, now))
+        return (
+            1
+            + len(reports.live_peers(near, now))
+            + len(reports.live_peers(far, now))
+        )
 
 
 class ThroughReaders(Circulation):
@@ -223,7 +227,7 @@
     def thin(self, report: reports.Report) -> reports.Report:
         """See base class."""
         return msgspec.structs.replace(
-            report, shared={}, local={}, tables={}, far_heard={}
+            report, shared={}, local={}, tables={}, far_live={}
         )
 
     def to_tell(self, now: float) -> tuple[int, dict[ids.FailureDomain, int]]:
@@ -241,15 +245,15 @@
     def _far_heard(self, now: float) -> dict[ids.FailureDomain, int]:
         """Returns VMs of other domains, as this VM or its readers know."""
         most = self._told_by_far(now)
-        for peer in reports.heard(self._places.near, now):
-            for domain, told in peer.report.far_heard.items():
+        for peer in reports.live_peers(self._places.near, now):
+            for domain, told in peer.report.far_live.items():
                 most[domain] = max(most.get(domain, 0), told)
         return most
 
     def _told_by_far(self, now: float) -> dict[ids.FailureDomain, int]:
         most: dict[ids.FailureDomain, int] = {}
-        for peer in reports.heard(self._places.far, now):
-            domain, told = peer.row.domain, max(1, peer.report.near_heard)
+        for peer in reports.live_peers(self._places.far, now):
+            domain, told = peer.row.domain, max(1, peer.report.near_live)
             most[domain] = max(most.get(domain, 0), told)
         return most
 
@@ -262,6 +266,8 @@
         for peers in by_domain.values():
             chosen += peers[:LIKELY_READERS]
             chosen += [
-                peer for peer in peers[LIKELY_READERS:] if peer.claims_to_read
+                peer
+                for peer in peers[LIKELY_READERS:]
+                if peer.claims_reader_role
             ]
         return chosen
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -211,12 +211,12 @@
             self._tables_to_tell(now) if is_whole else {},
             self._store_readers.is_reader(now),
             *self._peers.circulation.to_tell(now),
-            up_s=round(now - self._started, 3),
+            uptime_s=round(now - self._started, 3),
             grants_end_s=self._renewing.grants_end_s(now),
             suspicions=self._suspects.tell(now),
         )
 
-    def _tables_to_tell(self, now: float) -> dict[str, reports.TableWord]:
+    def _tables_to_tell(self, now: float) -> dict[str, reports.TableStatus]:
         words = {
             name: follower.word(now)
             for name, follower in self._followers.items()
@@ -237,29 +237,29 @@
         """Takes in how busy targets are by a peer's requests."""
         node = peer.row.node
         counts = peer.report.shared | peer.report.local
-        if counts or peer.told_of:
+        if counts or peer.reported_upstreams:
             self._note_counts(peer, counts, now)
         if peer.report.tables:
             self._relay.note(peer, now)
-        if peer.report.heat:
-            self._heat.hear(node, peer.report.heat, now)
+        if peer.report.key_load:
+            self._heat.hear(node, peer.report.key_load, now)
         if peer.report.speeds:
             self._speeds.hear(node, peer.report.speeds, now)
         if peer.report.suspicions:
-            self._suspects.hear(peer.report.suspicions, peer.heard_at)
+            self._suspects.hear(peer.report.suspicions, peer.received_at)
         self._gate.note_report()
 
     def _note_counts(
         self, peer: reports.Peer, counts: reports.Counts, now: float
     ) -> None:
         by_id, node = self._book.by_id, peer.row.node
-        for name in peer.told_of - counts.keys():
+        for name in peer.reported_upstreams - counts.keys():
             if name in by_id:
                 by_id[name].peers.pop(node, None)
         for name, counted in counts.items():
             if name in by_id:
                 by_id[name].peers[node] = (*counted, now)
-        peer.told_of = set(counts)
+        peer.reported_upstreams = set(counts)
 
     async def _housekeeping(self) -> None:
         while True:
--- a/src/swiftstile/gateway/domain_reports.py
+++ b/src/swiftstile/gateway/domain_reports.py
@@ -46,12 +46,12 @@
 
     Attributes:
         sequence: Its number.
-        heard_at: When it came, on the steady clock.
+        received_at: When it came, on the steady clock.
         data: The report, as it came.
     """
 
     sequence: int
-    heard_at: float
+    received_at: float
     data: bytes
 
 
@@ -88,7 +88,7 @@
         return likely + [
             peer
             for peer in near[circulation.LIKELY_READERS :]
-            if peer.claims_lead or peer.claims_to_read
+            if peer.claims_leadership or peer.claims_reader_role
         ]
 
     def gather(self, run: str, sequence: int, data: bytes, now: float) -> None:
@@ -104,7 +104,7 @@
             if len(one.data) > room:
                 batches.append([])
                 room = BATCH_BYTES
-            age_ms = round((now - one.heard_at) * 1000)
+            age_ms = round((now - one.received_at) * 1000)
             batches[-1].append(Entry(run, one.sequence, age_ms, one.data))
             room -= len(one.data)
         return [self._encoder.encode(batch) for batch in batches]
--- a/src/swiftstile/gateway/follow.py
+++ b/src/swiftstile/gateway/follow.py
@@ -279,14 +279,14 @@
         self.version = max(self.version, version)
         self._freshness.note_version(version, clocks.monotonic())
 
-    def word(self, now: float) -> reports.TableWord | None:
+    def word(self, now: float) -> reports.TableStatus | None:
         """Returns what others may rely on; None if there is nothing."""
         if not self._is_for_peers(now):
             return None
         if self.failing_since is not None or self.is_led(now):
             return None
         age_s = round(now - self.answered_at, 2)
-        return reports.TableWord(self.row_version, age_s)
+        return reports.TableStatus(self.row_version, age_s)
 
     def _is_for_peers(self, now: float) -> bool:
         """Whether peers rely on this VM's word, or may lack what is new."""
--- a/src/swiftstile/gateway/gossip.py
+++ b/src/swiftstile/gateway/gossip.py
@@ -58,7 +58,7 @@
     """Returns what all VMs should know soon when it changes."""
     return (
         report.is_leader,
-        report.is_able,
+        report.can_renew,
         report.leader_version,
         report.versions,
         report.unreachable,
@@ -147,16 +147,16 @@
             known = self.by_node[node] = reports.Peer(row, now)
         self._by_run[reports.short_run(row.incarnation)] = known
         if known.row.incarnation != row.incarnation:
-            known.note_run(row, now)
+            known.record_run(row, now)
         if row.is_retired and not known.row.is_retired:
             known.retired_at = now
         known.row = row
 
     def heard(
-        self, now: float, within_s: float = reports.SILENT_AFTER_S
+        self, now: float, within_s: float = reports.PEER_TIMEOUT_S
     ) -> list[reports.Peer]:
         """Returns the peers that told something lately."""
-        return reports.heard(self.by_node.values(), now, within_s)
+        return reports.live_peers(self.by_node.values(), now, within_s)
 
     def of_run(self, run: str) -> reports.Peer | None:
         """Returns the VM whose present run has a short name, if any."""
@@ -173,7 +173,7 @@
             peer
             for peer in self.places.all_in(domain)
             if not peer.row.is_retired
-            and (is_unheard or peer.is_heard(now))
+            and (is_unheard or peer.is_live(now))
             and not (peer.report is not None and peer.report.is_leaving)
         ]
 
@@ -186,7 +186,7 @@
             for peer in self.places.all_in(domain)
             if not peer.row.is_retired
         ]
-        return bool(known) and not any(peer.is_heard(now) for peer in known)
+        return bool(known) and not any(peer.is_live(now) for peer in known)
 
     def counted(self, now: float) -> list[reports.Peer]:
         """Returns the peers of which a majority is counted.
@@ -330,7 +330,7 @@
         """Hands on what VMs of this domain told since the last time."""
         for batch in self._domain.batches(now):
             for peer in self.places.near:
-                if not peer.row.is_retired or peer.is_heard(now):
+                if not peer.row.is_retired or peer.is_live(now):
                     self._transport.sendto(_BATCH + batch, _address(peer))
 
     def _send_far(self, report: reports.Report, now: float, to) -> None:
@@ -339,12 +339,14 @@
             return
         data = self._encoder.encode(report)
         to_leader = data
-        if any(peer.claims_lead for peer in to):
+        if any(peer.claims_leadership for peer in to):
             # Speeds and heat matter to the one that places keys.
             measured = self._with_measures(report, self._leader_pace, now)
             to_leader = self._encoder.encode(measured)
         for peer in to:
-            self._send_to(peer, to_leader if peer.claims_lead else data, now)
+            self._send_to(
+                peer, to_leader if peer.claims_leadership else data, now
+            )
 
     def _with_measures(
         self, report: reports.Report, pace: measures_lib.Pace, now: float
@@ -358,11 +360,11 @@
     ) -> None:
         if data is None:
             return
-        if peer.row.is_retired and not peer.is_heard(now):
+        if peer.row.is_retired and not peer.is_live(now):
             return
         # A retired VM doesn't count as heard until it registers anew: it may
         # not know yet, and must not act on our word.
-        is_counted = peer.is_heard(now) and not peer.row.is_retired
+        is_counted = peer.is_live(now) and not peer.row.is_retired
         word = _HEARD if is_counted else _NOT_HEARD
         self._transport.sendto(_REPORT + word + data, _address(peer))
 
@@ -385,7 +387,7 @@
             self.on_permit(data[1:], sender)
 
     def _receive_report(
-        self, data: bytes, hears_us: bool, sender, now: float
+        self, data: bytes, receives_us: bool, sender, now: float
     ) -> None:
         try:
             report = self._decoder.decode(data)
@@ -400,9 +402,9 @@
         if known is not None and known.sequence >= report.sequence:
             if known.sequence == report.sequence:
                 # A batch was quicker.
-                peer.note_direct(now, hears_us)
+                peer.record_direct_receipt(now, receives_us)
             return
-        peer.note_report(report, now, hears_us)
+        peer.record_direct_report(report, now, receives_us)
         if peer.row.domain == self.me.domain:
             self._domain.gather(report.run, report.sequence, data, now)
         self._on_report(peer, now)
@@ -425,7 +427,7 @@
         if known is not None and known.sequence >= entry.sequence:
             return
         report = self._decoder.decode(entry.data)
-        peer.note_word(report, now - entry.age_ms / 1000)
+        peer.record_report(report, now - entry.age_ms / 1000)
         self._on_report(peer, now)
 
     def _note_malformed(self, error: msgspec.MsgspecError, sender) -> None:
--- a/src/swiftstile/gateway/leadership.py
+++ b/src/swiftstile/gateway/leadership.py
@@ -168,19 +168,19 @@
         leader = self._peers.by_node.get(self.row.node)
         if leader is None or leader.row.incarnation != self.row.incarnation:
             return True
-        if leader.is_heard(now):
+        if leader.is_live(now):
             self._silent_since = None
             return self._gave_up(leader.report, now)
         if self._silent_since is None:
             # Where VMs are many, one of another domain says nothing here before
             # it leads.
             self._silent_since = max(
-                leader.heard_at, leader.changed_at, self._applied_at
+                leader.received_at, leader.run_began_at, self._applied_at
             )
         known = self._peers.counted(now)
         heard = self._peers.circulation.heard(now)
         silent_s = now - self._silent_since
-        if silent_s < reports.SILENT_AFTER_S:
+        if silent_s < reports.PEER_TIMEOUT_S:
             return False
         return 2 * heard > len(known) or silent_s > LONG_SILENCE_S
 
@@ -189,7 +189,7 @@
         if report.is_leaving:
             return True
         is_just_back = now - self._follower.recovered_at < LEADER_RETURNS_S
-        return report.store_silent_s > STORELESS_S and not is_just_back
+        return report.store_unresponsive_s > STORELESS_S and not is_just_back
 
     async def _take_over(self) -> None:
         me = self._peers.me
--- a/src/swiftstile/gateway/measures.py
+++ b/src/swiftstile/gateway/measures.py
@@ -58,5 +58,5 @@
         if not told_speeds and not told_heat:
             return report
         return msgspec.structs.replace(
-            report, speeds=told_speeds, heat=told_heat
+            report, speeds=told_speeds, key_load=told_heat
         )
--- a/src/swiftstile/gateway/membership.py
+++ b/src/swiftstile/gateway/membership.py
@@ -97,7 +97,7 @@
             return
         now = clocks.monotonic()
         for peer in list(self._peers.by_node.values()):
-            last = max(peer.heard_at, peer.changed_at)
+            last = max(peer.received_at, peer.run_began_at)
             if not peer.row.is_retired and now - last > RETIRE_AFTER_S:
                 retired = msgspec.structs.replace(peer.row, is_retired=True)
                 await self._write(NODE_PREFIX + peer.row.node, retired)
--- a/src/swiftstile/gateway/moves.py
+++ b/src/swiftstile/gateway/moves.py
@@ -80,7 +80,7 @@
         quorum_since: Since when a majority follows this VM, which leads. One
             that was silent ever since has no right to renew.
     """
-    result = Clearance(True, own.held_s, own.open_s)
+    result = Clearance(True, own.held_s, own.unanswered_s)
     for peer in peers:
         version, longest = marked_version, longest_s
         stop = min(stopped_at, _silenced_at(peer, quorum_since))
@@ -95,13 +95,13 @@
             # An earlier run of it may have granted up to when it ended.
             end = peer.earlier_grants_end_at(longest_s)
             hold = _longer(hold, _hold_until(end, now))
-        if former is not None and not peer.is_heard(now):
+        if former is not None and not peer.is_live(now):
             # It may have led itself, before the one that led last.
             hold = _longer(hold, _hold_until(stop + former.longest_s, now))
         if hold.held_s > result.held_s:
             result.waits_for = peer.row.node
         result.held_s = max(result.held_s, hold.held_s)
-        result.open_s = max(result.open_s, hold.open_s)
+        result.open_s = max(result.open_s, hold.unanswered_s)
     return result
 
 
@@ -109,7 +109,7 @@
     """Returns when a VM must have stopped as no leader counts it as heard."""
     silent_since = float("inf")
     if quorum_since is not None:
-        silent_since = max(peer.heard_at, quorum_since)
+        silent_since = max(peer.received_at, quorum_since)
     if peer.row.is_retired:
         # Whoever led when it was retired hadn't heard it for long, and none
         # that led since counts it.
@@ -124,7 +124,7 @@
 
 def _longer(one: reports.Hold, other: reports.Hold) -> reports.Hold:
     return reports.Hold(
-        max(one.held_s, other.held_s), max(one.open_s, other.open_s)
+        max(one.held_s, other.held_s), max(one.unanswered_s, other.unanswered_s)
     )
 
 
@@ -142,7 +142,7 @@
         # an entry there is nothing. Nor will there be, also if it is silent
         # since: who knows that a slot is leaving renews it no more.
         return reports.Hold(0.0, 0.0)
-    age_s = now - peer.heard_at
+    age_s = now - peer.received_at
     return reports.Hold(
-        max(0.0, told.held_s - age_s), max(0.0, told.open_s - age_s)
+        max(0.0, told.held_s - age_s), max(0.0, told.unanswered_s - age_s)
     )
--- a/src/swiftstile/gateway/readers.py
+++ b/src/swiftstile/gateway/readers.py
@@ -102,16 +102,16 @@
         told = peer.report.tables.get(table)
         if told is None:
             return float("inf")
-        return told.age_s + now - peer.heard_at
+        return told.age_s + now - peer.received_at
 
     def _present(self, now: float) -> collections.abc.Iterator[reports.Peer]:
         """Returns near peers that are heard and stay, readers first.
 
         One by one: a report asks several times, mostly for the first few.
         """
-        since = now - reports.SILENT_AFTER_S
+        since = now - reports.PEER_TIMEOUT_S
         for peer in self._peers.places.near:
             report = peer.report
-            is_heard = report is not None and peer.heard_at > since
+            is_heard = report is not None and peer.received_at > since
             if is_heard and not report.is_leaving:
                 yield peer
--- a/src/swiftstile/gateway/relay.py
+++ b/src/swiftstile/gateway/relay.py
@@ -153,7 +153,8 @@
         served = [
             peer
             for peer in self._peers.heard(now)
-            if peer.report.store_silent_s == 0 and peer.row.address not in asked
+            if peer.report.store_unresponsive_s == 0
+            and peer.row.address not in asked
         ]
         near = [p for p in served if p.row.domain == self._peers.me.domain]
         # Others may rely on them as well, and know no more than this VM.
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -471,6 +471,6 @@
                 hold = reports.Hold(
                     book.held_for_s(indices, now), book.open_for_s(indices, now)
                 )
-                if hold.held_s > 0 or hold.open_s > 0:
+                if hold.held_s > 0 or hold.unanswered_s > 0:
                     found.setdefault(service, {})[owner] = hold
         return found
--- a/src/swiftstile/gateway/report_encoding.py
+++ b/src/swiftstile/gateway/report_encoding.py
@@ -46,7 +46,7 @@
             report = _with_greatest_counts(report)
             data = self._encoder.encode(report)
         if len(data) > PLAIN_BYTES:
-            report = msgspec.structs.replace(report, speeds={}, heat={})
+            report = msgspec.structs.replace(report, speeds={}, key_load={})
             data = self._encoder.encode(report)
         self._note_size(len(data))
         return data if len(data) <= MAX_BYTES else None
--- a/src/swiftstile/gateway/sharing.py
+++ b/src/swiftstile/gateway/sharing.py
@@ -133,7 +133,7 @@
     able: dict[ids.FailureDomain, list[Able]] = {}
     for peer in peers.heard(now):
         report = peer.report
-        is_able = report.is_able or peer.heard_at < settled_at
+        is_able = report.can_renew or peer.received_at < settled_at
         if is_able and not report.is_leaving:
             entry = Able(peer.row, tuple(report.unreachable))
             able.setdefault(peer.row.domain, []).append(entry)
--- a/src/swiftstile/gateway/succession.py
+++ b/src/swiftstile/gateway/succession.py
@@ -52,7 +52,7 @@
             self._told.clear()
         is_in_force = (
             report.is_leader
-            and report.is_able
+            and report.can_renew
             and report.leader_version == leads.version
             and peer.row.incarnation == row.incarnation
         )
--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -121,13 +121,13 @@
         "sequence": sequence,
         "is_leader": False,
         "is_leaving": False,
-        "is_able": True,
+        "can_renew": True,
         "leader_version": 0,
-        "store_silent_s": 0.0,
+        "store_unresponsive_s": 0.0,
         "shared": {},
         "local": {},
         "speeds": {},
-        "heat": {},
+        "key_load": {},
         "versions": {},
         "holds": {},
         "unreachable": [],
@@ -136,12 +136,12 @@
 
 
 def peer(
-    row: reports.NodeRow, told: reports.Report | None, heard_at: float
+    row: reports.NodeRow, told: reports.Report | None, received_at: float
 ) -> reports.Peer:
     made = reports.Peer(row, now=-1000.0)
     made.report = told
-    made.heard_at = made.direct_at = heard_at
-    made.hears_us = True
+    made.received_at = made.received_directly_at = received_at
+    made.receives_us = True
     return made
 
 
--- a/tests/integration/test_narrow_links.py
+++ b/tests/integration/test_narrow_links.py
@@ -174,7 +174,7 @@
 def _teller(address: str, version: int) -> reports.Peer:
     """Returns a peer at an address that tells of a version."""
     row = builders.node_row("vm-10", address=address)
-    words = {_TABLE: reports.TableWord(version, 0.1)}
+    words = {_TABLE: reports.TableStatus(version, 0.1)}
     return builders.peer(row, builders.report(row, tables=words), 100.0)
 
 
--- a/tests/integration/test_shared_links.py
+++ b/tests/integration/test_shared_links.py
@@ -74,7 +74,7 @@
         calls = links.Links(meters)
         client = relay.RowRelay(led, _peers(), calls, [], meters)
         row = builders.node_row("vm-10", address=address)
-        words = {name: reports.TableWord(9, 0.1) for name in _NAMES}
+        words = {name: reports.TableStatus(9, 0.1) for name in _NAMES}
         teller = builders.peer(row, builders.report(row, tables=words), 100.0)
         try:
             # Each is asked for once.
@@ -107,7 +107,7 @@
         loop = asyncio.get_running_loop()
         async with narrow_link.NarrowLink(address) as link:
             row = builders.node_row("vm-10", address=link.address)
-            words = {"operations": reports.TableWord(9, 0.1)}
+            words = {"operations": reports.TableStatus(9, 0.1)}
             teller = builders.peer(
                 row, builders.report(row, tables=words), 100.0
             )
--- a/tests/many_vms.py
+++ b/tests/many_vms.py
@@ -122,13 +122,13 @@
             daemon._peers.apply(row, row.node, self.now)
             if row.domain == me.domain or number == _LEADER:
                 peer = daemon._peers.by_node[row.node]
-                peer.note_report(self._report(number), self.now)
+                peer.record_direct_report(self._report(number), self.now)
 
     def _report(self, number: int) -> reports.Report:
         domains = len(self._domains)
         is_reader = number // domains < _READERS
         near = self._size.vms // domains
-        words = {n: reports.TableWord(1, 0.1) for n in self.daemon._followers}
+        words = {n: reports.TableStatus(1, 0.1) for n in self.daemon._followers}
         own = self._domains[number % domains]
         return builders.report(
             self._row(number),
@@ -137,6 +137,6 @@
             versions={builders.LOOKUPS: _MAP_VERSION},
             tables=words if is_reader else {},
             is_reader=is_reader,
-            near_heard=near,
-            far_heard={name: near for name in self._domains if name != own},
+            near_live=near,
+            far_live={name: near for name in self._domains if name != own},
         )
--- a/tests/unit/test_gateway_circulation.py
+++ b/tests/unit/test_gateway_circulation.py
@@ -32,9 +32,9 @@
         if number == me:
             continue
         row = _row(number)
-        heard_at = _NOW if number in hears else 0.0
-        told = builders.report(row, near_heard=count // 3)
-        peers.by_node[row.node] = builders.peer(row, told, heard_at)
+        received_at = _NOW if number in hears else 0.0
+        told = builders.report(row, near_live=count // 3)
+        peers.by_node[row.node] = builders.peer(row, told, received_at)
     return peers
 
 
@@ -74,11 +74,11 @@
     peers = _peers(30, 78, _near(30, 78))
     assert peers.circulation.heard(_NOW) == 26
     reader = peers.by_node["vm-00"]
-    reader.report.far_heard = {"z1": 26, "z2": 20}
+    reader.report.far_live = {"z1": 26, "z2": 20}
     assert peers.circulation.heard(_NOW) == 72
     assert peers.circulation.heard_of(_NOW) == {"z1", "z2"}
     # Word of a reader that fell silent doesn't count.
-    reader.heard_at = _NOW - 2.0
+    reader.received_at = _NOW - 2.0
     assert peers.circulation.heard(_NOW) == 25
 
 
@@ -100,7 +100,7 @@
                 if name not in (lost_domain, peers.me.domain)
             }
             for peer in peers.by_node.values():
-                peer.report.far_heard = told
+                peer.report.far_live = told
             self.views.append(self._renewals(peers))
 
     @staticmethod
--- a/tests/unit/test_gateway_domain_reports.py
+++ b/tests/unit/test_gateway_domain_reports.py
@@ -78,7 +78,7 @@
     fell_silent_at = player.now
     player.play(0.9)
     told = player.vms[20].peers.by_node[last.row.node]
-    assert told.heard_at <= fell_silent_at + 0.001
+    assert told.received_at <= fell_silent_at + 0.001
 
 
 def test_the_leader_is_told_directly(monkeypatch):
@@ -86,7 +86,7 @@
     player.play(3.0)
     leader = player.vms[30].peers
     assert all(
-        peer.is_heard_directly(player.now, 0.5)
+        peer.reported_directly(player.now, 0.5)
         for peer in leader.by_node.values()
     )
 
@@ -96,7 +96,7 @@
     player.play(3.0)
     for number in (0, 20, 39):
         leader = player.vms[number].peers.by_node[player.vms[30].row.node]
-        assert leader.is_heard_directly(player.now, 0.5)
+        assert leader.reported_directly(player.now, 0.5)
 
 
 def test_a_batch_that_cant_be_read_is_dropped(monkeypatch):
@@ -128,10 +128,10 @@
 def test_a_new_run_isnt_heard_directly_by_what_its_last_run_told():
     row = builders.node_row("vm-1", run="aaaaaaaa")
     peer = reports.Peer(row, now=1.0)
-    peer.note_report(builders.report(row), 2.0)
-    assert peer.is_heard_directly(2.1, 1.0)
+    peer.record_direct_report(builders.report(row), 2.0)
+    assert peer.reported_directly(2.1, 1.0)
     again = builders.node_row("vm-1", run="bbbbbbbb")
-    peer.note_run(again, 2.2)
-    peer.note_word(builders.report(again), 2.2)
-    assert peer.is_heard(2.3)
-    assert not peer.is_heard_directly(2.3, 1.0)
+    peer.record_run(again, 2.2)
+    peer.record_report(builders.report(again), 2.2)
+    assert peer.is_live(2.3)
+    assert not peer.reported_directly(2.3, 1.0)
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -90,7 +90,7 @@
                 self.book.open_for_s(_SLOT, now),
             )
             # What means nothing isn't told, as `Renewals.leaving_holds` does.
-            if hold.held_s > 0 or hold.open_s > 0:
+            if hold.held_s > 0 or hold.unanswered_s > 0:
                 told = {builders.LOOKUPS: {"u-1": hold}}
         return builders.report(
             self.row,
@@ -179,7 +179,7 @@
             self._renewer = renewer = _Renewer(self._clock, "run00002")
             # A new run registers before anything else, with the newest map.
             renewer.learn(2 if self._marked_at else 1)
-            self._peer.note_run(renewer.row, now)
+            self._peer.record_run(renewer.row, now)
         if now < renewer.due or not renewer.right.may_renew(builders.LOOKUPS):
             return
         if renewer.version >= 2:
@@ -207,7 +207,7 @@
         self._sequence += 1
         if not self._is_in(self._mute):
             report = self._renewer.report(self._sequence, now)
-            self._peer.note_report(report, now)
+            self._peer.record_direct_report(report, now)
         version = 2 if self._marked_at else 1
         leader = self._renewer.leader
         leader.report = builders.report(
@@ -217,9 +217,9 @@
             leader_version=5,
             versions={builders.LOOKUPS: version},
         )
-        leader.heard_at = now
-        hears_us = now - self._peer.heard_at < reports.SILENT_AFTER_S
-        leader.note_direct(now, hears_us)
+        leader.received_at = now
+        receives_us = now - self._peer.received_at < reports.PEER_TIMEOUT_S
+        leader.record_direct_receipt(now, receives_us)
         if version == 2:
             self._renewer.learn(2)
 
@@ -341,7 +341,7 @@
 def test_without_the_leaders_word_that_it_hears_a_vm_they_overlap(monkeypatch):
     def able_leader(self, now):
         leader = self._leader(now)
-        is_able = leader is not None and leader.report.is_able
+        is_able = leader is not None and leader.report.can_renew
         return leader if is_able else None
 
     monkeypatch.setattr(authority.PeerAuthority, "_able_leader", able_leader)
@@ -385,7 +385,7 @@
 
     def without(service, owner, version, own, peers, *rest):
         for peer in peers:
-            peer._untold_at = -1000.0
+            peer._undeclared_end_at = -1000.0
         return original(service, owner, version, own, peers, *rest)
 
     assert _overlaps(monkeypatch, _Restarting) == 0
@@ -416,13 +416,13 @@
     # One that follows another leader, and one that is silent: two of four.
     peers.by_node["vm-2"].report.leader_version = 6
     silent = peers.by_node["vm-3"]
-    silent.heard_at = silent.direct_at = clock.now - 2.0
+    silent.received_at = silent.received_directly_at = clock.now - 2.0
     assert not right.is_able(clock.now)
     # Word that another VM handed on doesn't count, however fresh it seems.
-    silent.note_word(silent.report, clock.now)
-    assert silent.is_heard(clock.now)
+    silent.record_report(silent.report, clock.now)
+    assert silent.is_live(clock.now)
     assert not right.is_able(clock.now)
-    silent.note_direct(clock.now, hears_us=True)
+    silent.record_direct_receipt(clock.now, receives_us=True)
     assert right.is_able(clock.now)
     right.tick(clock.now)
     assert right.quorum_since == clock.now
@@ -444,11 +444,11 @@
         leader_version=5,
         versions={builders.LOOKUPS: 2},
     )
-    renewer.leader.heard_at = clock.now
-    renewer.leader.note_direct(clock.now, hears_us=True)
+    renewer.leader.received_at = clock.now
+    renewer.leader.record_direct_receipt(clock.now, receives_us=True)
     renewer.learn(version)
     assert not renewer.right.may_renew(builders.LOOKUPS)
     renewer.learn(2)
     assert renewer.right.may_renew(builders.LOOKUPS)
-    renewer.leader.hears_us = False
+    renewer.leader.receives_us = False
     assert not renewer.right.may_renew(builders.LOOKUPS)
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -113,10 +113,10 @@
     renewing, peers = site.daemon._renewing, site.daemon._peers
     renewing._share_out(site.now)
     before = set(renewing._tasks)
-    others = [p for p in peers.by_node.values() if p.is_heard(site.now)]
+    others = [p for p in peers.by_node.values() if p.is_live(site.now)]
     near = [p for p in others if p.row.domain == peers.me.domain]
     for peer in near:
-        peer.heard_at = site.now - 2.0
+        peer.received_at = site.now - 2.0
     renewing._share_out(site.now)
     alone = set(renewing._tasks)
     book = site.daemon._book.by_id.values()
@@ -124,7 +124,7 @@
     assert before < own
     assert own <= alone
     for peer in near:
-        peer.heard_at = site.now
+        peer.received_at = site.now
     renewing._share_out(site.now)
     assert set(renewing._tasks) == before
     unreachable = next(iter(before))
@@ -200,7 +200,7 @@
     peers = daemon._peers
     network = peers._transport = _Network()
     for peer in peers.by_node.values():
-        peer.heard_at += 1e6
+        peer.received_at += 1e6
     target = next(iter(daemon._book.by_id.values()))
     daemon._started = site.now
     for tick in range(160):
--- a/tests/unit/test_gateway_keys.py
+++ b/tests/unit/test_gateway_keys.py
@@ -267,7 +267,7 @@
     )
 
 
-def _told(version: int, hold: reports.Hold | None, heard_at: float):
+def _told(version: int, hold: reports.Hold | None, received_at: float):
     row = builders.node_row("vm-2")
     owners = {} if hold is None else {"u-1": hold}
     told = builders.report(
@@ -275,7 +275,7 @@
         versions={builders.LOOKUPS: version},
         holds={builders.LOOKUPS: owners},
     )
-    return builders.peer(row, told, heard_at)
+    return builders.peer(row, told, received_at)
 
 
 def test_a_peer_that_stopped_and_granted_nothing_clears():
@@ -291,7 +291,7 @@
 
 def test_a_retired_peer_has_no_right_whoever_leads():
     row = builders.node_row("vm-2", is_retired=True)
-    peer = builders.peer(row, None, heard_at=0.0)
+    peer = builders.peer(row, None, received_at=0.0)
     peer.retired_at = 3.0
     known = _clearance([peer], 10.2, stopped_at=20.0)
     assert known.all_stopped
@@ -317,8 +317,8 @@
 def test_a_restarted_peer_may_have_granted_until_it_ended():
     peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
     told = peer.report
-    peer.note_run(peer.row, 10.0)
-    peer.note_report(told, 10.1)
+    peer.record_run(peer.row, 10.0)
+    peer.record_direct_report(told, 10.1)
     assert _clearance([peer], 10.2).held_s == pytest.approx(5.05)
 
 
@@ -326,34 +326,36 @@
     peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
     peer.report.holds = None
     assert _clearance([peer], 10.2).held_s > 0
-    peer.note_report(_told(7, reports.Hold(1.0, 0.0), 10.1).report, 10.2)
+    peer.record_direct_report(
+        _told(7, reports.Hold(1.0, 0.0), 10.1).report, 10.2
+    )
     assert _clearance([peer], 10.3).held_s == pytest.approx(0.9)
 
 
-def _restarted(peer: reports.Peer, at: float, up_s: float) -> None:
+def _restarted(peer: reports.Peer, at: float, uptime_s: float) -> None:
     """Another run of a peer registers, and tells for how long it has lived."""
     told = peer.report
-    peer.note_run(peer.row, at)
-    fresh = msgspec.structs.replace(told, up_s=up_s, grants_end_s=None)
-    peer.note_report(fresh, at + 0.1)
+    peer.record_run(peer.row, at)
+    fresh = msgspec.structs.replace(told, uptime_s=uptime_s, grants_end_s=None)
+    peer.record_direct_report(fresh, at + 0.1)
 
 
 def test_an_earlier_run_ended_before_the_present_one_began():
     peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
     # It registered late, as the store was away.
-    _restarted(peer, 10.0, up_s=4.1)
+    _restarted(peer, 10.0, uptime_s=4.1)
     assert _clearance([peer], 10.2).held_s == pytest.approx(1.05)
 
 
 def _leave(peer: reports.Peer, at: float, grants_end_s: float) -> None:
     leaving = msgspec.structs.replace(peer.report, grants_end_s=grants_end_s)
-    peer.note_report(leaving, at)
+    peer.record_direct_report(leaving, at)
 
 
 def test_a_run_that_told_when_its_grants_end_is_not_waited_for_longer():
     peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
     _leave(peer, 9.0, grants_end_s=2.0)
-    _restarted(peer, 10.0, up_s=0.1)
+    _restarted(peer, 10.0, uptime_s=0.1)
     assert _clearance([peer], 10.2).held_s == pytest.approx(0.8)
     assert _clearance([peer], 11.1).held_s == 0.0
 
@@ -361,12 +363,12 @@
 def test_what_one_run_told_says_nothing_of_those_before_and_after():
     peer = _told(7, reports.Hold(0.0, 0.0), 10.1)
     # Killed, started again, stopped in good order, started again.
-    _restarted(peer, 10.0, up_s=0.1)
+    _restarted(peer, 10.0, uptime_s=0.1)
     _leave(peer, 10.5, grants_end_s=0.2)
-    _restarted(peer, 11.0, up_s=0.1)
+    _restarted(peer, 11.0, uptime_s=0.1)
     assert _clearance([peer], 11.1).held_s == pytest.approx(4.15)
     # Killed once more.
-    _restarted(peer, 12.0, up_s=0.1)
+    _restarted(peer, 12.0, uptime_s=0.1)
     assert _clearance([peer], 12.2).held_s == pytest.approx(5.05)
 
 
--- a/tests/unit/test_gateway_leaving.py
+++ b/tests/unit/test_gateway_leaving.py
@@ -16,7 +16,7 @@
     if with_others:
         row = builders.node_row("vm-2")
         parts.peers.by_node[row.node] = builders.peer(
-            row, builders.report(row), heard_at=100.0
+            row, builders.report(row), received_at=100.0
         )
     return parts, current
 
--- a/tests/unit/test_gateway_measures.py
+++ b/tests/unit/test_gateway_measures.py
@@ -76,14 +76,14 @@
     # The leader of another domain gets a report each 0.35 s, so a pace of
     # 0.8 s becomes 1.05 s there.
     assert 7 <= vm.told(port, "speeds") <= 11
-    assert 20 <= vm.told(port, "heat") <= 28
+    assert 20 <= vm.told(port, "key_load") <= 28
 
 
 def test_other_vms_of_other_domains_are_spared(monkeypatch):
     vm = _Vm(monkeypatch)
     vm.play(for_s=8.0)
     assert vm.told(vm.OTHER, "speeds") == 0
-    assert vm.told(vm.OTHER, "heat") == 0
+    assert vm.told(vm.OTHER, "key_load") == 0
 
 
 def test_where_vms_are_many_speeds_are_told_less_often():
--- a/tests/unit/test_gateway_permits.py
+++ b/tests/unit/test_gateway_permits.py
@@ -111,7 +111,7 @@
         self.peers.apply(other.row, other.row.node, now)
         peer = self.peers.by_node[other.row.node]
         peer.report = builders.report(other.row, is_leaving=other.is_leaving)
-        peer.heard_at = now + 60
+        peer.received_at = now + 60
 
     def waiter(self, upstream: str = "u-1", **changes) -> admission.Waiter:
         owner = _Owner(self, upstream)
@@ -478,7 +478,7 @@
 def test_a_domain_that_is_not_heard_is_not_asked():
     async def scenario(network, _arbiter, far):
         peer = far.peers.by_node["vm-0"]
-        peer.heard_at = clocks.monotonic() - 5
+        peer.received_at = clocks.monotonic() - 5
         await far.permits.acquire(far.waiter())
         assert not network.sent
 
--- a/tests/unit/test_gateway_readers.py
+++ b/tests/unit/test_gateway_readers.py
@@ -139,7 +139,7 @@
             {_TABLE: led}, peers, _Links(), [], metrics.Meters()
         )
         peer = peers.by_node["vm-10"]
-        peer.report.tables[_TABLE] = reports.TableWord(8, 0.1)
+        peer.report.tables[_TABLE] = reports.TableStatus(8, 0.1)
         client.note(peer, 100.1)
         # A second word before the answer asks nothing more.
         client.note(peer, 100.1)
@@ -176,7 +176,7 @@
             {_TABLE: led}, peers, _Silent(), [], metrics.Meters()
         )
         peer = peers.by_node["vm-10"]
-        peer.report.tables[_TABLE] = reports.TableWord(8, 0.1)
+        peer.report.tables[_TABLE] = reports.TableStatus(8, 0.1)
         client.note(peer, 100.0)
         await asyncio.sleep(0.01)
         assert led.is_led(100.3)
@@ -235,7 +235,7 @@
         peers = gossip.Peers(builders.node_row(me), lambda *_: None)
         for name in others:
             row = builders.node_row(name)
-            told = {"state": reports.TableWord(7, 0.1)}
+            told = {"state": reports.TableStatus(7, 0.1)}
             report = builders.report(row, tables=told)
             peers.by_node[row.node] = builders.peer(row, report, 100.0)
         made = readers.StoreReaders(
@@ -279,7 +279,7 @@
             {_TABLE: led}, peers, link, [], metrics.Meters()
         )
         peer = peers.by_node["vm-10"]
-        peer.report.tables[_TABLE] = reports.TableWord(8, 0.1)
+        peer.report.tables[_TABLE] = reports.TableStatus(8, 0.1)
         client.note(peer, 100.0)
         async with asyncio.timeout(2):
             while client._asking:
--- a/tests/unit/test_gateway_report_sizes.py
+++ b/tests/unit/test_gateway_report_sizes.py
@@ -100,9 +100,9 @@
 def test_a_usual_report_is_told_as_it_is(monkeypatch):
     vms = _Vms(monkeypatch)
     counts = dict.fromkeys(_NAMES[:50], (2, 1))
-    [heard] = vms.tell(shared=counts, local=counts, heat={"a": {7: 1.5}})
+    [heard] = vms.tell(shared=counts, local=counts, key_load={"a": {7: 1.5}})
     assert (heard.shared, heard.local) == (counts, counts)
-    assert heard.heat == {"a": {7: 1.5}}
+    assert heard.key_load == {"a": {7: 1.5}}
 
 
 def test_a_report_that_fits_no_datagram_is_counted(monkeypatch):
--- a/tests/unit/test_gateway_rows_dying.py
+++ b/tests/unit/test_gateway_rows_dying.py
@@ -65,7 +65,7 @@
         for peer in self._peers.by_node.values():
             if peer.row.address == address:
                 # Nothing is heard of it after a while.
-                peer.heard_at = 0.0
+                peer.received_at = 0.0
 
 
 class _Link:
@@ -97,7 +97,7 @@
     peers = row_parts.near_peers(10)
     for number, peer in enumerate(peers.by_node.values()):
         peer.row.address = f"127.0.0.1:{7000 + number}"
-        peer.heard_at = _NEVER
+        peer.received_at = _NEVER
     ahead = _follower()
     row = interfaces.Change("config", os.urandom(30_000), 7)
     ahead.accept(interfaces.Snapshot([row], 7), True)
--- a/tests/unit/test_gateway_rows_racing.py
+++ b/tests/unit/test_gateway_rows_racing.py
@@ -177,7 +177,7 @@
             metrics.Meters(),
         )
         row = builders.node_row("vm-10")
-        words = {_TABLE: reports.TableWord(8, 0.1)}
+        words = {_TABLE: reports.TableStatus(8, 0.1)}
         teller = builders.peer(row, builders.report(row, tables=words), 101.0)
         client.note(teller, 101.0)
         await asyncio.sleep(0.05)
@@ -193,7 +193,7 @@
     for node, peer in peers.by_node.items():
         peer.row = builders.node_row(node, address=f"{node}:1")
     teller = peers.by_node["vm-17"]
-    teller.report.tables = {_TABLE: reports.TableWord(8, 0.1)}
+    teller.report.tables = {_TABLE: reports.TableStatus(8, 0.1)}
     follower = _follower()
     follower.accept(_snapshot(2, ("x", b"1", 2)), True)
     client = relay.RowRelay(
@@ -351,7 +351,7 @@
             metrics.Meters(),
         )
         row = builders.node_row("vm-10")
-        words = {_TABLE: reports.TableWord(8, 0.1)}
+        words = {_TABLE: reports.TableStatus(8, 0.1)}
         told = builders.report(row, tables=words)
         client.note(builders.peer(row, told, 101.0), 101.0)
         await asyncio.sleep(0.05)
--- a/tests/unit/test_gateway_sharing.py
+++ b/tests/unit/test_gateway_sharing.py
@@ -36,20 +36,20 @@
             told = msgspec.structs.replace(
                 peer.report,
                 sequence=peer.report.sequence + 1,
-                is_able=is_able,
+                can_renew=is_able,
             )
-            peer.note_report(told, site.now)
+            peer.record_direct_report(told, site.now)
 
 
 def _hear_leader(site, is_able: bool) -> None:
     for peer in site.daemon._peers.by_node.values():
-        if peer.claims_lead:
+        if peer.claims_leadership:
             told = msgspec.structs.replace(
                 peer.report,
                 sequence=peer.report.sequence + 1,
-                is_able=is_able,
+                can_renew=is_able,
             )
-            peer.note_report(told, site.now)
+            peer.record_direct_report(told, site.now)
 
 
 def _shared_out(site) -> int:
--- a/tests/unit/test_gateway_store.py
+++ b/tests/unit/test_gateway_store.py
@@ -346,11 +346,11 @@
     clock.now = 50.0
     row = builders.node_row("vm-1", run="----vm-1")
     told = builders.report(row, is_leader=True)
-    peers.by_node["vm-1"] = builders.peer(row, told, heard_at=49.9)
+    peers.by_node["vm-1"] = builders.peer(row, told, received_at=49.9)
     _lead(two)
     assert not two.is_leader
     # Without the store it is replaced by one that has it.
-    told.store_silent_s = leadership.STORELESS_S + 0.1
+    told.store_unresponsive_s = leadership.STORELESS_S + 0.1
     _lead(two)
     assert two.is_leader
 
@@ -361,8 +361,8 @@
     two, peers, clock = _led_by_vm_1(monkeypatch, told_at=0.0)
     clock.now = 50.0
     row = builders.node_row("vm-1", run="----vm-1")
-    told = builders.report(row, is_leader=True, store_silent_s=8.0)
-    peers.by_node["vm-1"] = builders.peer(row, told, heard_at=49.9)
+    told = builders.report(row, is_leader=True, store_unresponsive_s=8.0)
+    peers.by_node["vm-1"] = builders.peer(row, told, received_at=49.9)
     two._follower.recovered_at = 49.7
     _lead(two)
     assert not two.is_leader
@@ -377,7 +377,7 @@
     for name in ("vm-1", "vm-3", "vm-4"):
         row = builders.node_row(name, run=name.rjust(8, "-"))
         told = builders.report(row, is_leader=name == "vm-1")
-        peers.by_node[name] = builders.peer(row, told, heard_at=48.0)
+        peers.by_node[name] = builders.peer(row, told, received_at=48.0)
     _lead(two)
     assert not two.is_leader
     clock.now = 48.0 + leadership.LONG_SILENCE_S + 0.1
@@ -389,7 +389,7 @@
     two, peers, clock = _led_by_vm_1(monkeypatch, told_at=50.0)
     # Of many VMs those of other domains tell nothing here until they lead.
     row = builders.node_row("vm-1", run="----vm-1", domain="far")
-    peers.by_node["vm-1"] = builders.peer(row, None, heard_at=0.0)
+    peers.by_node["vm-1"] = builders.peer(row, None, received_at=0.0)
     clock.now = 50.5
     _lead(two)
     assert not two.is_leader
@@ -416,11 +416,11 @@
 
 
 @pytest.mark.parametrize(
-    ("heard_at", "is_retired", "word"),
+    ("received_at", "is_retired", "word"),
     [(49.9, False, b"rh"), (48.0, False, b"r-"), (49.9, True, b"r-")],
 )
 def test_a_report_says_whether_its_receiver_is_heard(
-    heard_at, is_retired, word
+    received_at, is_retired, word
 ):
     sent = []
     peers = gossip.Peers(builders.node_row("vm-1"), lambda *_: None)
@@ -428,7 +428,7 @@
         sendto=lambda data, address: sent.append(data)
     )
     row = builders.node_row("vm-2", is_retired=is_retired)
-    peer = builders.peer(row, builders.report(row), heard_at)
+    peer = builders.peer(row, builders.report(row), received_at)
     peers._send_to(peer, b"...", 50.0)
     assert [data[:2] for data in sent] == [word]
 
--- a/tests/unit/test_gateway_succession.py
+++ b/tests/unit/test_gateway_succession.py
@@ -60,7 +60,7 @@
             leader_version=row_version,
             versions={builders.LOOKUPS: told},
         )
-        peer.heard_at = peer.direct_at = now
+        peer.received_at = peer.received_directly_at = now
         self.known.note_report(peer, now)
 
     def stopped_at(self) -> float | None:
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize(
     "changes",
-    [{"is_able": False}, {"leader_version": 9}, {"is_leader": False}],
+    [{"can_renew": False}, {"leader_version": 9}, {"is_leader": False}],
 )
 def test_the_word_of_a_leader_without_its_right_does_not_count(changes):
     vm = _Vm()
@@ -312,7 +312,7 @@
             versions={builders.LOOKUPS: version},
             holds=told,
         )
-        self._peer.heard_at = self._peer.direct_at = now
+        self._peer.received_at = self._peer.received_directly_at = now
 
     def _lead_third(self) -> None:
         now, vm = self._clock.now, self._third
--- a/tests/unit/test_gateway_wiring.py
+++ b/tests/unit/test_gateway_wiring.py
@@ -40,7 +40,7 @@
     daemon._leads.row = types.SimpleNamespace(
         node=row.node, incarnation=row.incarnation
     )
-    words = {name: reports.TableWord(1, 0.1) for name in daemon._followers}
+    words = {name: reports.TableStatus(1, 0.1) for name in daemon._followers}
     for number in range(10, 10 + _NEAR_VMS):
         peer = builders.node_row(f"vm-{number}", link_mbps=100.0)
         told = builders.report(peer, tables=words)
