--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -94,7 +94,8 @@
             lapsed = [
                 name
                 for name, permit in self._permits.items()
-                if now > permit.lapses_at or self._peers.of_run(name[0]) is None
+                if now > permit.lapses_at
+                or self._peers.find_run(name[0]) is None
             ]
             for name in lapsed:
                 self._meters.permits.add("lapsed")
--- a/src/swiftstile/gateway/arbiters.py
+++ b/src/swiftstile/gateway/arbiters.py
@@ -7,8 +7,8 @@
 import collections.abc
 
 from swiftstile import ids
-from swiftstile.gateway import circulation
 from swiftstile.gateway import coldstart
+from swiftstile.gateway import dissemination
 from swiftstile.gateway import gossip
 from swiftstile.gateway import model
 from swiftstile.gateway import reports
@@ -71,7 +71,7 @@
             [peer.row.link_mbps for peer in peers] + [me.link_mbps] * is_near,
             default=0.0,
         )
-        least_mbps = circulation.LEAST_BANDWIDTH * most_mbps
+        least_mbps = dissemination.MIN_BANDWIDTH_RATIO * most_mbps
         best, best_affinity, is_me = None, -1, False
         if is_near and me.link_mbps >= least_mbps:
             best_affinity, is_me = sharing.affinity(me.node, subject), True
--- a/src/swiftstile/gateway/authority.py
+++ b/src/swiftstile/gateway/authority.py
@@ -82,7 +82,7 @@
             and peer.report.leader_version == self._leads.version
             for peer in self._peers.by_node.values()
         )
-        registered = len(self._peers.counted(now)) + 1
+        registered = len(self._peers.quorum_members(now)) + 1
         return 2 * (followers + 1) > registered
 
     def is_able(self, now: float) -> bool:
--- a/src/swiftstile/gateway/coldstart.py
+++ b/src/swiftstile/gateway/coldstart.py
@@ -9,7 +9,7 @@
 import abc
 
 from swiftstile import ids
-from swiftstile.gateway import circulation
+from swiftstile.gateway import dissemination
 from swiftstile.gateway import gossip
 from swiftstile.gateway import model
 from swiftstile.gateway import reports
@@ -195,5 +195,5 @@
         domain = target.upstream.failure_domain
         rows = [row for row in rows if row.domain == domain] or rows
         most_mbps = max(row.link_mbps for row in rows)
-        least_mbps = circulation.LEAST_BANDWIDTH * most_mbps
+        least_mbps = dissemination.MIN_BANDWIDTH_RATIO * most_mbps
         return [row for row in rows if row.link_mbps >= least_mbps]
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -210,7 +210,7 @@
             sorted(self._renewing.unreachable),
             self._tables_to_tell(now) if is_whole else {},
             self._store_readers.is_reader(now),
-            *self._peers.circulation.to_tell(now),
+            *self._peers.dissemination.counts_to_publish(now),
             uptime_s=round(now - self._started, 3),
             grants_end_s=self._renewing.grants_end_s(now),
             suspicions=self._suspects.tell(now),
@@ -274,7 +274,9 @@
                     target.slowness = ratios.get(
                         target.id, speeds.UNKNOWN_RATIO
                     )
-            self._gate.decisions.vms = self._peers.circulation.near_heard(now)
+            self._gate.decisions.vms = (
+                self._peers.dissemination.near_live_count(now)
+            )
             self._budget.set_vms(len(self._peers.by_node) + 1)
 
     async def _lead(self) -> None:
--- a/src/swiftstile/gateway/circulation.py
+++ b/src/swiftstile/gateway/dissemination.py
@@ -15,28 +15,28 @@
 from swiftstile.gateway import reports
 
 __all__ = [
-    "FEW_FAR_VMS",
-    "LEAST_BANDWIDTH",
-    "LIKELY_READERS",
-    "READERS",
-    "Circulation",
-    "Places",
-    "ThroughReaders",
-    "ToEveryVm",
+    "MAX_FULL_MESH_FAR_VMS",
+    "MIN_BANDWIDTH_RATIO",
+    "READER_CANDIDATES",
+    "READERS_PER_DOMAIN",
+    "Dissemination",
+    "Topology",
+    "ViaReaders",
+    "FullMesh",
     "reader_order",
 ]
 
 # Up to so many VMs in other domains are told each time; today's sites have 6
 # to 8.
-FEW_FAR_VMS = 8
+MAX_FULL_MESH_FAR_VMS = 8
 # VMs with less than this part of the bandwidth that others have neither hand
 # out slots nor lead, unless there is nobody else: their links would be full.
-LEAST_BANDWIDTH = 0.5
+MIN_BANDWIDTH_RATIO = 0.5
 # VMs of a domain on which its others rely: one more than a single loss takes.
-READERS = 2
+READERS_PER_DOMAIN = 2
 # VMs of another domain that are told as its readers: those who would be next
 # if a reader is lost, too.
-LIKELY_READERS = 3
+READER_CANDIDATES = 3
 
 
 def reader_order(row: reports.NodeRow) -> tuple[float, model.NodeId]:
@@ -47,7 +47,7 @@
     return (-row.link_mbps, row.node)
 
 
-class Places:
+class Topology:
     """The other VMs by failure domain; many decisions ask for few of them.
 
     Lists are in the order of readers: most look for the first of these.
@@ -64,36 +64,36 @@
     ):
         self._me = me
         self._by_node = by_node
-        self._counted = -1
+        self._indexed_count = -1
         self._by_domain: dict[ids.FailureDomain, list[reports.Peer]] = {}
         self._far: list[reports.Peer] = []
-        self._most_mbps = me.link_mbps
-        self._wide = 1
+        self._max_mbps = me.link_mbps
+        self._high_bandwidth_count = 1
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """A VM came, went or registered anew."""
-        self._counted = -1
+        self._indexed_count = -1
 
-    def all_in(self, domain: ids.FailureDomain) -> list[reports.Peer]:
+    def in_domain(self, domain: ids.FailureDomain) -> list[reports.Peer]:
         """Returns the VMs of a domain."""
         self._refresh()
         return self._by_domain.get(domain, [])
 
-    def is_narrow(self, row: reports.NodeRow) -> bool:
+    def is_low_bandwidth(self, row: reports.NodeRow) -> bool:
         """Whether a VM's link is far narrower than the widest of all VMs."""
         self._refresh()
-        return row.link_mbps < LEAST_BANDWIDTH * self._most_mbps
+        return row.link_mbps < MIN_BANDWIDTH_RATIO * self._max_mbps
 
     @property
-    def wide(self) -> int:
+    def high_bandwidth_count(self) -> int:
         """Returns how many VMs aren't narrow, this one included."""
         self._refresh()
-        return self._wide
+        return self._high_bandwidth_count
 
     @property
     def near(self) -> list[reports.Peer]:
         """Returns the others of this VM's domain."""
-        return self.all_in(self._me.domain)
+        return self.in_domain(self._me.domain)
 
     @property
     def far(self) -> list[reports.Peer]:
@@ -102,9 +102,9 @@
         return self._far
 
     def _refresh(self) -> None:
-        if self._counted == len(self._by_node):
+        if self._indexed_count == len(self._by_node):
             return
-        self._counted = len(self._by_node)
+        self._indexed_count = len(self._by_node)
         me = self._me
         peers = sorted(
             self._by_node.values(), key=lambda peer: reader_order(peer.row)
@@ -115,87 +115,93 @@
         self._far = [peer for peer in peers if peer.row.domain != me.domain]
         staying = [peer.row for peer in peers if not peer.row.is_retired]
         rows = [me, *staying]
-        self._most_mbps = max(row.link_mbps for row in rows)
-        least_mbps = LEAST_BANDWIDTH * self._most_mbps
-        self._wide = sum(row.link_mbps >= least_mbps for row in rows)
+        self._max_mbps = max(row.link_mbps for row in rows)
+        min_mbps = MIN_BANDWIDTH_RATIO * self._max_mbps
+        self._high_bandwidth_count = sum(
+            row.link_mbps >= min_mbps for row in rows
+        )
 
 
-class Circulation(abc.ABC):
+class Dissemination(abc.ABC):
     """Chooses the peers of other domains that a report goes to.
 
     Args:
         me: This VM.
-        places: All other VMs.
+        topology: All other VMs.
     """
 
-    def __init__(self, me: reports.NodeRow, places: Places):
+    def __init__(self, me: reports.NodeRow, topology: Topology):
         self._me = me
-        self._places = places
+        self._topology = topology
 
     # Whether VMs of other domains tell only the leader and readers that they
     # live.
-    tells_through_readers = False
+    uses_readers = False
 
     @abc.abstractmethod
-    def regular(self, report: reports.Report) -> list[reports.Peer]:
+    def periodic_recipients(self, report: reports.Report) -> list[reports.Peer]:
         """Returns the peers to tell now and then."""
 
     @abc.abstractmethod
-    def changed(self, report: reports.Report) -> list[reports.Peer]:
+    def urgent_recipients(self, report: reports.Report) -> list[reports.Peer]:
         """Returns the peers to tell at once of what all should know."""
 
     @abc.abstractmethod
-    def thin(self, report: reports.Report) -> reports.Report:
+    def trim(self, report: reports.Report) -> reports.Report:
         """Returns what of a report other domains need."""
 
     @abc.abstractmethod
-    def heard(self, now: float) -> int:
+    def live_count(self, now: float) -> int:
         """Returns how many VMs are heard, this one included."""
 
     @abc.abstractmethod
-    def to_tell(self, now: float) -> tuple[int, dict[ids.FailureDomain, int]]:
+    def counts_to_publish(
+        self, now: float
+    ) -> tuple[int, dict[ids.FailureDomain, int]]:
         """Returns VMs heard, of this domain and by other domain, to report."""
 
     @abc.abstractmethod
-    def heard_of(self, now: float) -> set[ids.FailureDomain]:
+    def live_domains(self, now: float) -> set[ids.FailureDomain]:
         """Returns other domains whose VMs live, though they aren't heard."""
 
-    def leaders(self) -> list[reports.Peer]:
+    def far_leaders(self) -> list[reports.Peer]:
         """Returns the far peers that believe to lead."""
-        return [peer for peer in self._places.far if peer.claims_leadership]
+        return [peer for peer in self._topology.far if peer.claims_leadership]
 
-    def near_heard(self, now: float) -> int:
+    def near_live_count(self, now: float) -> int:
         """Returns how many VMs of its own domain are heard, with itself."""
-        return 1 + len(reports.live_peers(self._places.near, now))
+        return 1 + len(reports.live_peers(self._topology.near, now))
 
 
-class ToEveryVm(Circulation):
+class FullMesh(Dissemination):
     """Each VM tells all others."""
 
-    def regular(self, report: reports.Report) -> list[reports.Peer]:
+    def periodic_recipients(self, report: reports.Report) -> list[reports.Peer]:
         """See base class."""
-        return self._places.far
+        return self._topology.far
 
-    def changed(self, report: reports.Report) -> list[reports.Peer]:
+    def urgent_recipients(self, report: reports.Report) -> list[reports.Peer]:
         """See base class."""
-        return self._places.far
+        return self._topology.far
 
-    def thin(self, report: reports.Report) -> reports.Report:
+    def trim(self, report: reports.Report) -> reports.Report:
         """See base class."""
         return msgspec.structs.replace(report, local={}, tables={})
 
-    def to_tell(self, now: float) -> tuple[int, dict[ids.FailureDomain, int]]:
+    def counts_to_publish(
+        self, now: float
+    ) -> tuple[int, dict[ids.FailureDomain, int]]:
         """See base class."""
         # Whom each VM hears itself is all that counts here.
         return 0, {}
 
-    def heard_of(self, now: float) -> set[ids.FailureDomain]:
+    def live_domains(self, now: float) -> set[ids.FailureDomain]:
         """See base class."""
         return set()
 
-    def heard(self, now: float) -> int:
+    def live_count(self, now: float) -> int:
         """See base class."""
-        near, far = self._places.near, self._places.far
+        near, far = self._topology.near, self._topology.far
         return (
             1
             + len(reports.live_peers(near, now))
@@ -203,71 +209,73 @@
         )
 
 
-class ThroughReaders(Circulation):
+class ViaReaders(Dissemination):
     """Each VM tells the leader, and readers tell each other."""
 
-    tells_through_readers = True
+    uses_readers = True
 
-    def regular(self, report: reports.Report) -> list[reports.Peer]:
+    def periodic_recipients(self, report: reports.Report) -> list[reports.Peer]:
         """See base class."""
         if report.is_leader:
-            return self._places.far
-        chosen = {peer.row.node: peer for peer in self.leaders()}
+            return self._topology.far
+        chosen = {peer.row.node: peer for peer in self.far_leaders()}
         if report.is_reader:
-            likely = self._likely_readers()
+            likely = self._reader_candidates()
             chosen |= {peer.row.node: peer for peer in likely}
         return list(chosen.values())
 
-    def changed(self, report: reports.Report) -> list[reports.Peer]:
+    def urgent_recipients(self, report: reports.Report) -> list[reports.Peer]:
         """See base class."""
         if report.is_leader or report.is_leaving:
-            return self._places.far
-        return self.leaders()
+            return self._topology.far
+        return self.far_leaders()
 
-    def thin(self, report: reports.Report) -> reports.Report:
+    def trim(self, report: reports.Report) -> reports.Report:
         """See base class."""
         return msgspec.structs.replace(
             report, shared={}, local={}, tables={}, far_live={}
         )
 
-    def to_tell(self, now: float) -> tuple[int, dict[ids.FailureDomain, int]]:
+    def counts_to_publish(
+        self, now: float
+    ) -> tuple[int, dict[ids.FailureDomain, int]]:
         """See base class."""
-        return self.near_heard(now), self._told_by_far(now)
+        return self.near_live_count(now), self._far_live_by_report(now)
 
-    def heard_of(self, now: float) -> set[ids.FailureDomain]:
+    def live_domains(self, now: float) -> set[ids.FailureDomain]:
         """See base class."""
-        return {d for d, count in self._far_heard(now).items() if count > 0}
+        return {d for d, count in self._far_live(now).items() if count > 0}
 
-    def heard(self, now: float) -> int:
+    def live_count(self, now: float) -> int:
         """See base class."""
-        return self.near_heard(now) + sum(self._far_heard(now).values())
+        return self.near_live_count(now) + sum(self._far_live(now).values())
 
-    def _far_heard(self, now: float) -> dict[ids.FailureDomain, int]:
+    def _far_live(self, now: float) -> dict[ids.FailureDomain, int]:
         """Returns VMs of other domains, as this VM or its readers know."""
-        most = self._told_by_far(now)
-        for peer in reports.live_peers(self._places.near, now):
+        most = self._far_live_by_report(now)
+        for peer in reports.live_peers(self._topology.near, now):
             for domain, told in peer.report.far_live.items():
                 most[domain] = max(most.get(domain, 0), told)
         return most
 
-    def _told_by_far(self, now: float) -> dict[ids.FailureDomain, int]:
+    def _far_live_by_report(self, now: float) -> dict[ids.FailureDomain, int]:
         most: dict[ids.FailureDomain, int] = {}
-        for peer in reports.live_peers(self._places.far, now):
+        for peer in reports.live_peers(self._topology.far, now):
             domain, told = peer.row.domain, max(1, peer.report.near_live)
             most[domain] = max(most.get(domain, 0), told)
         return most
 
-    def _likely_readers(self) -> list[reports.Peer]:
+    def _reader_candidates(self) -> list[reports.Peer]:
         by_domain: dict[ids.FailureDomain, list[reports.Peer]] = {}
-        for peer in self._places.far:
+        for peer in self._topology.far:
             if not peer.row.is_retired:
                 by_domain.setdefault(peer.row.domain, []).append(peer)
         chosen = []
         for peers in by_domain.values():
-            chosen += peers[:LIKELY_READERS]
+            chosen += peers[:READER_CANDIDATES]
             chosen += [
                 peer
-                for peer in peers[LIKELY_READERS:]
+                for peer in peers[READER_CANDIDATES:]
                 if peer.claims_reader_role
             ]
         return chosen
--- a/src/swiftstile/gateway/domain_reports.py
+++ b/src/swiftstile/gateway/domain_reports.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from swiftstile.gateway import circulation
+from swiftstile.gateway import dissemination
 from swiftstile.gateway import reports
 
 __all__ = ["DomainReports", "Entry"]
 
 # Up to so many others of a domain are told each time.
-FEW_NEAR_VMS = 12
+MAX_FULL_MESH_NEAR_VMS = 12
 # A VM counts on batches for so long after one that held a report of its own:
 # two may be lost, and what it tells itself then is in time for its peers.
 BATCH_TRUST_S = 0.6
@@ -41,7 +41,7 @@
     data: bytes
 
 
-class _Gathered(msgspec.Struct):
+class _PendingReport(msgspec.Struct):
     """A report that is to be handed on.
 
     Attributes:
@@ -59,54 +59,56 @@
     """What one VM tells its own failure domain, and to whom.
 
     Args:
-        places: The other VMs.
+        topology: The other VMs.
     """
 
-    def __init__(self, places: circulation.Places):
-        self._places = places
-        self._gathered_by_run: dict[str, _Gathered] = {}
-        self._came_back_at = float("-inf")
+    def __init__(self, topology: dissemination.Topology):
+        self._topology = topology
+        self._pending_by_run: dict[str, _PendingReport] = {}
+        self._echoed_at = float("-inf")
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(list[Entry])
 
     @property
-    def is_crowded(self) -> bool:
+    def is_large(self) -> bool:
         """Whether reports go through readers."""
-        return len(self._places.near) > FEW_NEAR_VMS
+        return len(self._topology.near) > MAX_FULL_MESH_NEAR_VMS
 
-    def audience(
+    def recipients(
         self, report: reports.Report, now: float
     ) -> list[reports.Peer]:
         """Returns the VMs that a report of this one goes to."""
-        near = self._places.near
+        near = self._topology.near
         concerns_all = report.is_leader or report.is_leaving or report.is_reader
-        if not self.is_crowded or concerns_all:
+        if not self.is_large or concerns_all:
             return near
-        if now - self._came_back_at > BATCH_TRUST_S:
+        if now - self._echoed_at > BATCH_TRUST_S:
             return near
-        likely = near[: circulation.LIKELY_READERS]
+        likely = near[: dissemination.READER_CANDIDATES]
         return likely + [
             peer
-            for peer in near[circulation.LIKELY_READERS :]
+            for peer in near[dissemination.READER_CANDIDATES :]
             if peer.claims_leadership or peer.claims_reader_role
         ]
 
-    def gather(self, run: str, sequence: int, data: bytes, now: float) -> None:
+    def add_to_batch(
+        self, run: str, sequence: int, data: bytes, now: float
+    ) -> None:
         """Keeps a report that came, to be handed on."""
-        self._gathered_by_run[run] = _Gathered(sequence, now, data)
+        self._pending_by_run[run] = _PendingReport(sequence, now, data)
 
-    def batches(self, now: float) -> list[bytes]:
-        """Returns what was gathered since the last call, for all near VMs."""
-        gathered, self._gathered_by_run = self._gathered_by_run, {}
+    def take_batches(self, now: float) -> list[bytes]:
+        """Returns what was pending since the last call, for all near VMs."""
+        pending, self._pending_by_run = self._pending_by_run, {}
         batches: list[list[Entry]] = []
-        room = 0
-        for run, one in gathered.items():
-            if len(one.data) > room:
+        remaining = 0
+        for run, one in pending.items():
+            if len(one.data) > remaining:
                 batches.append([])
-                room = BATCH_BYTES
+                remaining = BATCH_BYTES
             age_ms = round((now - one.received_at) * 1000)
             batches[-1].append(Entry(run, one.sequence, age_ms, one.data))
-            room -= len(one.data)
+            remaining -= len(one.data)
         return [self._encoder.encode(batch) for batch in batches]
 
     def entries(self, data: bytes) -> list[Entry]:
@@ -117,6 +119,6 @@
         """
         return self._decoder.decode(data)
 
-    def note_came_back(self, now: float) -> None:
+    def record_echo(self, now: float) -> None:
         """A report of this VM came back in a batch."""
-        self._came_back_at = now
+        self._echoed_at = now
--- a/src/swiftstile/gateway/gossip.py
+++ b/src/swiftstile/gateway/gossip.py
@@ -15,7 +15,7 @@
 from swiftstile import logs
 from swiftstile import metrics
 from swiftstile import pacing
-from swiftstile.gateway import circulation as circulation_lib
+from swiftstile.gateway import dissemination as dissemination_lib
 from swiftstile.gateway import domain_reports
 from swiftstile.gateway import measures as measures_lib
 from swiftstile.gateway import model
@@ -30,31 +30,31 @@
 # The same to other domains, whose bytes are dear.
 FAR_INTERVAL_S = 0.35
 # Timers are a little early or late; half a tick is close enough.
-_SLACK_S = NEAR_INTERVAL_S / 2
+_TIMER_SLACK_S = NEAR_INTERVAL_S / 2
 # Between two reports when nothing changed: three may be lost before a peer
 # counts as silent.
-HEARTBEAT_S = 0.25
+HEARTBEAT_INTERVAL_S = 0.25
 # Most reports a second to the own domain: with many VMs each hears less often
 # of each, as each has a smaller part of the requests.
-NEAR_PER_S = 100
+MAX_NEAR_REPORTS_PER_S = 100
 # While keys move every report counts, to all domains.
 URGENT_INTERVAL_S = 0.05
 # Between two looks whether a report is due, where VMs are many.
-CROWD_TICK_S = 0.1
+LARGE_DOMAIN_TICK_S = 0.1
 # How long a retired VM still counts: longer than a leader goes on without the
 # store, and those that follow it.
-RETIRED_COUNTS_S = 20.0
+RETIRED_QUORUM_S = 20.0
 # A process that stood still for so long finds old datagrams in its socket.
-PAUSE_S = 0.25
+STALL_THRESHOLD_S = 0.25
 # In this time after a pause all that had queued up has been read.
-CATCH_UP_S = 0.1
+DRAIN_AFTER_STALL_S = 0.1
 # First byte of a datagram: what it is.
 _REPORT, _PERMIT, _BATCH = b"r", b"p", b"b"
 # Second byte of a report: whether the VM that it goes to was heard lately.
-_HEARD, _NOT_HEARD = b"h", b"-"
+_RECEIVING, _NOT_RECEIVING = b"h", b"-"
 
 
-def _state(report: reports.Report) -> tuple:
+def _urgent_state(report: reports.Report) -> tuple:
     """Returns what all VMs should know soon when it changes."""
     return (
         report.is_leader,
@@ -95,7 +95,7 @@
 
     Attributes:
         by_node: All that are registered, this one excluded.
-        places: The same by failure domain.
+        topology: The same by failure domain.
     """
 
     def __init__(
@@ -108,8 +108,8 @@
         self.me = me
         self._meters = meters or metrics.Meters()
         self._measures = measures
-        self._near_pace = measures_lib.Pace()
-        self._leader_pace = measures_lib.Pace()
+        self._near_measure_pace = measures_lib.Pace()
+        self._leader_measure_pace = measures_lib.Pace()
         self.by_node: dict[model.NodeId, reports.Peer] = {}
         self._by_run: dict[str, reports.Peer] = {}
         self._on_report = on_report
@@ -119,13 +119,13 @@
         self._encoder = report_encoding.ReportEncoder(self._meters)
         self._transport: asyncio.DatagramTransport | None = None
         self._sequence = 0
-        self.places = circulation_lib.Places(me, self.by_node)
-        self._to_every_vm = circulation_lib.ToEveryVm(me, self.places)
-        self._through_readers = circulation_lib.ThroughReaders(me, self.places)
-        self._domain = domain_reports.DomainReports(self.places)
+        self.topology = dissemination_lib.Topology(me, self.by_node)
+        self._full_mesh = dissemination_lib.FullMesh(me, self.topology)
+        self._via_readers = dissemination_lib.ViaReaders(me, self.topology)
+        self._domain = domain_reports.DomainReports(self.topology)
         self._own_run = reports.short_run(me.incarnation)
         self._tick_at = 0.0
-        self._deaf_until = 0.0
+        self._discard_until = 0.0
         self._near_at = self._far_at = self._urgent_at = 0.0
         self._near_sent: tuple = ()
         self._far_sent: tuple = ()
@@ -136,7 +136,7 @@
         """Takes in a registration; None when it was removed."""
         if node == self.me.node:
             return
-        self.places.forget()
+        self.topology.invalidate()
         known = self.by_node.get(node)
         if known is not None:
             self._by_run.pop(reports.short_run(known.row.incarnation), None)
@@ -152,13 +152,13 @@
             known.retired_at = now
         known.row = row
 
-    def heard(
+    def live_peers(
         self, now: float, within_s: float = reports.PEER_TIMEOUT_S
     ) -> list[reports.Peer]:
         """Returns the peers that told something lately."""
         return reports.live_peers(self.by_node.values(), now, within_s)
 
-    def of_run(self, run: str) -> reports.Peer | None:
+    def find_run(self, run: str) -> reports.Peer | None:
         """Returns the VM whose present run has a short name, if any."""
         return self._by_run.get(run)
 
@@ -166,29 +166,34 @@
         self, domain: ids.FailureDomain, now: float
     ) -> list[reports.Peer]:
         """Returns the peers of a domain that are likely to answer."""
-        is_unheard = (
-            domain != self.me.domain and self.circulation.tells_through_readers
+        uses_reader_reports = (
+            domain != self.me.domain and self.dissemination.uses_readers
         )
         return [
             peer
-            for peer in self.places.all_in(domain)
+            for peer in self.topology.in_domain(domain)
             if not peer.row.is_retired
-            and (is_unheard or peer.is_live(now))
+            and (uses_reader_reports or peer.is_live(now))
             and not (peer.report is not None and peer.report.is_leaving)
         ]
 
-    def is_silent(self, domain: ids.FailureDomain, now: float) -> bool:
+    def is_domain_unreachable(
+        self, domain: ids.FailureDomain, now: float
+    ) -> bool:
         """Whether VMs are registered in another domain and none is heard of."""
-        if domain == self.me.domain or domain in self.circulation.heard_of(now):
+        if (
+            domain == self.me.domain
+            or domain in self.dissemination.live_domains(now)
+        ):
             return False
         known = [
             peer
-            for peer in self.places.all_in(domain)
+            for peer in self.topology.in_domain(domain)
             if not peer.row.is_retired
         ]
         return bool(known) and not any(peer.is_live(now) for peer in known)
 
-    def counted(self, now: float) -> list[reports.Peer]:
+    def quorum_members(self, now: float) -> list[reports.Peer]:
         """Returns the peers of which a majority is counted.
 
         A retired one still counts for a while: a part of the VMs that doesn't
@@ -198,7 +203,7 @@
             peer
             for peer in self.by_node.values()
             if not peer.row.is_retired
-            or now - peer.retired_at < RETIRED_COUNTS_S
+            or now - peer.retired_at < RETIRED_QUORUM_S
         ]
 
     async def run(self, make_report) -> None:
@@ -216,11 +221,9 @@
             self._tick_at = clocks.monotonic()
             while True:
                 now = clocks.monotonic()
-                self.note_tick(now)
-                is_whole = self._needs_whole(now)
-                self._send(
-                    make_report(self.next_sequence(), is_whole), is_whole
-                )
+                self.detect_stall(now)
+                is_full = self._is_full_report_due(now)
+                self._send(make_report(self.next_sequence(), is_full), is_full)
                 await pacing.pause(self._tick_s())
         finally:
             self._transport.close()
@@ -239,20 +242,24 @@
 
     def _tick_s(self) -> float:
         """Returns the time to the next look; a report may then be due."""
-        if self._domain.is_crowded:
-            return CROWD_TICK_S
-        return min(max(NEAR_INTERVAL_S, self._near_s() / 2), URGENT_INTERVAL_S)
+        if self._domain.is_large:
+            return LARGE_DOMAIN_TICK_S
+        return min(
+            max(NEAR_INTERVAL_S, self._near_interval_s() / 2), URGENT_INTERVAL_S
+        )
 
-    def _near_s(self) -> float:
-        near_s = max(NEAR_INTERVAL_S, len(self.places.near) / NEAR_PER_S)
-        return min(near_s, HEARTBEAT_S)
+    def _near_interval_s(self) -> float:
+        interval_s = max(
+            NEAR_INTERVAL_S, len(self.topology.near) / MAX_NEAR_REPORTS_PER_S
+        )
+        return min(interval_s, HEARTBEAT_INTERVAL_S)
 
-    def note_tick(self, now: float) -> None:
+    def detect_stall(self, now: float) -> None:
         """Notices when this process stood still since the last tick."""
-        still_s = now - self._tick_at
-        if still_s > PAUSE_S:
-            self._deaf_until = now + CATCH_UP_S
-            logs.logger.info("process stood still", for_s=round(still_s, 3))
+        stalled_s = now - self._tick_at
+        if stalled_s > STALL_THRESHOLD_S:
+            self._discard_until = now + DRAIN_AFTER_STALL_S
+            logs.logger.info("process stood still", for_s=round(stalled_s, 3))
         self._tick_at = now
 
     def next_sequence(self) -> int:
@@ -264,76 +271,83 @@
         self._near_at = self._far_at = self._urgent_at = 0.0
         self._send(report)
 
-    def _needs_whole(self, now: float) -> bool:
+    def _is_full_report_due(self, now: float) -> bool:
         """Whether a report made now may go to the own domain.
 
         Where VMs are many it may at less than half of the looks; the others are
         for what all should know at once.
         """
-        if not self.circulation.tells_through_readers:
+        if not self.dissemination.uses_readers:
             return True
-        return now - self._near_at >= self._near_s() - _SLACK_S
+        return now - self._near_at >= self._near_interval_s() - _TIMER_SLACK_S
 
-    def _send(self, report: reports.Report, is_whole: bool = True) -> None:
+    def _send(self, report: reports.Report, is_full: bool = True) -> None:
         now = clocks.monotonic()
         if report.is_leader and not report.is_leaving:
             # Many while it takes keys back, and it tells all VMs.
             report = msgspec.structs.replace(report, holds=None)
-        if is_whole:
+        if is_full:
             self._send_near_if_due(report, now)
         self._send_far_if_due(report, now)
 
     def _send_near_if_due(self, report: reports.Report, now: float) -> None:
         versions = [word.version for word in report.tables.values()]
-        content = (report.shared, report.local, versions, *_state(report))
-        near_s = HEARTBEAT_S
+        content = (
+            report.shared,
+            report.local,
+            versions,
+            *_urgent_state(report),
+        )
+        interval_s = HEARTBEAT_INTERVAL_S
         if content != self._near_sent:
-            near_s = self._near_s()
-        if now - self._near_at >= near_s - _SLACK_S:
+            interval_s = self._near_interval_s()
+        if now - self._near_at >= interval_s - _TIMER_SLACK_S:
             self._near_at, self._near_sent = now, content
-            self._send_near(report, now)
+            self._send_to_near(report, now)
 
     def _send_far_if_due(self, report: reports.Report, now: float) -> None:
-        state = _state(report)
-        if now - self._urgent_at < URGENT_INTERVAL_S - _SLACK_S:
+        state = _urgent_state(report)
+        if now - self._urgent_at < URGENT_INTERVAL_S - _TIMER_SLACK_S:
             return
-        circulation = self.circulation
-        if now - self._far_at >= FAR_INTERVAL_S - _SLACK_S:
+        dissemination = self.dissemination
+        if now - self._far_at >= FAR_INTERVAL_S - _TIMER_SLACK_S:
             self._far_at = now
-            to = circulation.regular(report)
+            to = dissemination.periodic_recipients(report)
         elif state != self._far_sent:
-            to = circulation.changed(report)
+            to = dissemination.urgent_recipients(report)
         elif report.holds:
             # Only the leader waits for them.
-            to = circulation.leaders()
+            to = dissemination.far_leaders()
         else:
             return
         self._urgent_at, self._far_sent = now, state
-        self._send_far(circulation.thin(report), now, to)
+        self._send_to_far(dissemination.trim(report), now, to)
 
     @property
-    def circulation(self) -> circulation_lib.Circulation:
+    def dissemination(self) -> dissemination_lib.Dissemination:
         """Whom of other domains this VM tells."""
-        is_few = len(self.places.far) <= circulation_lib.FEW_FAR_VMS
-        return self._to_every_vm if is_few else self._through_readers
+        is_full_mesh = (
+            len(self.topology.far) <= dissemination_lib.MAX_FULL_MESH_FAR_VMS
+        )
+        return self._full_mesh if is_full_mesh else self._via_readers
 
-    def _send_near(self, report: reports.Report, now: float) -> None:
+    def _send_to_near(self, report: reports.Report, now: float) -> None:
         self._sequence = report.sequence
-        measured = self._with_measures(report, self._near_pace, now)
+        measured = self._with_measures(report, self._near_measure_pace, now)
         data = self._encoder.encode(measured)
-        for peer in self._domain.audience(report, now):
+        for peer in self._domain.recipients(report, now):
             self._send_to(peer, data, now)
-        if report.is_reader and self._domain.is_crowded:
+        if report.is_reader and self._domain.is_large:
             self._send_batches(now)
 
     def _send_batches(self, now: float) -> None:
         """Hands on what VMs of this domain told since the last time."""
-        for batch in self._domain.batches(now):
-            for peer in self.places.near:
+        for batch in self._domain.take_batches(now):
+            for peer in self.topology.near:
                 if not peer.row.is_retired or peer.is_live(now):
                     self._transport.sendto(_BATCH + batch, _address(peer))
 
-    def _send_far(self, report: reports.Report, now: float, to) -> None:
+    def _send_to_far(self, report: reports.Report, now: float, to) -> None:
         self._sequence = report.sequence
         if not to:
             return
@@ -341,7 +355,9 @@
         to_leader = data
         if any(peer.claims_leadership for peer in to):
             # Speeds and heat matter to the one that places keys.
-            measured = self._with_measures(report, self._leader_pace, now)
+            measured = self._with_measures(
+                report, self._leader_measure_pace, now
+            )
             to_leader = self._encoder.encode(measured)
         for peer in to:
             self._send_to(
@@ -365,8 +381,8 @@
         # A retired VM doesn't count as heard until it registers anew: it may
         # not know yet, and must not act on our word.
         is_counted = peer.is_live(now) and not peer.row.is_retired
-        word = _HEARD if is_counted else _NOT_HEARD
-        self._transport.sendto(_REPORT + word + data, _address(peer))
+        marker = _RECEIVING if is_counted else _NOT_RECEIVING
+        self._transport.sendto(_REPORT + marker + data, _address(peer))
 
     def send_permit(self, peer: reports.Peer, data: bytes) -> None:
         """Sends something about permits; it may be lost."""
@@ -375,12 +391,12 @@
 
     def _receive(self, data: bytes, sender) -> None:
         now = clocks.monotonic()
-        if now < self._deaf_until or now - self._tick_at > PAUSE_S:
+        if now < self._discard_until or now - self._tick_at > STALL_THRESHOLD_S:
             # It may have waited in the socket while this process stood still.
             return
         if data[:1] == _REPORT:
-            is_heard = data[1:2] == _HEARD
-            self._receive_report(data[2:], is_heard, sender, now)
+            is_receiving = data[1:2] == _RECEIVING
+            self._receive_report(data[2:], is_receiving, sender, now)
         elif data[:1] == _BATCH:
             self._receive_batch(data[1:], sender, now)
         elif data[:1] == _PERMIT and self.on_permit is not None:
@@ -406,7 +422,7 @@
             return
         peer.record_direct_report(report, now, receives_us)
         if peer.row.domain == self.me.domain:
-            self._domain.gather(report.run, report.sequence, data, now)
+            self._domain.add_to_batch(report.run, report.sequence, data, now)
         self._on_report(peer, now)
 
     def _receive_batch(self, data: bytes, sender, now: float) -> None:
@@ -418,7 +434,7 @@
 
     def _receive_entry(self, entry: domain_reports.Entry, now: float) -> None:
         if entry.run == self._own_run:
-            self._domain.note_came_back(now)
+            self._domain.record_echo(now)
             return
         peer = self._by_run.get(entry.run)
         if peer is None:
--- a/src/swiftstile/gateway/leadership.py
+++ b/src/swiftstile/gateway/leadership.py
@@ -153,10 +153,10 @@
 
     def _pause_s(self) -> float:
         """Returns how long to wait before a try to take over."""
-        places, vms = self._peers.places, len(self._peers.by_node) + 1
-        wide = places.wide
+        places, vms = self._peers.topology, len(self._peers.by_node) + 1
+        wide = places.high_bandwidth_count
         wide_spread_s = max(SPREAD_S, SPREAD_PER_VM_S * wide)
-        if not places.is_narrow(self._peers.me):
+        if not places.is_low_bandwidth(self._peers.me):
             return random.uniform(0, wide_spread_s)
         spread_s = max(SPREAD_S, SPREAD_PER_VM_S * (vms - wide))
         after_s = wide_spread_s + NARROW_PAUSE_S
@@ -177,8 +177,8 @@
             self._silent_since = max(
                 leader.received_at, leader.run_began_at, self._applied_at
             )
-        known = self._peers.counted(now)
-        heard = self._peers.circulation.heard(now)
+        known = self._peers.quorum_members(now)
+        heard = self._peers.dissemination.live_count(now)
         silent_s = now - self._silent_since
         if silent_s < reports.PEER_TIMEOUT_S:
             return False
--- a/src/swiftstile/gateway/owners.py
+++ b/src/swiftstile/gateway/owners.py
@@ -132,7 +132,9 @@
         Then it isn't tried again and again: each try holds its caller for as
         long as a connection may take to open.
         """
-        return self._peers.is_silent(target.upstream.failure_domain, now)
+        return self._peers.is_domain_unreachable(
+            target.upstream.failure_domain, now
+        )
 
 
 class OwnerOfKey(admission.OwnerLookup):
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -376,7 +376,7 @@
             if asked is not None:
                 asked.note(message)
             return
-        peer = self._peers.of_run(message.run)
+        peer = self._peers.find_run(message.run)
         if peer is None:
             # Its registration will follow, or this is of an earlier run.
             return
--- a/src/swiftstile/gateway/readers.py
+++ b/src/swiftstile/gateway/readers.py
@@ -9,7 +9,7 @@
 import collections.abc
 import itertools
 
-from swiftstile.gateway import circulation
+from swiftstile.gateway import dissemination
 from swiftstile.gateway import gossip
 from swiftstile.gateway import reports
 
@@ -84,17 +84,17 @@
         if now == self._looked_at:
             return
         self._looked_at = now
-        most = max(self._few_vms, circulation.READERS)
+        most = max(self._few_vms, dissemination.READERS_PER_DOMAIN)
         present = list(itertools.islice(self._present(now), most))
         self._is_many = len(present) >= self._few_vms
         # Readers come first, so no more than those have to be looked at.
-        own = circulation.reader_order(self._peers.me)
+        own = dissemination.reader_order(self._peers.me)
         before = [
             peer
-            for peer in present[: circulation.READERS]
-            if circulation.reader_order(peer.row) < own
+            for peer in present[: dissemination.READERS_PER_DOMAIN]
+            if dissemination.reader_order(peer.row) < own
         ]
-        is_one = len(before) < circulation.READERS
+        is_one = len(before) < dissemination.READERS_PER_DOMAIN
         self._is_reader = not self._is_many or is_one
 
     @staticmethod
@@ -110,7 +110,7 @@
         One by one: a report asks several times, mostly for the first few.
         """
         since = now - reports.PEER_TIMEOUT_S
-        for peer in self._peers.places.near:
+        for peer in self._peers.topology.near:
             report = peer.report
             is_heard = report is not None and peer.received_at > since
             if is_heard and not report.is_leaving:
--- a/src/swiftstile/gateway/relay.py
+++ b/src/swiftstile/gateway/relay.py
@@ -152,7 +152,7 @@
         asked = {question.address for question in self._asked(follower.name)}
         served = [
             peer
-            for peer in self._peers.heard(now)
+            for peer in self._peers.live_peers(now)
             if peer.report.store_unresponsive_s == 0
             and peer.row.address not in asked
         ]
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -244,7 +244,7 @@
         by_id = self._book.by_id
         return sharing.Look(
             sharing.able_by_domain(self._peers, now, self._able_since),
-            self._peers.circulation.heard_of(now),
+            self._peers.dissemination.live_domains(now),
             frozenset(self.unreachable),
             {
                 owner: by_id[owner].upstream.failure_domain
--- a/src/swiftstile/gateway/report_encoding.py
+++ b/src/swiftstile/gateway/report_encoding.py
@@ -12,15 +12,15 @@
 from swiftstile import metrics
 from swiftstile.gateway import reports
 
-__all__ = ["MAX_BYTES", "PLAIN_BYTES", "ReportEncoder"]
+__all__ = ["MAX_BYTES", "FULL_REPORT_BYTES", "ReportEncoder"]
 
 # What a datagram can hold, less two bytes that say what it is.
 MAX_BYTES = 65_505
 # A report beyond this has too many counts or measures.
-PLAIN_BYTES = 8190
+FULL_REPORT_BYTES = 8190
 # Upstreams whose counts are told then, of each kind: twice as many and 60
 # speeds are below that, with names of 34 bytes.
-MOST_COUNTS = 60
+MAX_COUNTS = 60
 
 
 class ReportEncoder:
@@ -42,10 +42,10 @@
         depend on they would take it for one that holds none.
         """
         data = self._encoder.encode(report)
-        if len(data) > PLAIN_BYTES:
-            report = _with_greatest_counts(report)
+        if len(data) > FULL_REPORT_BYTES:
+            report = _with_largest_counts(report)
             data = self._encoder.encode(report)
-        if len(data) > PLAIN_BYTES:
+        if len(data) > FULL_REPORT_BYTES:
             report = msgspec.structs.replace(report, speeds={}, key_load={})
             data = self._encoder.encode(report)
         self._note_size(len(data))
@@ -63,15 +63,15 @@
             )
 
 
-def _with_greatest_counts(report: reports.Report) -> reports.Report:
+def _with_largest_counts(report: reports.Report) -> reports.Report:
     return msgspec.structs.replace(
         report,
-        shared=_greatest(report.shared),
-        local=_greatest(report.local),
+        shared=_largest(report.shared),
+        local=_largest(report.local),
     )
 
 
-def _greatest(counts: reports.Counts) -> reports.Counts:
+def _largest(counts: reports.Counts) -> reports.Counts:
     """Returns the counts of the upstreams with most requests."""
     most = sorted(counts, key=lambda name: sum(counts[name]), reverse=True)
-    return {name: counts[name] for name in most[:MOST_COUNTS]}
+    return {name: counts[name] for name in most[:MAX_COUNTS]}
--- a/src/swiftstile/gateway/sharing.py
+++ b/src/swiftstile/gateway/sharing.py
@@ -45,13 +45,13 @@
 
     Attributes:
         able_by_domain: Other VMs that may renew grants, by failure domain.
-        heard_of: Domains whose VMs live, though they aren't heard.
+        live_domains: Domains whose VMs live, though they aren't heard.
         unreachable: Upstreams that this VM can't reach.
         domain_by_owner: Failure domains of the upstreams that own keys.
     """
 
     able_by_domain: dict[ids.FailureDomain, list[Able]]
-    heard_of: set[ids.FailureDomain]
+    live_domains: set[ids.FailureDomain]
     unreachable: frozenset[model.UpstreamId]
     domain_by_owner: dict[model.UpstreamId, ids.FailureDomain]
 
@@ -101,7 +101,7 @@
     ) -> bool:
         """The same where no VM that is known to reach it is in its domain."""
         me = self._me
-        if domain in look.heard_of:
+        if domain in look.live_domains:
             # Its own domain looks after it, and says nothing of it here.
             return False
         near = look.able_by_domain.get(domain, [])
@@ -131,7 +131,7 @@
     """
     settled_at = float("-inf") if able_since is None else able_since + SETTLE_S
     able: dict[ids.FailureDomain, list[Able]] = {}
-    for peer in peers.heard(now):
+    for peer in peers.live_peers(now):
         report = peer.report
         is_able = report.can_renew or peer.received_at < settled_at
         if is_able and not report.is_leaving:
--- a/tests/domain_player.py
+++ b/tests/domain_player.py
@@ -88,8 +88,8 @@
 
     def _tick(self, number: int, vm: _Vm) -> None:
         peers = vm.peers
-        peers.note_tick(self.now)
-        is_whole = peers._needs_whole(self.now)
+        peers.detect_stall(self.now)
+        is_whole = peers._is_full_report_due(self.now)
         peers._send(self._report(number, vm), is_whole)
 
     def _report(self, number: int, vm: _Vm) -> reports.Report:
@@ -105,7 +105,7 @@
 
     def heard_by(self, number: int) -> int:
         """Returns how many others a VM hears."""
-        return len(self.vms[number].peers.heard(self.now))
+        return len(self.vms[number].peers.live_peers(self.now))
 
     def forget_counts(self) -> None:
         """Counts datagrams anew."""
--- a/tests/unit/test_gateway_circulation.py
+++ b/tests/unit/test_gateway_dissemination.py
@@ -4,7 +4,7 @@
 
 from swiftstile import ids
 from swiftstile import metrics
-from swiftstile.gateway import circulation
+from swiftstile.gateway import dissemination
 from swiftstile.gateway import gossip
 from swiftstile.gateway import keymap
 from swiftstile.gateway import renewals
@@ -44,47 +44,54 @@
 
 def test_few_vms_tell_all_others():
     peers = _peers(0, 9, range(9))
-    to = peers.circulation.regular(builders.report(peers.me))
+    to = peers.dissemination.periodic_recipients(builders.report(peers.me))
     assert len(to) == 6
-    assert peers.circulation.heard(_NOW) == 9
+    assert peers.dissemination.live_count(_NOW) == 9
 
 
 def test_of_many_vms_each_tells_the_leader_alone():
     peers = _peers(30, 78, _near(30, 78))
     peers.by_node["vm-01"].report.is_leader = True
     report = builders.report(peers.me)
-    assert [p.row.node for p in peers.circulation.regular(report)] == ["vm-01"]
-    assert [p.row.node for p in peers.circulation.changed(report)] == ["vm-01"]
+    assert [
+        p.row.node for p in peers.dissemination.periodic_recipients(report)
+    ] == ["vm-01"]
+    assert [
+        p.row.node for p in peers.dissemination.urgent_recipients(report)
+    ] == ["vm-01"]
 
 
 def test_the_leader_tells_all():
     peers = _peers(30, 78, range(78))
     report = builders.report(peers.me, is_leader=True)
-    assert len(peers.circulation.regular(report)) == 52
+    assert len(peers.dissemination.periodic_recipients(report)) == 52
 
 
 def test_readers_tell_the_readers_of_other_domains():
     peers = _peers(0, 78, _near(0, 78))
     report = builders.report(peers.me, is_reader=True)
-    told = {p.row.node for p in peers.circulation.regular(report)}
+    told = {p.row.node for p in peers.dissemination.periodic_recipients(report)}
     assert told == {"vm-01", "vm-04", "vm-07", "vm-02", "vm-05", "vm-08"}
 
 
 def test_a_vm_counts_what_readers_of_its_domain_heard_of_others():
     peers = _peers(30, 78, _near(30, 78))
-    assert peers.circulation.heard(_NOW) == 26
+    assert peers.dissemination.live_count(_NOW) == 26
     reader = peers.by_node["vm-00"]
     reader.report.far_live = {"z1": 26, "z2": 20}
-    assert peers.circulation.heard(_NOW) == 72
-    assert peers.circulation.heard_of(_NOW) == {"z1", "z2"}
+    assert peers.dissemination.live_count(_NOW) == 72
+    assert peers.dissemination.live_domains(_NOW) == {"z1", "z2"}
     # Word of a reader that fell silent doesn't count.
     reader.received_at = _NOW - 2.0
-    assert peers.circulation.heard(_NOW) == 25
+    assert peers.dissemination.live_count(_NOW) == 25
 
 
 def test_what_readers_hear_of_other_domains_is_told_by_domain():
     peers = _peers(0, 78, _near(0, 78) | {1, 4, 2})
-    assert peers.circulation.to_tell(_NOW) == (26, {"z1": 26, "z2": 26})
+    assert peers.dissemination.counts_to_publish(_NOW) == (
+        26,
+        {"z1": 26, "z2": 26},
+    )
 
 
 class _Site:
@@ -149,7 +156,7 @@
 
 def test_readers_come_by_bandwidth():
     small, large = builders.node_row("a"), builders.node_row("b", link_mbps=9.0)
-    rows = sorted([small, large], key=circulation.reader_order)
+    rows = sorted([small, large], key=dissemination.reader_order)
     assert rows == [large, small]
 
 
--- a/tests/unit/test_gateway_domain_reports.py
+++ b/tests/unit/test_gateway_domain_reports.py
@@ -113,8 +113,8 @@
 def test_batches_are_cut_where_they_grow_large():
     made = domain_reports.DomainReports(None)
     for number in range(60):
-        made.gather(f"run{number:05d}", 1, b"x" * 1000, now=10.0)
-    batches = made.batches(now=10.2)
+        made.add_to_batch(f"run{number:05d}", 1, b"x" * 1000, now=10.0)
+    batches = made.take_batches(now=10.2)
     assert len(batches) > 1
     assert all(len(batch) < 2 * domain_reports.BATCH_BYTES for batch in batches)
     entries = [entry for batch in batches for entry in made.entries(batch)]
@@ -122,7 +122,7 @@
         f"run{number:05d}" for number in range(60)
     }
     assert {entry.age_ms for entry in entries} == {200}
-    assert made.batches(now=10.3) == []
+    assert made.take_batches(now=10.3) == []
 
 
 def test_a_new_run_isnt_heard_directly_by_what_its_last_run_told():
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -84,9 +84,19 @@
 @pytest.mark.parametrize(
     ("far_steps", "ask"),
     [
-        (10, lambda daemon, now: daemon._peers.circulation.to_tell(now)),
-        (5, lambda daemon, now: daemon._peers.circulation.leaders()),
-        (0, lambda daemon, now: daemon._peers.circulation.near_heard(now)),
+        (
+            10,
+            lambda daemon, now: daemon._peers.dissemination.counts_to_publish(
+                now
+            ),
+        ),
+        (5, lambda daemon, now: daemon._peers.dissemination.far_leaders()),
+        (
+            0,
+            lambda daemon, now: daemon._peers.dissemination.near_live_count(
+                now
+            ),
+        ),
         (
             0,
             lambda daemon, now: daemon._peers.reachable(
@@ -141,7 +151,7 @@
         waiting: Requests that wait for any upstream of the service.
     """
     queue = site.daemon._gate.decisions
-    queue.vms = site.daemon._peers.circulation.near_heard(site.now)
+    queue.vms = site.daemon._peers.dissemination.near_live_count(site.now)
     for target in site.daemon._book.by_id.values():
         builders.occupy(target, 5 - target.own, site.now)
     for _ in range(waiting):
@@ -207,7 +217,7 @@
         site.now += peers._tick_s()
         target.own = tick // 3 % 4
         daemon._leads.version += tick % 40 == 0
-        is_whole = is_always_whole or peers._needs_whole(site.now)
+        is_whole = is_always_whole or peers._is_full_report_due(site.now)
         whole += is_whole
         report = daemon._report(peers.next_sequence(), is_whole)
         peers._send(report, is_whole)
--- a/tests/unit/test_gateway_store.py
+++ b/tests/unit/test_gateway_store.py
@@ -442,14 +442,14 @@
     row = builders.node_row("vm-2")
     peers.apply(row, row.node, 0.0)
     encoder = gossip.msgspec.msgpack.Encoder()
-    peers.note_tick(100.0)
+    peers.detect_stall(100.0)
     clock.now = 107.0
     peers._receive(b"rh" + encoder.encode(builders.report(row, 1)), "x")
-    peers.note_tick(107.0)
+    peers.detect_stall(107.0)
     clock.now = 107.01
     peers._receive(b"rh" + encoder.encode(builders.report(row, 2)), "x")
     assert heard == []
     clock.now = 107.2
-    peers.note_tick(107.19)
+    peers.detect_stall(107.19)
     peers._receive(b"rh" + encoder.encode(builders.report(row, 3)), "x")
     assert heard == [3]
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -141,7 +141,9 @@
     _off(
         "cut-off owners are refused at once",
         "owners",
-        "return self._peers.is_silent(target.upstream.failure_domain, now)",
+        "return self._peers.is_domain_unreachable(\n"
+        "            target.upstream.failure_domain, now\n"
+        "        )",
         "return False",
     ),
     _off(
