--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -196,7 +196,7 @@
             self._is_leaving,
             self._authority.is_able(now),
             self._leads.version,
-            round(store.silent_s(now), 1),
+            round(store.failing_s(now), 1),
             shared,
             local,
             # What was measured is added as a report is sent.
@@ -218,7 +218,7 @@
 
     def _tables_to_tell(self, now: float) -> dict[str, reports.TableStatus]:
         words = {
-            name: follower.word(now)
+            name: follower.published_status(now)
             for name, follower in self._followers.items()
         }
         return {name: word for name, word in words.items() if word is not None}
@@ -240,7 +240,7 @@
         if counts or peer.reported_upstreams:
             self._note_counts(peer, counts, now)
         if peer.report.tables:
-            self._relay.note(peer, now)
+            self._relay.on_report(peer, now)
         if peer.report.key_load:
             self._heat.hear(node, peer.report.key_load, now)
         if peer.report.speeds:
--- a/src/swiftstile/gateway/follow.py
+++ b/src/swiftstile/gateway/follow.py
@@ -26,29 +26,30 @@
 
 # Peers are told of news for so long: whoever's call fell silent before they
 # came knows that it did by then.
-NEWS_S = WATCH_S + freshness.ANSWER_S
+ANNOUNCE_S = WATCH_S + freshness.ANSWER_MARGIN_S
 
 # Pauses after failures: the first short, since single answers get lost; the
 # last so that a store that comes back isn't flooded by all VMs.
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.4
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.4
 # The same where readers ask, too, and tell of the store's return.
-LONGEST_PAUSE_OF_MANY_S = 1.2
-# Between two looks whether a peer still tells fresh word.
-LED_PAUSE_S = 0.2
-# Peers' word is trusted for so long after a look at it: the next look may be
-# late by as much again. With the age that their word may have (readers.py) that
-# is below the 2 s in which a configuration has to be in force.
-LED_TRUST_S = 2 * LED_PAUSE_S
+MAX_BACKOFF_WITH_READERS_S = 1.2
+# Between two looks whether a peer still tells fresh status.
+PEER_CHECK_INTERVAL_S = 0.2
+# Peers' status is trusted for so long after a look at it: the next
+# look may be late by as much again. With the age that their status
+# may have (readers.py) that is below the 2 s in which a configuration has to be
+# in force.
+PEER_TRUST_S = 2 * PEER_CHECK_INTERVAL_S
 # A peer tells of a row so long after the store has it: the pause between its
 # calls, and the time to its next report.
-TOLD_AFTER_S = 0.5
+PEER_REPORT_DELAY_S = 0.5
 # In the first seconds many VMs and upstreams register; one call for each change
 # would be thousands.
-START_S = 3.0
-START_BATCH_S = 0.25
+STARTUP_S = 3.0
+STARTUP_BATCH_S = 0.25
 # Most removed rows that are remembered for peers that ask for changes.
-MOST_REMOVED = 1000
+MAX_REMOVED_ROWS = 1000
 
 
 class TableFollower:
@@ -65,8 +66,9 @@
             on this one.
         outage: What this VM's followers know of an outage together; None for
             a follower on its own.
-        tells_news: Whether peers are told of new rows also where none relies
-            on this VM: one whose call fell silent knows then that it is behind.
+        announces_changes: Whether peers are told of new rows also where none
+            relies on this VM: one whose call fell silent knows then that it is
+            behind.
 
     Attributes:
         name: Name of the table, for logs.
@@ -79,8 +81,8 @@
         failing_since: When calls began to fail; None while they succeed.
         recovered_at: Since when calls succeed, the first one included.
         is_loaded: Whether the table was read since the start.
-        news_since: Since when the store may have had the rows that are being
-            applied, or were last.
+        earliest_change_at: Since when the store may have had the rows that are
+            being applied, or were last.
     """
 
     def __init__(
@@ -92,7 +94,7 @@
         store_readers: readers.StoreReaders | None = None,
         reader_watch_s: float = WATCH_S,
         outage: outage_lib.Outage | None = None,
-        tells_news: bool = False,
+        announces_changes: bool = False,
     ):
         self.name = name
         self.rows: dict[str, interfaces.Change] = {}
@@ -103,16 +105,16 @@
         self.failing_since: float | None = None
         self.recovered_at = 0.0
         self.is_loaded = False
-        self.news_since = float("-inf")
+        self.earliest_change_at = float("-inf")
         # Until when there was nothing that wasn't known here.
-        self._complete_at = float("-inf")
+        self._complete_until = float("-inf")
         self._table = table
         self._apply = apply
         self._batch_s = batch_s
         self._readers = store_readers
         self._reader_watch_s = reader_watch_s
         self._outage = outage or outage_lib.Outage()
-        self._tells_news = tells_news
+        self._announces_changes = announces_changes
         # When the newest row of this table came.
         self._row_at = float("-inf")
         self._started = clocks.monotonic()
@@ -126,23 +128,23 @@
 
     async def run(self) -> None:
         """Follows the table until cancelled."""
-        pause_s = FIRST_PAUSE_S
+        pause_s = INITIAL_BACKOFF_S
         while True:
             sent = clocks.monotonic()
-            if self.is_led(sent):
-                self._note_led(sent)
-                await pacing.pause(LED_PAUSE_S)
+            if self.follows_peers(sent):
+                self._record_peer_coverage(sent)
+                await pacing.pause(PEER_CHECK_INTERVAL_S)
                 continue
             try:
                 is_done = await self._step_unless_overtaken()
             except errors.PlatformError as error:
                 self._note_failure(error)
                 await self._outage.pause(pause_s * random.uniform(0.7, 1.3))
-                pause_s = min(pause_s * 2, self._longest_pause_s())
+                pause_s = min(pause_s * 2, self._max_backoff_s())
                 continue
             if is_done:
-                pause_s = FIRST_PAUSE_S
-                self._note_contact(sent)
+                pause_s = INITIAL_BACKOFF_S
+                self._record_contact(sent)
             elif self.failing_since is not None:
                 # Rows of peers may come often; a store that is away isn't asked
                 # each time.
@@ -167,14 +169,14 @@
             self._limit = None
         return True
 
-    def _give_up_step(self) -> None:
+    def _cancel_step(self) -> None:
         if self._limit is not None:
             self._limit.reschedule(asyncio.get_running_loop().time())
             self._limit = None
 
     async def _step(self) -> None:
         if not self.is_loaded:
-            await self._read_all()
+            await self._reload()
             return
         asked_at = clocks.monotonic()
         changes = await self._table.wait_for_changes(
@@ -182,28 +184,28 @@
         )
         if changes is None:
             logs.logger.info("history dropped, reading all", table=self.name)
-            await self._read_all()
+            await self._reload()
             return
         if changes.version < self.version:
             # A peer's rows were quicker. They include these, and the removal
             # of some of them.
             return
         self._note_answer(asked_at)
-        self._merge(changes.rows)
+        self._merge_rows(changes.rows)
         self._note_version(changes.version)
         if changes.rows:
             # What changes in the meantime comes with the next call.
             await asyncio.sleep(self._pause_after_change_s())
 
-    async def _read_all(self) -> None:
+    async def _reload(self) -> None:
         asked_at = self.version
         snapshot = await self._table.read_all()
         if self.is_loaded and asked_at <= snapshot.version < self.version:
             # A peer's rows were quicker, and the store's answer wasn't stale.
             return
-        self.news_since = self._complete_at
-        self._replace(snapshot)
-        self._complete_at = clocks.monotonic()
+        self.earliest_change_at = self._complete_until
+        self._replace_rows(snapshot)
+        self._complete_until = clocks.monotonic()
 
     def _note_answer(self, asked_at: float) -> None:
         """The store told of all that is new.
@@ -213,94 +215,96 @@
         """
         now = clocks.monotonic()
         was_waiting = (
-            self.failing_since is None and now - asked_at > freshness.ANSWER_S
+            self.failing_since is None
+            and now - asked_at > freshness.ANSWER_MARGIN_S
         )
-        self.news_since = now if was_waiting else self._complete_at
-        self._complete_at = now
+        self.earliest_change_at = now if was_waiting else self._complete_until
+        self._complete_until = now
 
-    def _longest_pause_s(self) -> float:
+    def _max_backoff_s(self) -> float:
         chosen = self._readers
-        longest_s = LONGEST_PAUSE_OF_MANY_S
+        longest_s = MAX_BACKOFF_WITH_READERS_S
         if chosen is None or chosen.is_reader(clocks.monotonic()):
-            longest_s = LONGEST_PAUSE_S
-        return self._outage.longest_pause_s(self.name, longest_s)
+            longest_s = MAX_BACKOFF_S
+        return self._outage.max_backoff_s(self.name, longest_s)
 
     def _watch_s(self) -> float:
         now = clocks.monotonic()
         if self.failing_since is not None:
             # A call that waits would tell of the store's return too late.
             return 0.0
-        if self._readers is None or not self._readers.is_many(now):
+        if self._readers is None or not self._readers.is_large_domain(now):
             return WATCH_S
         return self._reader_watch_s
 
     def _pause_after_change_s(self) -> float:
-        if clocks.monotonic() - self._started < START_S:
-            return max(self._batch_s, START_BATCH_S)
+        if clocks.monotonic() - self._started < STARTUP_S:
+            return max(self._batch_s, STARTUP_BATCH_S)
         return self._batch_s
 
-    def is_led(self, now: float) -> bool:
+    def follows_peers(self, now: float) -> bool:
         """Whether peers tell of newer rows, so that the store isn't asked."""
-        return self.relies_on_peers(now) and not self.is_left_behind(now)
+        return self.relies_on_peers(now) and not self.is_lagging(now)
 
     def relies_on_peers(self, now: float) -> bool:
         """Whether it is for peers to follow the store, and they do."""
         if self._readers is None or not self.is_loaded:
             return False
-        return not self._readers.follows_itself(
+        return not self._readers.must_read_store(
             self.name, self._reader_watch_s, now
         )
 
-    def is_left_behind(self, now: float) -> bool:
+    def is_lagging(self, now: float) -> bool:
         """Whether a row that a peer told of doesn't come, for a while now."""
-        return self._freshness.is_left_behind(now)
+        return self._freshness.is_lagging(now)
 
     def is_current(self, now: float) -> bool:
         """Whether "there is no such row" may be said, as far as can be known.
 
         It may not while calls fail, while a row is missing that a peer told of,
-        and after the last word has grown old. The silence of a call counts only
-        after one that was answered: the first one after a failure, or after
-        peers' word ended, proves nothing yet. `contact_at` is no measure of
+        and after the last status has grown old. The silence of a call
+        counts only after one that was answered: the first one after a failure,
+        or after peers' status ended, proves nothing yet. `contact_at`
+        is no measure of
         this: a call that succeeded was sent up to a whole wait before its
         answer, and the next one waits as long.
         """
         return self.failing_since is None and self._freshness.is_current(now)
 
-    def note_told(self, version: int, now: float) -> None:
+    def record_reported_version(self, version: int, now: float) -> None:
         """A peer told that there is a row of a version."""
-        self._freshness.note_told(version, now)
+        self._freshness.record_reported_version(version, now)
 
-    def note_progress(self, now: float) -> None:
+    def record_progress(self, now: float) -> None:
         """A part of the rows that a peer told of came from it."""
-        self._freshness.note_progress(now)
+        self._freshness.record_progress(now)
 
     def _note_version(self, version: int) -> None:
         self.version = max(self.version, version)
-        self._freshness.note_version(version, clocks.monotonic())
+        self._freshness.record_version(version, clocks.monotonic())
 
-    def word(self, now: float) -> reports.TableStatus | None:
+    def published_status(self, now: float) -> reports.TableStatus | None:
         """Returns what others may rely on; None if there is nothing."""
-        if not self._is_for_peers(now):
+        if not self._should_publish(now):
             return None
-        if self.failing_since is not None or self.is_led(now):
+        if self.failing_since is not None or self.follows_peers(now):
             return None
         age_s = round(now - self.answered_at, 2)
         return reports.TableStatus(self.row_version, age_s)
 
-    def _is_for_peers(self, now: float) -> bool:
-        """Whether peers rely on this VM's word, or may lack what is new."""
-        if self._readers is not None and self._readers.is_many(now):
+    def _should_publish(self, now: float) -> bool:
+        """Whether peers rely on this VM's status, or may lack new rows."""
+        if self._readers is not None and self._readers.is_large_domain(now):
             return True
-        return self._tells_news and now - self._row_at <= NEWS_S
+        return self._announces_changes and now - self._row_at <= ANNOUNCE_S
 
-    def _note_led(self, now: float) -> None:
+    def _record_peer_coverage(self, now: float) -> None:
         if not self._freshness.is_behind():
-            # A reader's word is no older than this.
-            age_s = self._reader_watch_s + readers.WORD_MARGIN_S
+            # A reader's status is no older than this.
+            age_s = self._reader_watch_s + readers.STATUS_MARGIN_S
             self.contact_at = max(self.contact_at, now - age_s)
-            self._complete_at = max(self._complete_at, now - age_s)
-            self._freshness.note_word(until=now + LED_TRUST_S)
+            self._complete_until = max(self._complete_until, now - age_s)
+            self._freshness.record_peer_status(until=now + PEER_TRUST_S)
         self._note_recovery(now)
 
     def accept(self, snapshot: interfaces.Snapshot, is_whole: bool) -> None:
@@ -312,12 +316,12 @@
         """
         if snapshot.version <= self.version:
             return
-        self._give_up_step()
-        self._note_handed_over(clocks.monotonic())
+        self._cancel_step()
+        self._record_peer_rows(clocks.monotonic())
         if is_whole:
-            self._replace(snapshot)
+            self._replace_rows(snapshot)
         else:
-            self._merge(snapshot.rows)
+            self._merge_rows(snapshot.rows)
             self._note_version(snapshot.version)
 
     @property
@@ -329,16 +333,16 @@
         """
         return max(self.row_version, self._remembers_since)
 
-    def _note_handed_over(self, now: float) -> None:
+    def _record_peer_rows(self, now: float) -> None:
         """Rows come from a peer."""
         if not self.is_loaded:
-            self.news_since = float("-inf")
+            self.earliest_change_at = float("-inf")
             return
         behind_since = self._freshness.behind_since
         told_at = now if behind_since is None else behind_since
-        self.news_since = told_at - TOLD_AFTER_S
+        self.earliest_change_at = told_at - PEER_REPORT_DELAY_S
 
-    def since(self, version: int) -> list[interfaces.Change] | None:
+    def changes_since(self, version: int) -> list[interfaces.Change] | None:
         """Returns what changed after a version; None if that isn't known."""
         if version < self._remembers_since:
             return None
@@ -350,7 +354,7 @@
         ]
         return sorted(changed + removed, key=lambda row: row.version)
 
-    def _replace(self, snapshot: interfaces.Snapshot) -> None:
+    def _replace_rows(self, snapshot: interfaces.Snapshot) -> None:
         if snapshot.version < self.version:
             raise errors.PlatformUnavailableError(
                 f"read of version {snapshot.version} after {self.version}",
@@ -367,12 +371,12 @@
             if key not in present
         ]
         self._note_version(snapshot.version)
-        self._merge(snapshot.rows + removed)
+        self._merge_rows(snapshot.rows + removed)
         if not self.is_loaded:
             self.is_loaded = True
             self.recovered_at = clocks.monotonic()
 
-    def _merge(self, changes: list[interfaces.Change]) -> None:
+    def _merge_rows(self, changes: list[interfaces.Change]) -> None:
         newer = []
         for change in changes:
             known = self.rows.get(change.key)
@@ -396,7 +400,7 @@
     def _remember_removed(self, change: interfaces.Change) -> None:
         self._removed.pop(change.key, None)
         self._removed[change.key] = change.version
-        if len(self._removed) > MOST_REMOVED:
+        if len(self._removed) > MAX_REMOVED_ROWS:
             oldest = next(iter(self._removed))
             self._remembers_since = max(
                 self._remembers_since, self._removed.pop(oldest)
@@ -408,11 +412,11 @@
             self.failing_since = clocks.monotonic()
             logs.logger.warning("table lost", table=self.name, error=str(error))
 
-    def _note_contact(self, sent: float) -> None:
+    def _record_contact(self, sent: float) -> None:
         self.contact_at = sent
         self.answered_at = clocks.monotonic()
         self._note_recovery(self.answered_at)
-        self._freshness.note_answer(self.answered_at, self._watch_s())
+        self._freshness.record_answer(self.answered_at, self._watch_s())
 
     def _note_recovery(self, now: float) -> None:
         self._outage.note_answer(self.name)
@@ -425,6 +429,6 @@
             self.recovered_at = now
             self.failing_since = None
 
-    def silent_s(self, now: float) -> float:
+    def failing_s(self, now: float) -> float:
         """Returns since when calls fail, in seconds; 0 while they succeed."""
         return 0.0 if self.failing_since is None else now - self.failing_since
--- a/src/swiftstile/gateway/freshness.py
+++ b/src/swiftstile/gateway/freshness.py
@@ -6,16 +6,16 @@
 
 from swiftstile import logs
 
-__all__ = ["ANSWER_S", "BEHIND_S", "Freshness"]
+__all__ = ["ANSWER_MARGIN_S", "LAG_TOLERANCE_S", "Freshness"]
 
 # An answer of the store that is later than this after its call's wait isn't
 # "nothing is new": a slow store needs a quarter of a second, and what takes
 # longer are rows on a slow link, or silence.
-ANSWER_S = 0.5
+ANSWER_MARGIN_S = 0.5
 # A peer tells of newer rows and hands over nothing of them for so long: then
 # the store is asked. Two reports and a question, and well within the time in
 # which a configuration has to be in force.
-BEHIND_S = 0.5
+LAG_TOLERANCE_S = 0.5
 
 
 class Freshness:
@@ -37,65 +37,65 @@
         # "nothing is new".
         self._trusted_until = float("-inf")
         # Newest version that a peer told of.
-        self._told_version = 0
+        self._reported_version = 0
         self.behind_since: float | None = None
         # When a part of them last came.
-        self._progress_at = 0.0
+        self._last_progress_at = 0.0
 
     def is_behind(self) -> bool:
         """Whether a peer told of a row that isn't here."""
-        return self._told_version > self._version
+        return self._reported_version > self._version
 
-    def is_left_behind(self, now: float) -> bool:
+    def is_lagging(self, now: float) -> bool:
         """Whether a row that a peer told of doesn't come, for a while now."""
         since = self.behind_since
         if since is None:
             return False
-        return now - max(since, self._progress_at) > BEHIND_S
+        return now - max(since, self._last_progress_at) > LAG_TOLERANCE_S
 
     def is_current(self, now: float) -> bool:
         """Whether nothing is missing, by a word that hasn't grown old."""
         return not self.is_behind() and now <= self._trusted_until
 
-    def note_answer(self, now: float, watch_s: float) -> None:
+    def record_answer(self, now: float, watch_s: float) -> None:
         """The store answered, and is asked again now.
 
         A call that waits is answered at once if there is news, so its silence
-        stands for "nothing is new" during its wait and `ANSWER_S`.
+        stands for "nothing is new" during its wait and `ANSWER_MARGIN_S`.
 
         Args:
             now: The time.
             watch_s: How long the next call waits for changes, in seconds.
         """
-        self._trusted_until = now + watch_s + ANSWER_S
+        self._trusted_until = now + watch_s + ANSWER_MARGIN_S
 
-    def note_word(self, until: float) -> None:
+    def record_peer_status(self, until: float) -> None:
         """Peers' word that nothing is new stands until then."""
         self._trusted_until = until
 
-    def note_told(self, version: int, now: float) -> None:
+    def record_reported_version(self, version: int, now: float) -> None:
         """A peer told that there is a row of a version."""
-        self._told_version = max(self._told_version, version)
+        self._reported_version = max(self._reported_version, version)
         if self.is_behind() and self.behind_since is None:
             self.behind_since = now
 
-    def note_progress(self, now: float) -> None:
+    def record_progress(self, now: float) -> None:
         """A part of the rows that a peer told of came."""
-        self._progress_at = now
+        self._last_progress_at = now
 
-    def note_version(self, version: int, now: float) -> None:
+    def record_version(self, version: int, now: float) -> None:
         """The rows are here as of a version, or a newer one."""
         if version > self._version and self.behind_since is not None:
             # Newer rows came, though more may be missing: where versions follow
             # each other closely a VM lags by a moment, and isn't left behind.
-            self.note_progress(now)
+            self.record_progress(now)
         self._version = max(self._version, version)
         since = self.behind_since
         if since is None or self.is_behind():
             return
         self.behind_since = None
         behind_s = now - since
-        if behind_s > BEHIND_S:
+        if behind_s > LAG_TOLERANCE_S:
             logs.logger.info(
                 "rows came late", table=self._table, behind_s=round(behind_s, 3)
             )
--- a/src/swiftstile/gateway/outage.py
+++ b/src/swiftstile/gateway/outage.py
@@ -11,7 +11,7 @@
 
 # Longest pause between two tries of a follower that isn't the first: parts of
 # the store may come back one after the other, and calm VMs have 5 s to follow.
-LONGEST_OTHER_PAUSE_S = 2.0
+MAX_SECONDARY_BACKOFF_S = 2.0
 
 
 class Outage:
@@ -32,10 +32,10 @@
             del self._failing[table]
             self._answered.wake()
 
-    def longest_pause_s(self, table: str, of_first_s: float) -> float:
+    def max_backoff_s(self, table: str, primary_s: float) -> float:
         """Returns the longest pause between two tries for a table."""
-        is_first = next(iter(self._failing), table) == table
-        return of_first_s if is_first else LONGEST_OTHER_PAUSE_S
+        is_primary = next(iter(self._failing), table) == table
+        return primary_s if is_primary else MAX_SECONDARY_BACKOFF_S
 
     async def pause(self, seconds: float) -> None:
         """Waits, and no longer than until a call for some table succeeds."""
--- a/src/swiftstile/gateway/registry.py
+++ b/src/swiftstile/gateway/registry.py
@@ -72,7 +72,7 @@
     def apply(self, changes: list[interfaces.Change]) -> None:
         """Takes in changed rows."""
         now = clocks.monotonic()
-        news_since = self.follower.news_since
+        news_since = self.follower.earliest_change_at
         for change in changes:
             upstream_id = model.UpstreamId(change.key)
             self._unnamed.pop(upstream_id, None)
--- a/src/swiftstile/gateway/relay.py
+++ b/src/swiftstile/gateway/relay.py
@@ -24,25 +24,25 @@
 
 # A table is asked of a peer after the store was silent this long: longer than
 # single lost answers take.
-SILENT_S = 0.5
+STORE_TIMEOUT_S = 0.5
 # Between two questions.
-INTERVAL_S = 0.4
+RETRY_INTERVAL_S = 0.4
 # Longest wait for one piece of a peer's answer, when it is asked for first.
-TIMEOUT_S = 0.5
+PIECE_TIMEOUT_S = 0.5
 # A further piece is asked for so often before the peer is given up. Each time
 # it is waited for twice as long: where many fetch from a peer at the same time,
 # it isn't lost but on its way behind others, and asking again adds to those.
-PIECE_TRIES = 3
+PIECE_ATTEMPTS = 3
 # Peers asked for a table at the same time: a second one only while the first
 # one's next piece is late, as both share this VM's link.
-MOST_ASKED = 2
+MAX_CONCURRENT_FETCHES = 2
 # Questions answered at the same time: those of a failure domain may come all
 # at once, and each is short.
-PARALLEL = 8
+MAX_PARALLEL_REQUESTS = 8
 
 
-class _Question:
-    """One question to a peer for a table.
+class _Fetch:
+    """One fetch to a peer for a table.
 
     Attributes:
         table: Name of the table.
@@ -84,8 +84,8 @@
         self._seeds = seeds
         self._meters = meters
         self._outgoing = transfers.OutgoingRows()
-        self._turn = 0
-        self._asking: list[_Question] = []
+        self._next_peer = 0
+        self._fetches: list[_Fetch] = []
 
     async def handle(self, message: messages.Message) -> messages.Message:
         """See base class."""
@@ -97,59 +97,61 @@
         follower = self._followers.get(message.table)
         if follower is None or not follower.is_loaded:
             return messages.Refused(f"table {message.table} isn't known")
-        rows = _rows_since(follower, message.version)
+        rows = _changes_for(follower, message.version)
         span = transfers.Span.of(message.table, rows, follower.newest_change)
         return self._outgoing.begin(span, lambda: rows, now)
 
-    def note(self, peer: reports.Peer, now: float) -> None:
+    def on_report(self, peer: reports.Peer, now: float) -> None:
         """Asks a near peer for rows if it just told of newer ones."""
-        for name, told in peer.report.tables.items():
+        for name, status in peer.report.tables.items():
             follower = self._followers.get(name)
-            if follower is None or not _tells_newer(peer, follower):
+            if follower is None or not _has_newer(peer, follower):
                 continue
-            follower.note_told(told.version, now)
-            if _may_be_quicker(follower, now):
-                self._begin_asking(peer.row.address, follower)
+            follower.record_reported_version(status.version, now)
+            if _should_ask_peer(follower, now):
+                self._start_fetch(peer.row.address, follower)
 
-    def _begin_asking(
+    def _start_fetch(
         self, address: str, follower: follow.TableFollower
     ) -> None:
         """Asks a peer for a table, unless one is being asked that answers."""
-        asked = self._asked(follower.name)
-        if len(asked) >= MOST_ASKED or not all(q.is_late for q in asked):
+        asked = self._fetches_of(follower.name)
+        if len(asked) >= MAX_CONCURRENT_FETCHES or not all(
+            q.is_late for q in asked
+        ):
             return
-        if address in {question.address for question in asked}:
+        if address in {fetch.address for fetch in asked}:
             return
-        question = _Question(follower.name, address)
-        question.task = asyncio.create_task(self._ask(question, follower))
-        self._asking.append(question)
-        question.task.add_done_callback(lambda _: self._asking.remove(question))
+        fetch = _Fetch(follower.name, address)
+        fetch.task = asyncio.create_task(self._ask(fetch, follower))
+        self._fetches.append(fetch)
+        fetch.task.add_done_callback(lambda _: self._fetches.remove(fetch))
 
-    def _asked(self, table: str) -> list[_Question]:
-        return [q for q in self._asking if q.table == table]
+    def _fetches_of(self, table: str) -> list[_Fetch]:
+        return [q for q in self._fetches if q.table == table]
 
-    def _end_others(self, question: _Question) -> None:
+    def _cancel_others(self, fetch: _Fetch) -> None:
         """Ends questions that another one's answer made needless."""
-        for other in self._asked(question.table):
-            if other is not question:
+        for other in self._fetches_of(fetch.table):
+            if other is not fetch:
                 other.task.cancel()
 
     async def run(self) -> None:
         """Asks whenever the store is silent, until cancelled."""
         while True:
-            await pacing.pause(INTERVAL_S)
+            await pacing.pause(RETRY_INTERVAL_S)
             now = clocks.monotonic()
             # Each on its own: a large table doesn't hold up the others.
             for follower in self._followers.values():
-                if follower.silent_s(now) <= SILENT_S:
+                if follower.failing_s(now) <= STORE_TIMEOUT_S:
                     continue
                 address = self._choose(follower, now)
                 if address is not None:
-                    self._begin_asking(address, follower)
+                    self._start_fetch(address, follower)
 
     def _choose(self, follower: follow.TableFollower, now: float) -> str | None:
         """Returns the address of a peer to ask, each in its turn."""
-        asked = {question.address for question in self._asked(follower.name)}
+        asked = {fetch.address for fetch in self._fetches_of(follower.name)}
         served = [
             peer
             for peer in self._peers.live_peers(now)
@@ -158,32 +160,30 @@
         ]
         near = [p for p in served if p.row.domain == self._peers.me.domain]
         # Others may rely on them as well, and know no more than this VM.
-        ahead = [p for p in near if _tells_newer(p, follower)]
+        ahead = [p for p in near if _has_newer(p, follower)]
         pool = [peer.row.address for peer in ahead or near or served]
         if not pool and not self._peers.by_node:
             pool = self._seeds
         if not pool:
             return None
-        self._turn += 1
-        return pool[self._turn % len(pool)]
+        self._next_peer += 1
+        return pool[self._next_peer % len(pool)]
 
-    async def _ask(
-        self, question: _Question, follower: follow.TableFollower
-    ) -> None:
+    async def _ask(self, fetch: _Fetch, follower: follow.TableFollower) -> None:
         began = clocks.monotonic()
-        address = question.address
+        address = fetch.address
         try:
-            told = await self._fetch(question, follower)
-            if told.version <= follower.version:
+            rows = await self._fetch(fetch, follower)
+            if rows.version <= follower.version:
                 self._meters.rows.add(f"{follower.name}-nothing-newer")
                 return
             changes = [
                 interfaces.Change(row.key, row.value, row.version)
-                for row in told.rows
+                for row in rows.rows
             ]
-            snapshot = interfaces.Snapshot(changes, told.version)
-            follower.accept(snapshot, told.is_whole)
-            self._end_others(question)
+            snapshot = interfaces.Snapshot(changes, rows.version)
+            follower.accept(snapshot, rows.is_whole)
+            self._cancel_others(fetch)
         except errors.SwiftstileError as error:
             self._meters.rows.add(f"{follower.name}-failed")
             logs.logger.info(
@@ -200,46 +200,46 @@
             "rows from a peer",
             table=follower.name,
             peer=address,
-            version=told.version,
-            bytes=sum(len(row.value or b"") for row in told.rows),
+            version=rows.version,
+            bytes=sum(len(row.value or b"") for row in rows.rows),
             after_s=round(clocks.monotonic() - began, 3),
         )
 
     async def _fetch(
-        self, question: _Question, follower: follow.TableFollower
+        self, fetch: _Fetch, follower: follow.TableFollower
     ) -> messages.Rows:
-        link = self._calls.to(question.address)
+        link = self._calls.to(fetch.address)
         message = messages.AskRows(follower.name, follower.version)
         # Tried once: another peer may be quicker than one that is silent.
-        first = await link.call(message, messages.Piece, TIMEOUT_S)
+        first = await link.call(message, messages.Piece, PIECE_TIMEOUT_S)
         incoming = transfers.IncomingRows(first)
         while not incoming.is_whole:
             # The store would not be quicker than what is already coming.
-            follower.note_progress(clocks.monotonic())
-            incoming.add(await self._next_piece(link, question, incoming))
-            question.is_late = False
+            follower.record_progress(clocks.monotonic())
+            incoming.add(await self._next_piece(link, fetch, incoming))
+            fetch.is_late = False
         return incoming.rows()
 
     @staticmethod
     async def _next_piece(
         link: links.Link,
-        question: _Question,
+        fetch: _Fetch,
         incoming: transfers.IncomingRows,
     ) -> messages.Piece:
         message = messages.AskPiece(incoming.number, incoming.received)
-        timeout_s = TIMEOUT_S
-        for _ in range(PIECE_TRIES - 1):
+        timeout_s = PIECE_TIMEOUT_S
+        for _ in range(PIECE_ATTEMPTS - 1):
             try:
                 return await link.call(message, messages.Piece, timeout_s)
             except errors.PeerTimeoutError as error:
                 # What came before it is kept.
                 logs.logger.info("piece not relayed", error=str(error))
-                question.is_late = True
+                fetch.is_late = True
                 timeout_s *= 2
         return await link.call(message, messages.Piece, timeout_s)
 
 
-def _may_be_quicker(follower: follow.TableFollower, now: float) -> bool:
+def _should_ask_peer(follower: follow.TableFollower, now: float) -> bool:
     """Whether to ask a peer that has newer rows, besides the store or not.
 
     Not where the store is followed and answers: its answer is on its way,
@@ -249,20 +249,20 @@
     """
     if follower.failing_since is not None or not follower.is_loaded:
         return True
-    return follower.relies_on_peers(now) or follower.is_left_behind(now)
+    return follower.relies_on_peers(now) or follower.is_lagging(now)
 
 
-def _tells_newer(peer: reports.Peer, follower: follow.TableFollower) -> bool:
+def _has_newer(peer: reports.Peer, follower: follow.TableFollower) -> bool:
     """Whether a peer told of a row that a follower of a table lacks."""
-    told = peer.report.tables.get(follower.name)
-    return told is not None and told.version > follower.version
+    status = peer.report.tables.get(follower.name)
+    return status is not None and status.version > follower.version
 
 
-def _rows_since(follower: follow.TableFollower, version: int) -> messages.Rows:
+def _changes_for(follower: follow.TableFollower, version: int) -> messages.Rows:
     """Returns what a peer that knows a version lacks."""
     if follower.version <= version:
         return messages.Rows([], version, False)
-    changed = follower.since(version)
+    changed = follower.changes_since(version)
     is_whole = changed is None
     rows = [
         messages.Row(row.key, row.value, row.version)
--- a/src/swiftstile/gateway/transfers.py
+++ b/src/swiftstile/gateway/transfers.py
@@ -15,7 +15,7 @@
 from swiftstile.peers import messages
 
 __all__ = [
-    "MOST_BYTES",
+    "MAX_BYTES",
     "PIECE_BYTES",
     "IncomingRows",
     "OutgoingRows",
@@ -27,11 +27,11 @@
 PIECE_BYTES = 8192
 # Rows of more bytes than this, all together, are refused. The whole
 # configuration of the largest deployment that is planned for is a tenth of it.
-MOST_BYTES = 32 << 20
+MAX_BYTES = 32 << 20
 # An answer is kept for so long after its last piece was asked for, in seconds.
-KEPT_S = 5.0
+RETENTION_S = 5.0
 # Most bytes of answers that are kept; the newest is kept in any case.
-MOST_KEPT_BYTES = 8 << 20
+MAX_RETAINED_BYTES = 8 << 20
 # Rows are JSON or MessagePack with many names that repeat. The fastest level
 # already makes a tenth of it.
 _LEVEL = 1
@@ -77,7 +77,7 @@
         return cls(table, rows.rows[0].version, newest)
 
 
-class _Answer:
+class _RetainedAnswer:
     """An encoded answer, for all peers that asked the same."""
 
     def __init__(self, number: int, data: bytes, now: float):
@@ -91,7 +91,7 @@
 
     def __init__(self):
         self._number = 0
-        self._by_number: dict[int, _Answer] = {}
+        self._by_number: dict[int, _RetainedAnswer] = {}
         self._number_by_span: dict[Span, int] = {}
 
     def begin(
@@ -110,7 +110,7 @@
         """
         number = self._number_by_span.get(span)
         if number is None:
-            number = self._keep(span, _encode(make_rows()), now)
+            number = self._retain(span, _encode(make_rows()), now)
         return self.piece(number, 0, now)
 
     def piece(self, number: int, offset: int, now: float) -> messages.Piece:
@@ -128,14 +128,14 @@
         data = answer.data[offset : offset + PIECE_BYTES]
         return messages.Piece(number, len(answer.data), data)
 
-    def _keep(self, span, data: bytes, now: float) -> int:
+    def _retain(self, span, data: bytes, now: float) -> int:
         self._number += 1
-        self._by_number[self._number] = _Answer(self._number, data, now)
+        self._by_number[self._number] = _RetainedAnswer(self._number, data, now)
         self._number_by_span[span] = self._number
-        self._forget_old(now)
+        self._evict_old(now)
         return self._number
 
-    def _forget_old(self, now: float) -> None:
+    def _evict_old(self, now: float) -> None:
         kept = sorted(
             self._by_number.values(),
             key=lambda answer: (answer.used_at, answer.number),
@@ -144,8 +144,8 @@
         size = 0
         for place, answer in enumerate(kept):
             size += len(answer.data)
-            is_old = now - answer.used_at > KEPT_S
-            if place and (is_old or size > MOST_KEPT_BYTES):
+            is_old = now - answer.used_at > RETENTION_S
+            if place and (is_old or size > MAX_RETAINED_BYTES):
                 del self._by_number[answer.number]
         self._number_by_span = {
             span: number
@@ -163,9 +163,9 @@
     """
 
     def __init__(self, first: messages.Piece):
-        if first.size > MOST_BYTES:
+        if first.size > MAX_BYTES:
             raise errors.ControlMessageError(
-                f"{first.size} bytes, at most {MOST_BYTES}", step="fetch rows"
+                f"{first.size} bytes, at most {MAX_BYTES}", step="fetch rows"
             )
         self.number = first.number
         self.size = first.size
@@ -214,10 +214,10 @@
 def _decode(data: bytes) -> messages.Rows:
     try:
         stream = zlib.decompressobj()
-        plain = stream.decompress(data, MOST_BYTES)
+        plain = stream.decompress(data, MAX_BYTES)
         if not stream.eof:
             raise errors.ControlMessageError(
-                f"cut off, or more than {MOST_BYTES} bytes", step="decode rows"
+                f"cut off, or more than {MAX_BYTES} bytes", step="decode rows"
             )
         return _decoder.decode(plain)
     except (zlib.error, msgspec.MsgspecError) as error:
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -157,7 +157,7 @@
             store_readers=readers.StoreReaders(
                 self._peers,
                 lambda: self._leads.is_leader,
-                readers.FEW_VMS_FOR_STATE,
+                readers.MAX_INDEPENDENT_VMS_FOR_STATE,
             ),
             outage=self._outage,
         )
@@ -225,7 +225,7 @@
             reader_watch_s=readers.READER_WATCH_S,
             outage=self._outage,
             # Has to be in force everywhere within a time.
-            tells_news=True,
+            announces_changes=True,
         )
         arbiter = arbiter_lib.Arbiter(
             self._peers,
@@ -296,7 +296,10 @@
             self._readers,
             row_relay,
             links.ControlServer(
-                self._settings.vm.peers, row_relay, self._meters, relay.PARALLEL
+                self._settings.vm.peers,
+                row_relay,
+                self._meters,
+                relay.MAX_PARALLEL_REQUESTS,
             ),
             retry_budget,
             self._speeds,
--- a/tests/integration/test_narrow_links.py
+++ b/tests/integration/test_narrow_links.py
@@ -143,28 +143,30 @@
         _TABLE,
         builders.MemoryTable(),
         lambda _: None,
-        store_readers=row_parts.AlwaysLed(),
+        store_readers=row_parts.ActiveReaders(),
     )
 
 
 @contextlib.asynccontextmanager
-async def _reader_and_led():
-    """Yields a reader's follower, a led VM's and its relay, and their link."""
+async def _reader_and_dependent():
+    """Yields both followers, the dependent VM's relay and the link."""
     meters = metrics.Meters()
     reader = _follower()
     row_relay = relay.RowRelay({_TABLE: reader}, _peers(), None, [], meters)
     (port,) = processes.free_ports(1)
     address = f"127.0.0.1:{port}"
-    server = links.ControlServer(address, row_relay, meters, relay.PARALLEL)
+    server = links.ControlServer(
+        address, row_relay, meters, relay.MAX_PARALLEL_REQUESTS
+    )
     serving = asyncio.create_task(server.run())
-    led = _follower()
-    led.accept(interfaces.Snapshot([], 1), True)
-    led.is_loaded = True
+    dependent = _follower()
+    dependent.accept(interfaces.Snapshot([], 1), True)
+    dependent.is_loaded = True
     calls = links.Links(meters)
-    client = relay.RowRelay({_TABLE: led}, _peers(), calls, [], meters)
+    client = relay.RowRelay({_TABLE: dependent}, _peers(), calls, [], meters)
     try:
         async with narrow_link.NarrowLink(address) as link:
-            yield reader, led, client, link
+            yield reader, dependent, client, link
     finally:
         calls.close()
         serving.cancel()
@@ -178,22 +180,22 @@
     return builders.peer(row, builders.report(row, tables=words), 100.0)
 
 
-async def _until_known(led: follow.TableFollower, version: int) -> None:
-    while led.version < version:
+async def _until_known(dependent: follow.TableFollower, version: int) -> None:
+    while dependent.version < version:
         await asyncio.sleep(0.01)
 
 
 def test_a_large_row_comes_from_a_peer_over_a_narrow_link():
     async def scenario():
-        async with _reader_and_led() as (reader, led, client, link):
+        async with _reader_and_dependent() as (reader, dependent, client, link):
             value = _big_row(1_000_000)
             change = interfaces.Change("config", value, 5)
             reader.is_loaded = True
             reader.accept(interfaces.Snapshot([change], 5), True)
-            client.note(_teller(link.address, 5), 100.0)
+            client.on_report(_teller(link.address, 5), 100.0)
             async with asyncio.timeout(4):
-                await _until_known(led, 5)
-            assert led.rows["config"].value == value
+                await _until_known(dependent, 5)
+            assert dependent.rows["config"].value == value
             # Nothing was sent in vain.
             assert link.passed < 1.1 * len(value)
 
--- a/tests/integration/test_shared_links.py
+++ b/tests/integration/test_shared_links.py
@@ -33,7 +33,7 @@
         name,
         builders.MemoryTable(),
         lambda _: None,
-        store_readers=row_parts.AlwaysLed(),
+        store_readers=row_parts.ActiveReaders(),
     )
     row = interfaces.Change("x", os.urandom(size), version)
     made.accept(interfaces.Snapshot([row], version), True)
@@ -68,21 +68,23 @@
         server = relay.RowRelay(held, _peers(), None, [], meters)
         handler = _LosesOne(server, lost=4)
         address = f"127.0.0.1:{processes.free_ports(1)[0]}"
-        control = links.ControlServer(address, handler, meters, relay.PARALLEL)
+        control = links.ControlServer(
+            address, handler, meters, relay.MAX_PARALLEL_REQUESTS
+        )
         serving = asyncio.create_task(control.run())
-        led = {name: _follower(name, 2, 1) for name in _NAMES}
+        dependent = {name: _follower(name, 2, 1) for name in _NAMES}
         calls = links.Links(meters)
-        client = relay.RowRelay(led, _peers(), calls, [], meters)
+        client = relay.RowRelay(dependent, _peers(), calls, [], meters)
         row = builders.node_row("vm-10", address=address)
         words = {name: reports.TableStatus(9, 0.1) for name in _NAMES}
         teller = builders.peer(row, builders.report(row, tables=words), 100.0)
         try:
             # Each is asked for once.
-            client.note(teller, 100.0)
+            client.on_report(teller, 100.0)
             async with asyncio.timeout(8):
-                while client._asking:
+                while client._fetches:
                     await asyncio.sleep(0.01)
-            versions = {name: one.version for name, one in led.items()}
+            versions = {name: one.version for name, one in dependent.items()}
             assert versions == dict.fromkeys(_NAMES, 9)
         finally:
             calls.close()
@@ -102,7 +104,9 @@
         held = {"operations": reader}
         server = relay.RowRelay(held, _peers(), None, [], meters)
         address = f"127.0.0.1:{processes.free_ports(1)[0]}"
-        control = links.ControlServer(address, server, meters, relay.PARALLEL)
+        control = links.ControlServer(
+            address, server, meters, relay.MAX_PARALLEL_REQUESTS
+        )
         serving = asyncio.create_task(control.run())
         loop = asyncio.get_running_loop()
         async with narrow_link.NarrowLink(address) as link:
@@ -113,22 +117,22 @@
             )
             vms = []
             for _ in range(30):
-                led = _follower("operations", 2, 1)
+                dependent = _follower("operations", 2, 1)
                 calls = links.Links(meters)
                 client = relay.RowRelay(
-                    {"operations": led}, _peers(), calls, [], meters
+                    {"operations": dependent}, _peers(), calls, [], meters
                 )
-                vms.append((led, client, calls))
+                vms.append((dependent, client, calls))
             began = loop.time()
             done_at = {}
             try:
                 while loop.time() - began < 6 and len(done_at) < len(vms):
-                    for number, (led, client, _) in enumerate(vms):
-                        if led.version == 9:
+                    for number, (dependent, client, _) in enumerate(vms):
+                        if dependent.version == 9:
                             done_at.setdefault(number, loop.time() - began)
                             continue
                         # A report each 0.25 s tells of it again.
-                        client.note(teller, 100.0)
+                        client.on_report(teller, 100.0)
                     await asyncio.sleep(0.05)
             finally:
                 for _, _, calls in vms:
--- a/tests/row_parts.py
+++ b/tests/row_parts.py
@@ -21,13 +21,13 @@
     return peers
 
 
-class AlwaysLed:
+class ActiveReaders:
     """Readers that are always there."""
 
-    def follows_itself(self, table, watch_s, now):
+    def must_read_store(self, table, watch_s, now):
         return False
 
-    def is_many(self, now):
+    def is_large_domain(self, now):
         return True
 
 
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -223,7 +223,7 @@
         except errors.PlatformError as error:
             self.follower._note_failure(error)
         else:
-            self.follower._note_contact(sent)
+            self.follower._record_contact(sent)
 
     def is_sent_to(self, at: float) -> bool:
         """Whether a request may be sent to the upstream at a time."""
@@ -245,7 +245,7 @@
     vm = _Following(monkeypatch)
     said_at = 100.0
     told_at = said_at + 0.5
-    vm.follower.note_told(2, told_at)
+    vm.follower.record_reported_version(2, told_at)
     vm.clock.now = told_at + late_s
     vm.follower.accept(_rows(2, _LEAVING), False)
     vm.assert_sends_end_in_time(said_at)
--- a/tests/unit/test_gateway_outage.py
+++ b/tests/unit/test_gateway_outage.py
@@ -54,7 +54,7 @@
         followers = _Followers()
         await followers.until(lambda f: f.is_loaded, 1.0)
         followers.lose()
-        await followers.until(lambda f: f.silent_s(_now()) > 3.5, 6.0)
+        await followers.until(lambda f: f.failing_s(_now()) > 3.5, 6.0)
         first, *others = sorted(followers.calls(), reverse=True)
         followers.regain()
         # The longest pause of the first, and time for a call.
--- a/tests/unit/test_gateway_rows_dying.py
+++ b/tests/unit/test_gateway_rows_dying.py
@@ -82,7 +82,7 @@
         row_parts.TABLE,
         builders.MemoryTable(),
         lambda _: None,
-        store_readers=row_parts.AlwaysLed(),
+        store_readers=row_parts.ActiveReaders(),
     )
 
 
@@ -116,8 +116,8 @@
 
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch):
-    monkeypatch.setattr(relay, "INTERVAL_S", 0.02)
-    monkeypatch.setattr(relay, "TIMEOUT_S", 0.3)
+    monkeypatch.setattr(relay, "RETRY_INTERVAL_S", 0.02)
+    monkeypatch.setattr(relay, "PIECE_TIMEOUT_S", 0.3)
 
 
 def test_another_peer_is_asked_while_a_piece_does_not_come():
@@ -128,10 +128,10 @@
         (dead, _), *_ = links.asked
         pieces = links.asked.count((dead, messages.AskPiece))
         # The dead peer hasn't been given up yet.
-        assert pieces <= relay.PIECE_TRIES - 1
+        assert pieces <= relay.PIECE_ATTEMPTS - 1
         # Its question ends with the answer of the other.
         follower.failing_since = None
-        await _until(lambda: not asking._asking)
+        await _until(lambda: not asking._fetches)
         assert links.asked.count((dead, messages.AskPiece)) == pieces
         running.cancel()
 
--- a/tests/unit/test_gateway_rows_guards.py
+++ b/tests/unit/test_gateway_rows_guards.py
@@ -23,7 +23,7 @@
         name,
         builders.MemoryTable(),
         lambda _: None,
-        store_readers=row_parts.AlwaysLed(),
+        store_readers=row_parts.ActiveReaders(),
     )
     changes = [interfaces.Change(key, value, at) for key, value, at in rows]
     made.accept(interfaces.Snapshot(changes, version), True)
@@ -129,7 +129,7 @@
 
 @pytest.mark.parametrize("silent", _NAMES)
 def test_a_table_that_does_not_come_holds_up_no_other(monkeypatch, silent):
-    monkeypatch.setattr(relay, "INTERVAL_S", 0.02)
+    monkeypatch.setattr(relay, "RETRY_INTERVAL_S", 0.02)
     monkeypatch.setattr(relay.RowRelay, "_choose", lambda *_: "127.0.0.1:1")
     link = _Link(silent)
     followers = [_follower(name, 3) for name in _NAMES]
--- a/tests/unit/test_gateway_rows_racing.py
+++ b/tests/unit/test_gateway_rows_racing.py
@@ -34,15 +34,15 @@
     )
 
 
-class _Led:
+class _SwitchableReaders:
     """Readers that are there, or not."""
 
-    is_led = True
+    are_active = True
 
-    def follows_itself(self, table, watch_s, now):
-        return not self.is_led
+    def must_read_store(self, table, watch_s, now):
+        return not self.are_active
 
-    def is_many(self, now):
+    def is_large_domain(self, now):
         return True
 
     def is_reader(self, now):
@@ -54,7 +54,7 @@
         _TABLE,
         table or builders.MemoryTable(),
         lambda _: None,
-        store_readers=chosen or _Led(),
+        store_readers=chosen or _SwitchableReaders(),
     )
 
 
@@ -78,15 +78,15 @@
     async def scenario():
         # Made by the store at version 12, on its way over a slow link.
         table = _SlowTable(_snapshot(12, ("gone", b"1", 12)))
-        chosen = _Led()
-        chosen.is_led = False
+        chosen = _SwitchableReaders()
+        chosen.are_active = False
         follower = _follower(table, chosen)
         follower.accept(_snapshot(10, ("other", b"1", 9)), True)
         running = asyncio.create_task(follower.run())
         await asyncio.sleep(0.01)
         # A peer is quicker: the row came and went by version 20.
         follower.accept(_snapshot(20, ("gone", None, 15)), False)
-        chosen.is_led = True
+        chosen.are_active = True
         table.let_go.set()
         await asyncio.sleep(0.05)
         running.cancel()
@@ -105,7 +105,7 @@
     # A peer that read the table at version 22 has that row.
     peer = _follower()
     peer.accept(_snapshot(22, ("a", b"1", 9), ("gone", b"1", 20)), True)
-    changed = follower.since(peer.version)
+    changed = follower.changes_since(peer.version)
     is_whole = changed is None
     rows = list(follower.rows.values()) if is_whole else changed
     peer.accept(interfaces.Snapshot(rows, follower.version), is_whole)
@@ -152,10 +152,12 @@
     for now, kind, version in sorted(events):
         monkeypatch.setattr(clocks, "monotonic", lambda now=now: now)
         if kind == "told":
-            follower.note_told(version, now)
+            follower.record_reported_version(version, now)
         else:
             follower.accept(_snapshot(version, ("x", b"1", version)), False)
-        assert follower.is_led(now), f"not led {now - 100:.2f} s into the burst"
+        assert follower.follows_peers(
+            now
+        ), f"not led {now - 100:.2f} s into the burst"
 
 
 def test_a_peer_that_tells_of_newer_rows_is_asked_while_the_store_refuses():
@@ -165,9 +167,9 @@
         table = builders.MemoryTable()
         follower = _follower(table)
         follower.accept(_snapshot(2, ("x", b"1", 2)), True)
-        follower.note_told(8, 100.0)
+        follower.record_reported_version(8, 100.0)
         follower.failing_since = 100.5
-        assert not follower.is_led(101.0)
+        assert not follower.follows_peers(101.0)
         link = row_parts.LosingLink(_server(9))
         client = relay.RowRelay(
             {_TABLE: follower},
@@ -179,7 +181,7 @@
         row = builders.node_row("vm-10")
         words = {_TABLE: reports.TableStatus(8, 0.1)}
         teller = builders.peer(row, builders.report(row, tables=words), 101.0)
-        client.note(teller, 101.0)
+        client.on_report(teller, 101.0)
         await asyncio.sleep(0.05)
         assert follower.version == 9
 
@@ -222,8 +224,8 @@
         assert follower.failing_since is None
         running.cancel()
 
-    chosen = _Led()
-    chosen.is_led = False
+    chosen = _SwitchableReaders()
+    chosen.are_active = False
     table = _Overtaken()
     follower = _follower(table, chosen)
     follower.accept(_snapshot(10, ("x", b"1", 3)), True)
@@ -313,15 +315,15 @@
     # links read each version of a large configuration that they had missed, up
     # to 5.4 s, though their peers had handed over the newest long before.
     async def scenario():
-        table, chosen = _NeverEnding(), _Led()
-        chosen.is_led = False
+        table, chosen = _NeverEnding(), _SwitchableReaders()
+        chosen.are_active = False
         follower = _follower(table, chosen)
         if is_loaded:
             follower.accept(_snapshot(2, ("x", b"1", 2)), True)
         running = asyncio.create_task(follower.run())
         await asyncio.sleep(0.01)
         assert (table.calls, table.under_way) == (1, 1)
-        chosen.is_led = True
+        chosen.are_active = True
         follower.accept(_snapshot(9, ("x", b"2", 8)), not is_loaded)
         await asyncio.sleep(0.02)
         assert (table.calls, table.under_way) == (1, 0)
@@ -341,8 +343,8 @@
         follower = _follower(_NeverEnding())
         if is_loaded:
             follower.accept(_snapshot(2, ("x", b"1", 2)), True)
-            follower.note_told(8, 100.0)
-            assert not follower.is_led(101.0)
+            follower.record_reported_version(8, 100.0)
+            assert not follower.follows_peers(101.0)
         client = relay.RowRelay(
             {_TABLE: follower},
             row_parts.near_peers(20),
@@ -353,7 +355,7 @@
         row = builders.node_row("vm-10")
         words = {_TABLE: reports.TableStatus(8, 0.1)}
         told = builders.report(row, tables=words)
-        client.note(builders.peer(row, told, 101.0), 101.0)
+        client.on_report(builders.peer(row, told, 101.0), 101.0)
         await asyncio.sleep(0.05)
         assert follower.version == 9
 
@@ -362,8 +364,8 @@
 
 def test_rows_of_peers_do_not_make_a_vm_ask_a_silent_store_more_often():
     async def scenario():
-        table, chosen = _NeverEnding(), _Led()
-        chosen.is_led = False
+        table, chosen = _NeverEnding(), _SwitchableReaders()
+        chosen.are_active = False
         follower = _follower(table, chosen)
         follower.accept(_snapshot(2, ("x", b"1", 2)), True)
         follower.failing_since = clocks.monotonic()
@@ -373,6 +375,6 @@
             await asyncio.sleep(0.005)
         running.cancel()
         # Once at first, and after each of the shortest pauses at most.
-        assert table.calls <= 1 + 0.3 / (0.7 * follow.FIRST_PAUSE_S)
+        assert table.calls <= 1 + 0.3 / (0.7 * follow.INITIAL_BACKOFF_S)
 
     asyncio.run(scenario())
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -38,10 +38,10 @@
     def __init__(self, are_telling: bool):
         self.are_telling = are_telling
 
-    def follows_itself(self, table, watch_s, now):
+    def must_read_store(self, table, watch_s, now):
         return not self.are_telling
 
-    def is_many(self, now):
+    def is_large_domain(self, now):
         return True
 
     def is_reader(self, now):
@@ -58,11 +58,11 @@
     )
 
 
-def _led() -> follow.TableFollower:
+def _dependent() -> follow.TableFollower:
     """Returns a follower that peers told that nothing is new at 100.0."""
     made = _follower(_Readers(are_telling=True))
     made.accept(interfaces.Snapshot([], 2), True)
-    made._note_led(100.0)
+    made._record_peer_coverage(100.0)
     return made
 
 
@@ -106,36 +106,38 @@
     clock = _Clock(monkeypatch)
     made = _follower(store_readers)
     # The call that succeeded was sent a whole wait before.
-    made._note_contact(clock.now - wait_s)
+    made._record_contact(clock.now - wait_s)
     assert made.is_current(clock.now + wait_s + 0.3)
-    assert not made.is_current(clock.now + wait_s + freshness.ANSWER_S + 0.01)
+    assert not made.is_current(
+        clock.now + wait_s + freshness.ANSWER_MARGIN_S + 0.01
+    )
 
 
 def test_rows_are_not_current_while_one_is_missing_that_a_peer_told_of():
-    made = _led()
+    made = _dependent()
     assert made.is_current(100.1)
-    made.note_told(8, 100.1)
+    made.record_reported_version(8, 100.1)
     assert not made.is_current(100.1)
-    made._note_led(100.2)
+    made._record_peer_coverage(100.2)
     assert not made.is_current(100.2)
     made.accept(interfaces.Snapshot([], 8), False)
-    made._note_led(100.4)
+    made._record_peer_coverage(100.4)
     assert made.is_current(100.4)
 
 
 def test_peers_word_is_trusted_until_the_look_after_next():
-    made = _led()
-    assert made.is_current(100.0 + follow.LED_TRUST_S - 0.01)
-    assert not made.is_current(100.0 + follow.LED_TRUST_S + 0.01)
+    made = _dependent()
+    assert made.is_current(100.0 + follow.PEER_TRUST_S - 0.01)
+    assert not made.is_current(100.0 + follow.PEER_TRUST_S + 0.01)
 
 
 class _FewVms:
     """A domain in which each VM follows the store itself."""
 
-    def is_many(self, now):
+    def is_large_domain(self, now):
         return False
 
-    def follows_itself(self, table, watch_s, now):
+    def must_read_store(self, table, watch_s, now):
         return True
 
 
@@ -146,13 +148,13 @@
         builders.MemoryTable(),
         lambda _: None,
         store_readers=_FewVms(),
-        tells_news=True,
+        announces_changes=True,
     )
     row = interfaces.Change("config", b"1", 7)
     made.accept(interfaces.Snapshot([row], 9), True)
-    assert made.word(clock.now).version == 7
+    assert made.published_status(clock.now).version == 7
     # Whoever's call fell silent before that knows by now.
-    assert made.word(clock.now + follow.NEWS_S + 0.1) is None
+    assert made.published_status(clock.now + follow.ANNOUNCE_S + 0.1) is None
 
 
 class _Dialect:
@@ -203,10 +205,10 @@
 def test_no_route_is_final_only_while_the_configuration_is_current(monkeypatch):
     clock = _Clock(monkeypatch)
     operations = _follower()
-    operations._note_contact(clock.now)
+    operations._record_contact(clock.now)
     handler = _handler(operations)
     assert _answer(handler, "/b/x").status == 404
-    operations.note_told(8, clock.now)
+    operations.record_reported_version(8, clock.now)
     error = _answer(handler, "/b/x")
     assert isinstance(error, outcomes.StaleConfigError)
     assert error.status == 503
@@ -268,10 +270,10 @@
 ):
     clock = _Clock(monkeypatch)
     operations = _follower()
-    operations._note_contact(clock.now)
+    operations._record_contact(clock.now)
     handler = _limited(operations)
     assert _refusal(handler, request_).status == status
-    operations.note_told(8, clock.now)
+    operations.record_reported_version(8, clock.now)
     error = _refusal(handler, request_)
     assert isinstance(error, outcomes.StaleConfigError)
     assert 0 < error.retry_after_s < 1
--- a/tests/unit/test_gateway_store.py
+++ b/tests/unit/test_gateway_store.py
@@ -151,7 +151,7 @@
         task.cancel()
         follower.version = 100
         with pytest.raises(errors.PlatformUnavailableError):
-            follower._replace(interfaces.Snapshot([], 5))
+            follower._replace_rows(interfaces.Snapshot([], 5))
         assert seen.by_key["a"] == b"1"
 
     asyncio.run(run())
--- a/tests/unit/test_gateway_transfers.py
+++ b/tests/unit/test_gateway_transfers.py
@@ -75,14 +75,14 @@
 def test_answers_that_nobody_fetches_are_forgotten():
     outgoing = transfers.OutgoingRows()
     first = outgoing.begin(_SPAN, lambda: _rows(100_000), 0.0)
-    later = transfers.KEPT_S + 0.1
+    later = transfers.RETENTION_S + 0.1
     outgoing.begin(transfers.Span("operations", 3, 8), lambda: _rows(10), later)
     with pytest.raises(errors.ControlMessageError):
         outgoing.piece(first.number, 0, later)
 
 
 def test_kept_answers_are_bounded(monkeypatch):
-    monkeypatch.setattr(transfers, "MOST_KEPT_BYTES", 250_000)
+    monkeypatch.setattr(transfers, "MAX_RETAINED_BYTES", 250_000)
     outgoing = transfers.OutgoingRows()
     numbers = [
         outgoing.begin(
@@ -111,7 +111,7 @@
 
 
 def test_rows_that_grow_beyond_bounds_are_refused(monkeypatch):
-    monkeypatch.setattr(transfers, "MOST_BYTES", 10_000)
+    monkeypatch.setattr(transfers, "MAX_BYTES", 10_000)
     data = zlib.compress(b"\0" * 100_000)
     incoming = transfers.IncomingRows(messages.Piece(1, len(data), data))
     with pytest.raises(errors.ControlMessageError):
--- a/tests/unit/test_gateway_wiring.py
+++ b/tests/unit/test_gateway_wiring.py
@@ -52,10 +52,10 @@
 
 
 @pytest.mark.parametrize(
-    ("table", "is_led"),
+    ("table", "follows_peers"),
     [("operations", True), ("registrations", False), ("state", False)],
 )
-def test_a_leader_follows_itself_only_what_it_plans_by(table, is_led):
+def test_a_leader_follows_itself_only_what_it_plans_by(table, follows_peers):
     # A leader on a narrow link read each large configuration from the store,
     # several at once when they followed each other closely; its domain's
     # readers hand it over compressed, and only the newest.
@@ -63,7 +63,7 @@
     _lead(daemon)
     assert daemon._leads.is_leader
     follower = daemon._followers[table]
-    assert follower.is_led(clocks.monotonic()) is is_led
+    assert follower.follows_peers(clocks.monotonic()) is follows_peers
 
 
 def _operate(daemon, version: int, value: bytes | None) -> None:
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -235,8 +235,8 @@
     _off(
         "our own table through readers",
         "readers",
-        "FEW_VMS_FOR_STATE = 2",
-        "FEW_VMS_FOR_STATE = 6",
+        "MAX_INDEPENDENT_VMS_FOR_STATE = 2",
+        "MAX_INDEPENDENT_VMS_FOR_STATE = 6",
     ),
 )
 
