--- a/src/swiftstile/gateway/dissemination.py
+++ b/src/swiftstile/gateway/dissemination.py
@@ -1,9 +1,9 @@
-"""Whom of the other failure domains a VM tells, and how many it hears of.
+"""Chooses the VMs of other failure domains that a VM reports to.
 
-Decisions without a network. With few VMs each tells all others. With many,
-bytes between domains would outweigh the requests' own: there each VM tells the
-leader, and a few VMs of each domain, its readers, tell each other how many VMs
-they hear.
+This module does no I/O. Few VMs form a full mesh. With many, traffic between
+domains would exceed that of the requests themselves: each VM then reports to
+the leader only, and a few VMs of each domain, its readers, publish to each
+other how many live VMs they see.
 """
 
 import abc
@@ -26,35 +26,35 @@
     "reader_order",
 ]
 
-# Up to so many VMs in other domains are told each time; today's sites have 6
-# to 8.
+# Up to this many VMs in other domains form a full mesh; present sites have 6 to
+# 8.
 MAX_FULL_MESH_FAR_VMS = 8
-# VMs with less than this part of the bandwidth that others have neither hand
-# out slots nor lead, unless there is nobody else: their links would be full.
+# VMs with less than this share of the highest bandwidth neither assign slots
+# nor lead unless no other can: their links would be saturated.
 MIN_BANDWIDTH_RATIO = 0.5
-# VMs of a domain on which its others rely: one more than a single loss takes.
+# Readers of a domain: one more than a single failure takes out.
 READERS_PER_DOMAIN = 2
-# VMs of another domain that are told as its readers: those who would be next
-# if a reader is lost, too.
+# VMs of another domain that reports for its readers go to: the readers, and the
+# VM that replaces one that fails.
 READER_CANDIDATES = 3
 
 
 def reader_order(row: reports.NodeRow) -> tuple[float, model.NodeId]:
-    """Returns the place of a VM among those of its domain; least reads first.
+    """Returns the sort key of a VM as reader; the smallest ones are readers.
 
-    VMs with more bandwidth come first: all others take their rows from them.
+    VMs with more bandwidth come first, since all others fetch rows from them.
     """
     return (-row.link_mbps, row.node)
 
 
 class Topology:
-    """The other VMs by failure domain; many decisions ask for few of them.
+    """The peers by failure domain.
 
-    Lists are in the order of readers: most look for the first of these.
+    Lists are in the order of readers, as most callers need only the first VMs.
 
     Args:
         me: This VM.
-        by_node: All other VMs, which change.
+        by_node: All other VMs; the caller changes it.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._high_bandwidth_count = 1
 
     def invalidate(self) -> None:
-        """A VM came, went or registered anew."""
+        """Drops the index after a VM joined, left or registered again."""
         self._indexed_count = -1
 
     def in_domain(self, domain: ids.FailureDomain) -> list[reports.Peer]:
@@ -86,13 +86,13 @@
 
     @property
     def high_bandwidth_count(self) -> int:
-        """Returns how many VMs aren't narrow, this one included."""
+        """Returns how many VMs aren't low-bandwidth, this one included."""
         self._refresh()
         return self._high_bandwidth_count
 
     @property
     def near(self) -> list[reports.Peer]:
-        """Returns the others of this VM's domain."""
+        """Returns the other VMs of this VM's domain."""
         return self.in_domain(self._me.domain)
 
     @property
@@ -134,47 +134,46 @@
         self._me = me
         self._topology = topology
 
-    # Whether VMs of other domains tell only the leader and readers that they
-    # live.
+    # Whether VMs of other domains report only to the leader and to readers.
     uses_readers = False
 
     @abc.abstractmethod
     def periodic_recipients(self, report: reports.Report) -> list[reports.Peer]:
-        """Returns the peers to tell now and then."""
+        """Returns the peers that periodic reports go to."""
 
     @abc.abstractmethod
     def urgent_recipients(self, report: reports.Report) -> list[reports.Peer]:
-        """Returns the peers to tell at once of what all should know."""
+        """Returns the peers to inform at once when urgent state changed."""
 
     @abc.abstractmethod
     def trim(self, report: reports.Report) -> reports.Report:
-        """Returns what of a report other domains need."""
+        """Returns a report without the fields that other domains don't use."""
 
     @abc.abstractmethod
     def live_count(self, now: float) -> int:
-        """Returns how many VMs are heard, this one included."""
+        """Returns how many VMs are live, this one included."""
 
     @abc.abstractmethod
     def counts_to_publish(
         self, now: float
     ) -> tuple[int, dict[ids.FailureDomain, int]]:
-        """Returns VMs heard, of this domain and by other domain, to report."""
+        """Returns the numbers of live VMs to report: near, and by domain."""
 
     @abc.abstractmethod
     def live_domains(self, now: float) -> set[ids.FailureDomain]:
-        """Returns other domains whose VMs live, though they aren't heard."""
+        """Returns the other domains known to live by reports of readers."""
 
     def far_leaders(self) -> list[reports.Peer]:
-        """Returns the far peers that believe to lead."""
+        """Returns the far peers that claim to be the leader."""
         return [peer for peer in self._topology.far if peer.claims_leadership]
 
     def near_live_count(self, now: float) -> int:
-        """Returns how many VMs of its own domain are heard, with itself."""
+        """Returns how many VMs of its own domain are live, with itself."""
         return 1 + len(reports.live_peers(self._topology.near, now))
 
 
 class FullMesh(Dissemination):
-    """Each VM tells all others."""
+    """Each VM reports to all others."""
 
     def periodic_recipients(self, report: reports.Report) -> list[reports.Peer]:
         """See base class."""
@@ -192,7 +191,7 @@
         self, now: float
     ) -> tuple[int, dict[ids.FailureDomain, int]]:
         """See base class."""
-        # Whom each VM hears itself is all that counts here.
+        # In a full mesh only the reports that a VM receives itself count.
         return 0, {}
 
     def live_domains(self, now: float) -> set[ids.FailureDomain]:
@@ -210,7 +209,7 @@
 
 
 class ViaReaders(Dissemination):
-    """Each VM tells the leader, and readers tell each other."""
+    """Each VM reports to the leader, and readers report to each other."""
 
     uses_readers = True
 
@@ -251,7 +250,7 @@
         return self.near_live_count(now) + sum(self._far_live(now).values())
 
     def _far_live(self, now: float) -> dict[ids.FailureDomain, int]:
-        """Returns VMs of other domains, as this VM or its readers know."""
+        """Returns the live VMs of other domains, by own or readers' reports."""
         most = self._far_live_by_report(now)
         for peer in reports.live_peers(self._topology.near, now):
             for domain, told in peer.report.far_live.items():
--- a/src/swiftstile/gateway/domain_reports.py
+++ b/src/swiftstile/gateway/domain_reports.py
@@ -1,12 +1,12 @@
-"""How reports travel within a failure domain of many VMs.
+"""Batches reports within a failure domain of many VMs.
 
-Each VM that tells all others wakes each of them at every report: among 40 VMs
-150 times a second, which costs more than the requests do. Where VMs are many,
-each tells the domain's readers and the leader alone. Readers gather what they
-hear and hand it on in batches.
+A VM that reports to all others wakes each of them with each report: among 40
+VMs 150 times a second, which costs more than serving the requests. In large
+domains each VM reports only to the domain's readers and the leader. The readers
+collect the reports that they receive and forward them in batches.
 
-A VM whose own reports don't come back in batches tells all others itself, so
-the loss of both readers silences nobody.
+A VM whose own reports don't come back in batches reports to all others
+directly, so no VM becomes unknown to the others when both readers fail.
 """
 
 import msgspec
@@ -16,12 +16,13 @@
 
 __all__ = ["DomainReports", "Entry"]
 
-# Up to so many others of a domain are told each time.
+# Domains with up to this many other VMs use a full mesh.
 MAX_FULL_MESH_NEAR_VMS = 12
-# A VM counts on batches for so long after one that held a report of its own:
-# two may be lost, and what it tells itself then is in time for its peers.
+# A VM relies on batches for this long after one that contained a report of its
+# own: two may be lost, and the report that it then sends directly still reaches
+# its peers in time.
 BATCH_TRUST_S = 0.6
-# Size of a batch: few of the network's pieces are lost with one.
+# Maximum size of a batch: few IP fragments are lost with one.
 BATCH_BYTES = 8190
 
 
@@ -29,10 +30,10 @@
     """A report in a batch.
 
     Attributes:
-        run: Short name of the run that told it.
-        sequence: Its number.
-        age_ms: How long ago it came to the one that hands it on.
-        data: The report, as it came.
+        run: Short name of the run that sent it.
+        sequence: Its sequence number.
+        age_ms: Time since it arrived at the VM that forwards it.
+        data: The encoded report, unchanged.
     """
 
     run: str
@@ -42,12 +43,12 @@
 
 
 class _PendingReport(msgspec.Struct):
-    """A report that is to be handed on.
+    """A report to forward with the next batch.
 
     Attributes:
-        sequence: Its number.
-        received_at: When it came, on the steady clock.
-        data: The report, as it came.
+        sequence: Its sequence number.
+        received_at: When it arrived, on the monotonic clock.
+        data: The encoded report, unchanged.
     """
 
     sequence: int
@@ -56,7 +57,7 @@
 
 
 class DomainReports:
-    """What one VM tells its own failure domain, and to whom.
+    """Decides which VMs of its failure domain a VM reports to.
 
     Args:
         topology: The other VMs.
@@ -71,13 +72,13 @@
 
     @property
     def is_large(self) -> bool:
-        """Whether reports go through readers."""
+        """Whether reports are sent by way of the readers."""
         return len(self._topology.near) > MAX_FULL_MESH_NEAR_VMS
 
     def recipients(
         self, report: reports.Report, now: float
     ) -> list[reports.Peer]:
-        """Returns the VMs that a report of this one goes to."""
+        """Returns the VMs to send a report of this VM to."""
         near = self._topology.near
         concerns_all = report.is_leader or report.is_leaving or report.is_reader
         if not self.is_large or concerns_all:
@@ -94,11 +95,11 @@
     def add_to_batch(
         self, run: str, sequence: int, data: bytes, now: float
     ) -> None:
-        """Keeps a report that came, to be handed on."""
+        """Adds a received report to the next batch."""
         self._pending_by_run[run] = _PendingReport(sequence, now, data)
 
     def take_batches(self, now: float) -> list[bytes]:
-        """Returns what was pending since the last call, for all near VMs."""
+        """Returns the reports added since the last call, as encoded batches."""
         pending, self._pending_by_run = self._pending_by_run, {}
         batches: list[list[Entry]] = []
         remaining = 0
@@ -112,7 +113,7 @@
         return [self._encoder.encode(batch) for batch in batches]
 
     def entries(self, data: bytes) -> list[Entry]:
-        """Returns the reports in a batch.
+        """Returns the reports in an encoded batch.
 
         Raises:
             msgspec.MsgspecError: It is malformed.
@@ -120,5 +121,5 @@
         return self._decoder.decode(data)
 
     def record_echo(self, now: float) -> None:
-        """A report of this VM came back in a batch."""
+        """Records that a report of this VM came back in a batch."""
         self._echoed_at = now
--- a/src/swiftstile/gateway/gossip.py
+++ b/src/swiftstile/gateway/gossip.py
@@ -1,8 +1,8 @@
-"""What VMs tell each other: that they live, and how busy targets are.
+"""Exchanges liveness and load reports with the other VMs.
 
-Datagrams, each a whole report: a lost one is made good by the next, and
-nothing can hang on a connection that went silent. Reports go often to the own
-failure domain and seldom to others, whose bandwidth is scarce.
+Each datagram is a whole report: the next one makes up for a lost one, and there
+is no connection that could stall. Reports go often to the own failure domain
+("near" VMs) and rarely to the others ("far" VMs), where bandwidth is scarce.
 """
 
 import asyncio
@@ -24,38 +24,41 @@
 
 __all__ = ["Peers"]
 
-# Between two reports to the own failure domain when something changed: a
-# fraction of the shortest work of the users (72 ms).
+# Interval of reports to the own failure domain while something changes: a
+# fraction of the shortest request of the users (72 ms).
 NEAR_INTERVAL_S = 0.025
-# The same to other domains, whose bytes are dear.
+# Interval of reports to other domains, where bandwidth is scarce.
 FAR_INTERVAL_S = 0.35
-# Timers are a little early or late; half a tick is close enough.
+# Timers fire slightly early or late; half an interval of tolerance is enough.
 _TIMER_SLACK_S = NEAR_INTERVAL_S / 2
-# Between two reports when nothing changed: three may be lost before a peer
-# counts as silent.
+# Interval of reports while nothing changes: three may be lost before a peer
+# counts as failed.
 HEARTBEAT_INTERVAL_S = 0.25
-# Most reports a second to the own domain: with many VMs each hears less often
-# of each, as each has a smaller part of the requests.
+# Maximum rate of reports to the own domain, summed over its VMs: with many VMs
+# each reports less often, as each carries a smaller part of the requests.
 MAX_NEAR_REPORTS_PER_S = 100
-# While keys move every report counts, to all domains.
+# Minimum interval between reports to other domains; while keys move each report
+# matters to all domains.
 URGENT_INTERVAL_S = 0.05
-# Between two looks whether a report is due, where VMs are many.
+# Interval of checks whether a report is due, in large domains.
 LARGE_DOMAIN_TICK_S = 0.1
-# How long a retired VM still counts: longer than a leader goes on without the
-# store, and those that follow it.
+# A retired VM stays in the quorum for this long: longer than a leader, and the
+# VMs that follow it, go on without the store.
 RETIRED_QUORUM_S = 20.0
-# A process that stood still for so long finds old datagrams in its socket.
+# After a pause of this process of this length, datagrams in its socket are
+# stale.
 STALL_THRESHOLD_S = 0.25
-# In this time after a pause all that had queued up has been read.
+# Time after such a pause in which all queued datagrams have been read.
 DRAIN_AFTER_STALL_S = 0.1
-# First byte of a datagram: what it is.
+# First byte of a datagram: its type.
 _REPORT, _PERMIT, _BATCH = b"r", b"p", b"b"
-# Second byte of a report: whether the VM that it goes to was heard lately.
+# Second byte of a report: whether its sender has received reports of the VM
+# that it goes to recently.
 _RECEIVING, _NOT_RECEIVING = b"h", b"-"
 
 
 def _urgent_state(report: reports.Report) -> tuple:
-    """Returns what all VMs should know soon when it changes."""
+    """Returns the parts of a report that all VMs need soon when they change."""
     return (
         report.is_leader,
         report.can_renew,
@@ -80,21 +83,22 @@
         self._receive(data, addr)
 
     def error_received(self, exc):
-        # A peer's port is closed; its silence is noticed by its reports.
+        # A peer's port is closed; the absence of its reports shows that it is
+        # down.
         logs.logger.debug("datagram refused", error=repr(exc))
 
 
 class Peers:
-    """The other VMs, by name.
+    """The registered peers, and the exchange of reports with them.
 
     Args:
         me: This VM.
-        on_report: Called with a peer and the time when its report came.
-        measures: What this VM tells with its reports now and then, if it does.
-        meters: Counts reports that can't be sent or understood.
+        on_report: Called with a peer and the time at which its report arrived.
+        measures: Measurements to attach to some reports, if any.
+        meters: Counts reports that can't be sent or decoded.
 
     Attributes:
-        by_node: All that are registered, this one excluded.
+        by_node: All registered VMs except this one.
         topology: The same by failure domain.
     """
 
@@ -113,7 +117,7 @@
         self.by_node: dict[model.NodeId, reports.Peer] = {}
         self._by_run: dict[str, reports.Peer] = {}
         self._on_report = on_report
-        # Takes what other VMs say of permits; set by who hands them out.
+        # Handles messages about permits; set by the component that issues them.
         self.on_permit = None
         self._decoder = msgspec.msgpack.Decoder(reports.Report)
         self._encoder = report_encoding.ReportEncoder(self._meters)
@@ -133,7 +137,7 @@
     def apply(
         self, row: reports.NodeRow | None, node: model.NodeId, now: float
     ):
-        """Takes in a registration; None when it was removed."""
+        """Applies a changed registration; `row` is None if it was removed."""
         if node == self.me.node:
             return
         self.topology.invalidate()
@@ -155,11 +159,11 @@
     def live_peers(
         self, now: float, within_s: float = reports.PEER_TIMEOUT_S
     ) -> list[reports.Peer]:
-        """Returns the peers that told something lately."""
+        """Returns the peers with a recent report."""
         return reports.live_peers(self.by_node.values(), now, within_s)
 
     def find_run(self, run: str) -> reports.Peer | None:
-        """Returns the VM whose present run has a short name, if any."""
+        """Returns the VM whose current run has this short name, if any."""
         return self._by_run.get(run)
 
     def reachable(
@@ -180,7 +184,10 @@
     def is_domain_unreachable(
         self, domain: ids.FailureDomain, now: float
     ) -> bool:
-        """Whether VMs are registered in another domain and none is heard of."""
+        """Whether no registered VM of another domain is known to live.
+
+        False also for a domain without registered VMs.
+        """
         if (
             domain == self.me.domain
             or domain in self.dissemination.live_domains(now)
@@ -194,10 +201,10 @@
         return bool(known) and not any(peer.is_live(now) for peer in known)
 
     def quorum_members(self, now: float) -> list[reports.Peer]:
-        """Returns the peers of which a majority is counted.
+        """Returns the peers that count towards a majority.
 
-        A retired one still counts for a while: a part of the VMs that doesn't
-        know yet that it was retired counts it, too.
+        A retired VM remains a member for a while, as VMs that don't know yet
+        that it was retired still count it.
         """
         return [
             peer
@@ -207,11 +214,12 @@
         ]
 
     async def run(self, make_report) -> None:
-        """Sends and receives until cancelled.
+        """Sends and receives reports until cancelled.
 
         Args:
             make_report: Returns this VM's report; takes its sequence number,
-                and whether it has to hold what only its own domain is told.
+                and whether to include the parts that only its own domain
+                receives.
 
         Raises:
             SettingsError: It can't receive at its address.
@@ -241,7 +249,7 @@
             ) from error
 
     def _tick_s(self) -> float:
-        """Returns the time to the next look; a report may then be due."""
+        """Returns the time until the next check whether a report is due."""
         if self._domain.is_large:
             return LARGE_DOMAIN_TICK_S
         return min(
@@ -255,7 +263,7 @@
         return min(interval_s, HEARTBEAT_INTERVAL_S)
 
     def detect_stall(self, now: float) -> None:
-        """Notices when this process stood still since the last tick."""
+        """Detects that this process was paused since the last tick."""
         stalled_s = now - self._tick_at
         if stalled_s > STALL_THRESHOLD_S:
             self._discard_until = now + DRAIN_AFTER_STALL_S
@@ -263,19 +271,19 @@
         self._tick_at = now
 
     def next_sequence(self) -> int:
-        """Returns the number of the next report."""
+        """Returns the sequence number of the next report."""
         return self._sequence + 1
 
     def send_now(self, report: reports.Report) -> None:
-        """Sends a report to all at once, as at a shutdown."""
+        """Sends a report to all peers at once, as at shutdown."""
         self._near_at = self._far_at = self._urgent_at = 0.0
         self._send(report)
 
     def _is_full_report_due(self, now: float) -> bool:
         """Whether a report made now may go to the own domain.
 
-        Where VMs are many it may at less than half of the looks; the others are
-        for what all should know at once.
+        In large deployments that holds for fewer than half of the ticks; the
+        others are for changes that all VMs need at once.
         """
         if not self.dissemination.uses_readers:
             return True
@@ -284,7 +292,8 @@
     def _send(self, report: reports.Report, is_full: bool = True) -> None:
         now = clocks.monotonic()
         if report.is_leader and not report.is_leaving:
-            # Many while it takes keys back, and it tells all VMs.
+            # There are many holds while the leader reclaims keys, and it
+            # reports to all VMs.
             report = msgspec.structs.replace(report, holds=None)
         if is_full:
             self._send_near_if_due(report, now)
@@ -316,7 +325,7 @@
         elif state != self._far_sent:
             to = dissemination.urgent_recipients(report)
         elif report.holds:
-            # Only the leader waits for them.
+            # Only the leader waits for holds.
             to = dissemination.far_leaders()
         else:
             return
@@ -325,7 +334,7 @@
 
     @property
     def dissemination(self) -> dissemination_lib.Dissemination:
-        """Whom of other domains this VM tells."""
+        """Chooses the peers of other domains that this VM reports to."""
         is_full_mesh = (
             len(self.topology.far) <= dissemination_lib.MAX_FULL_MESH_FAR_VMS
         )
@@ -341,7 +350,7 @@
             self._send_batches(now)
 
     def _send_batches(self, now: float) -> None:
-        """Hands on what VMs of this domain told since the last time."""
+        """Forwards the reports of this domain since the last batch."""
         for batch in self._domain.take_batches(now):
             for peer in self.topology.near:
                 if not peer.row.is_retired or peer.is_live(now):
@@ -354,7 +363,7 @@
         data = self._encoder.encode(report)
         to_leader = data
         if any(peer.claims_leadership for peer in to):
-            # Speeds and heat matter to the one that places keys.
+            # Only the leader, which places keys, uses speeds and key load.
             measured = self._with_measures(
                 report, self._leader_measure_pace, now
             )
@@ -378,21 +387,22 @@
             return
         if peer.row.is_retired and not peer.is_live(now):
             return
-        # A retired VM doesn't count as heard until it registers anew: it may
-        # not know yet, and must not act on our word.
+        # A retired VM counts as not received until it registers again: it may
+        # not know of its retirement yet, and must not act on this VM's reports.
         is_counted = peer.is_live(now) and not peer.row.is_retired
         marker = _RECEIVING if is_counted else _NOT_RECEIVING
         self._transport.sendto(_REPORT + marker + data, _address(peer))
 
     def send_permit(self, peer: reports.Peer, data: bytes) -> None:
-        """Sends something about permits; it may be lost."""
+        """Sends a message about permits; delivery isn't guaranteed."""
         if self._transport is not None:
             self._transport.sendto(_PERMIT + data, _address(peer))
 
     def _receive(self, data: bytes, sender) -> None:
         now = clocks.monotonic()
         if now < self._discard_until or now - self._tick_at > STALL_THRESHOLD_S:
-            # It may have waited in the socket while this process stood still.
+            # It may have been queued in the socket while this process was
+            # paused.
             return
         if data[:1] == _REPORT:
             is_receiving = data[1:2] == _RECEIVING
@@ -412,12 +422,12 @@
             return
         peer = self._by_run.get(report.run)
         if peer is None:
-            # Its registration will follow, or this is of an earlier run.
+            # Its registration hasn't arrived yet, or it is of an earlier run.
             return
         known = peer.report
         if known is not None and known.sequence >= report.sequence:
             if known.sequence == report.sequence:
-                # A batch was quicker.
+                # It already arrived in a batch.
                 peer.record_direct_receipt(now, receives_us)
             return
         peer.record_direct_report(report, now, receives_us)
--- a/src/swiftstile/gateway/report_encoding.py
+++ b/src/swiftstile/gateway/report_encoding.py
@@ -1,9 +1,9 @@
-"""Reports as bytes of a datagram.
+"""Encodes reports as datagrams.
 
-A report says more with each upstream at which a VM has requests, or for which
-its grants may still hold. What keys depend on is always told. The rest, of
-which a peer can do without a part, is left out where a report would become so
-large that the network cuts it into many pieces.
+A report grows with each upstream at which a VM has requests, or for which its
+grants may still hold slots. The fields that key ownership depends on are always
+included. The others, which a peer can use in part, are shortened where a report
+would be split into many IP fragments.
 """
 
 import msgspec
@@ -14,12 +14,12 @@
 
 __all__ = ["MAX_BYTES", "FULL_REPORT_BYTES", "ReportEncoder"]
 
-# What a datagram can hold, less two bytes that say what it is.
+# Maximum payload of a UDP datagram, less the two bytes of its header.
 MAX_BYTES = 65_505
-# A report beyond this has too many counts or measures.
+# Reports larger than this are shortened.
 FULL_REPORT_BYTES = 8190
-# Upstreams whose counts are told then, of each kind: twice as many and 60
-# speeds are below that, with names of 34 bytes.
+# Upstreams of each kind whose counts a shortened report keeps: twice as many
+# counts and 60 speeds fit below the limit, with names of 34 bytes.
 MAX_COUNTS = 60
 
 
@@ -36,10 +36,11 @@
         self._is_too_large = False
 
     def encode(self, report: reports.Report) -> bytes | None:
-        """Returns a report's bytes; None if no datagram can hold them.
+        """Returns a report's bytes; None if they exceed a datagram.
 
-        Peers count a VM that tells nothing as silent. Without a part that keys
-        depend on they would take it for one that holds none.
+        A VM that sends nothing counts as failed with its peers. Without a field
+        that key ownership depends on they would take it for a VM that holds no
+        keys.
         """
         data = self._encoder.encode(report)
         if len(data) > FULL_REPORT_BYTES:
@@ -72,6 +73,6 @@
 
 
 def _largest(counts: reports.Counts) -> reports.Counts:
-    """Returns the counts of the upstreams with most requests."""
+    """Returns the counts of the upstreams with the most requests."""
     most = sorted(counts, key=lambda name: sum(counts[name]), reverse=True)
     return {name: counts[name] for name in most[:MAX_COUNTS]}
--- a/src/swiftstile/gateway/reports.py
+++ b/src/swiftstile/gateway/reports.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other, and what one knows of another."""
+"""Reports that VMs exchange, and the state that a VM keeps of each peer."""
 
 from collections import abc
 
@@ -22,22 +22,22 @@
     "short_run",
 ]
 
-# A peer without a report for this long isn't counted on.
+# A peer whose last report is older than this counts as failed.
 PEER_TIMEOUT_S = 1.0
-# Characters of an incarnation that tell runs apart in reports.
+# Length of the suffix of an incarnation that identifies a run in reports.
 SHORT_RUN_LENGTH = 8
 
 
 class NodeRow(msgspec.Struct, array_like=True):
-    """A VM as it registered itself in the platform's table.
+    """A VM's registration in the platform's table.
 
     Attributes:
-        node: Its name.
-        incarnation: This run of its process.
-        domain: Where it runs.
-        address: `host:port` of its datagrams.
-        is_retired: It was silent for long; nobody waits for it any more.
-        link_mbps: Bandwidth of its link; 0 if it isn't known.
+        node: Name of the VM.
+        incarnation: Identifies this run of its process.
+        domain: Its failure domain.
+        address: `host:port` that it receives datagrams at.
+        is_retired: It was unresponsive for long; no VM waits for it any more.
+        link_mbps: Bandwidth of its link; 0 if unknown.
     """
 
     node: model.NodeId
@@ -49,11 +49,11 @@
 
 
 class Hold(msgspec.Struct, array_like=True):
-    """Until when a VM's grants to one upstream may hold leaving slots.
+    """Remaining validity of a VM's grants to one upstream for leaving slots.
 
     Attributes:
-        held_s: Seconds until all its grants are over.
-        unanswered_s: Seconds until those without an answer are over.
+        held_s: Seconds until all grants that may hold such slots have expired.
+        unanswered_s: Seconds until those that weren't answered have expired.
     """
 
     held_s: float
@@ -61,56 +61,58 @@
 
 
 class TableStatus(msgspec.Struct, array_like=True):
-    """What a VM knows of a table of the store.
+    """A VM's view of one table of the store.
 
     Attributes:
         version: Newest version of a row in it.
-        age_s: How long ago the store last answered for it, in seconds.
+        age_s: Time since the store last answered a call for it, in seconds.
     """
 
     version: int
     age_s: float
 
 
-# By upstream: requests there, and waiting for it alone.
+# By upstream: requests in flight there, and requests queued for it alone.
 Counts = dict[model.UpstreamId, tuple[int, int]]
 
 
 def short_run(incarnation: ids.Incarnation) -> str:
-    """Returns the name of a run as reports carry it."""
+    """Returns the short name by which reports identify a run."""
     return incarnation[-SHORT_RUN_LENGTH:]
 
 
 class Report(msgspec.Struct, array_like=True):
-    """What one VM tells the others.
+    """One report of a VM to its peers.
 
     Attributes:
-        run: Short name of the run that tells.
-        sequence: Grows with each report of a run.
-        is_leader: It believes that it plans who owns which keys.
+        run: Short name of the run that sent it.
+        sequence: Increases with each report of a run.
+        is_leader: The VM believes that it is the leader, which plans the key
+            maps.
         is_leaving: It is shutting down.
-        can_renew: It has the right to renew grants.
+        can_renew: It has the authority to renew grants.
         leader_version: Version of the leader's row that it follows; 0 if none.
-        store_unresponsive_s: Since when the store hasn't answered it; 0 if it
-            does.
-        shared: Requests at upstreams that all domains send to.
-        local: The same at upstreams that their own domain sends to first.
-        speeds: What this VM measured, now and then.
-        key_load: How often busy slots are asked for here, now and then.
+        store_unresponsive_s: Time since the store last answered it, in seconds;
+            0 while it answers.
+        shared: Request counts at upstreams that all domains send to.
+        local: Request counts at upstreams that mainly their own domain sends
+            to.
+        speeds: Measured speeds of upstreams; only in some reports.
+        key_load: Request rates of busy slots at this VM; only in some reports.
         versions: Version of the key map that it follows, by service.
-        holds: By service and owner, for slots that are leaving, where this
-            VM's grants may still hold some. None if it doesn't say: a leader
-            tells nobody, as only a leader asks for them.
+        holds: By service and owner, for leaving slots, how long this VM's
+            grants may still hold some of them. None if it isn't reported: a
+            leader leaves it out, as only a leader needs it.
         unreachable: Upstreams that it can't reach.
-        tables: By table, where others of its domain rely on its word.
-        is_reader: Others of its domain rely on its word.
-        near_live: VMs of its own domain that it hears, itself included; told
-            to other domains by readers.
-        far_live: VMs of other domains, by domain, as readers there told; told
-            to the own domain by readers.
-        uptime_s: How long this run has lived, in seconds.
-        grants_end_s: Seconds until all grants of this run are over, told once
-            it gives no more; None before.
+        tables: Status of the tables that others of its domain may take from it.
+        is_reader: It reads the store on behalf of its domain.
+        near_live: Live VMs of its own domain, itself included; readers publish
+            it to other domains.
+        far_live: Live VMs of other domains, by domain, as published by the
+            readers there; readers forward it to their own domain.
+        uptime_s: Age of this run, in seconds.
+        grants_end_s: Seconds until all grants of this run have expired, once it
+            makes no more; None before.
         suspicions: Requests that may crash upstreams.
     """
 
@@ -138,19 +140,21 @@
 
 
 class Peer:
-    """Another VM.
+    """Another VM and its last report.
 
     Attributes:
         row: Its registration.
         report: Its newest report, or None.
-        received_at: When it sent that at the earliest, on the steady clock:
-            when it came, to this VM or to the one that handed it on.
-        received_directly_at: When a report last came from itself.
-        run_began_at: When its present run began at the latest.
-        retired_at: When it was first known to be retired, if it is.
-        receives_us: Whether it heard this VM lately when it sent that report.
-        reported_upstreams: Upstreams at which it has requests, by its newest
-            report.
+        received_at: Earliest time at which it may have sent that report, on the
+            monotonic clock: when it arrived at this VM or at the VM that
+            forwarded it.
+        received_directly_at: When a report last arrived from the VM itself.
+        run_began_at: Latest time at which its present run may have begun.
+        retired_at: When its retirement was first seen, if it is retired.
+        receives_us: Whether it was receiving this VM's reports when it sent its
+            own.
+        reported_upstreams: Upstreams at which its newest report counts
+            requests.
     """
 
     def __init__(self, row: NodeRow, now: float):
@@ -159,18 +163,18 @@
         self.received_at = 0.0
         self.received_directly_at = float("-inf")
         self.run_began_at = now
-        # The latest moment at which a run ended that didn't tell until when its
-        # grants hold, and whether that was the one before the present.
+        # Latest time at which a run ended that didn't report when its grants
+        # expire, and whether that was the run before the present one.
         self._undeclared_end_at = now
         self._is_end_undeclared = True
-        # When the grants of all runs that told so are over.
+        # When the grants of all runs that did report it have expired.
         self._declared_end_at = float("-inf")
         self.retired_at = now
         self.receives_us = False
         self.reported_upstreams: set[model.UpstreamId] = set()
 
     def record_run(self, row: NodeRow, now: float) -> None:
-        """Another run of it registered."""
+        """Records that another run of the VM has registered."""
         told = None if self.report is None else self.report.grants_end_s
         self._is_end_undeclared = told is None
         if told is None:
@@ -186,22 +190,23 @@
     def record_direct_report(
         self, report: Report, now: float, receives_us: bool = True
     ) -> None:
-        """It told something itself."""
+        """Records a report that arrived from the VM itself."""
         self.record_report(report, now)
         self.record_direct_receipt(now, receives_us)
         self.received_at = now
 
     def record_direct_receipt(self, now: float, receives_us: bool) -> None:
-        """What was known of it already came from itself, too."""
+        """Records that a report known from a batch arrived from the VM, too."""
         self.receives_us = receives_us
         self.received_directly_at = now
 
     def record_report(self, report: Report, received_at: float) -> None:
-        """Something that it told came, from whomever.
+        """Records a report, whichever VM it arrived from.
 
         Args:
-            report: What it told.
-            received_at: When that came from itself, to this VM or to another.
+            report: The report.
+            received_at: When it arrived from its sender, here or at the VM that
+                forwarded it.
         """
         self.report = report
         self.received_at = max(self.received_at, received_at)
@@ -211,41 +216,41 @@
             self._undeclared_end_at = min(self._undeclared_end_at, began)
 
     def earlier_grants_end_at(self, longest_s: float) -> float:
-        """Returns when grants of its earlier runs are over at the latest.
+        """Returns the latest expiry of the grants of its earlier runs.
 
         Args:
-            longest_s: Longest that one grant can be held.
+            longest_s: Longest time for which one grant can be held.
         """
         return max(self._undeclared_end_at + longest_s, self._declared_end_at)
 
     @property
     def claims_leadership(self) -> bool:
-        """Whether it believes to lead, as far as it told."""
+        """Whether its last report says that it is the leader."""
         return self.report is not None and self.report.is_leader
 
     @property
     def claims_reader_role(self) -> bool:
-        """Whether others of its domain rely on its word, as far as it told."""
+        """Whether its last report says that it is a reader of its domain."""
         return self.report is not None and self.report.is_reader
 
     def reported_directly(self, now: float, within_s: float) -> bool:
-        """Whether it told this VM something itself lately."""
+        """Whether a report arrived from the VM itself within a time."""
         return (
             self.report is not None
             and now - self.received_directly_at < within_s
         )
 
     def is_live(self, now: float, within_s: float = PEER_TIMEOUT_S) -> bool:
-        """Whether it told something lately."""
+        """Whether its last report is recent enough for it to count as live."""
         return self.report is not None and now - self.received_at < within_s
 
 
 def live_peers(
     peers: abc.Iterable[Peer], now: float, within_s: float = PEER_TIMEOUT_S
 ) -> list[Peer]:
-    """Returns those of some peers that told something lately."""
-    # Asked for many times a second, over 200 VMs at times: without a call of
-    # `is_live` for each.
+    """Returns those peers whose last report is recent enough."""
+    # Runs many times a second over up to 200 VMs, so the test of `is_live` is
+    # inlined.
     since = now - within_s
     return [
         peer
