--- a/src/swiftstile/gateway/follow.py
+++ b/src/swiftstile/gateway/follow.py
@@ -1,7 +1,7 @@
-"""Follows one table of the platform's store, through its outages.
+"""Keeps a local copy of a table of the platform's store, across outages.
 
-Where many VMs share a failure domain, a few of them ask the store and the
-others take the rows from these (readers.py, relay.py).
+In a failure domain with many VMs a few of them read the store and the others
+fetch the rows from these (readers.py, relay.py).
 """
 
 import asyncio
@@ -20,55 +20,53 @@
 
 __all__ = ["TableFollower"]
 
-# How long a call waits for changes. A connection that went silent is noticed
-# after this: calm VMs have 5 s from the end of an outage to follow.
+# Long-poll timeout of calls for changes. A broken connection is noticed after
+# this time: idle VMs have 5 s from the end of an outage to catch up.
 WATCH_S = 4.0
 
-# Peers are told of news for so long: whoever's call fell silent before they
-# came knows that it did by then.
+# New rows are published to peers for this long: a VM whose call stopped
+# responding before they were written knows that it did by then.
 ANNOUNCE_S = WATCH_S + freshness.ANSWER_MARGIN_S
 
-# Pauses after failures: the first short, since single answers get lost; the
-# last so that a store that comes back isn't flooded by all VMs.
+# Backoff after failures: the first pause is short, since single answers get
+# lost; the maximum keeps all VMs from flooding a store that recovers.
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.4
-# The same where readers ask, too, and tell of the store's return.
+# The maximum for VMs that learn of the store's recovery from readers.
 MAX_BACKOFF_WITH_READERS_S = 1.2
-# Between two looks whether a peer still tells fresh status.
+# Interval of checks whether a peer still publishes a fresh status.
 PEER_CHECK_INTERVAL_S = 0.2
-# Peers' status is trusted for so long after a look at it: the next
-# look may be late by as much again. With the age that their status
-# may have (readers.py) that is below the 2 s in which a configuration has to be
-# in force.
+# Peers' status is trusted for this long after a check, as the next check may be
+# late by as much again. With the maximum age of that status (readers.py) that
+# is below the 2 s within which a configuration has to be in force.
 PEER_TRUST_S = 2 * PEER_CHECK_INTERVAL_S
-# A peer tells of a row so long after the store has it: the pause between its
-# calls, and the time to its next report.
+# Maximum time from a write to the store until a peer publishes it: the pause
+# between its calls, and the time to its next report.
 PEER_REPORT_DELAY_S = 0.5
-# In the first seconds many VMs and upstreams register; one call for each change
-# would be thousands.
+# Many VMs and upstreams register in the first seconds after a start; a call for
+# each change would make thousands of calls.
 STARTUP_S = 3.0
 STARTUP_BATCH_S = 0.25
-# Most removed rows that are remembered for peers that ask for changes.
+# Number of removed rows that are remembered for peers that fetch changes.
 MAX_REMOVED_ROWS = 1000
 
 
 class TableFollower:
-    """Keeps the rows of a table as the store last told them.
+    """Keeps the rows of a table as of the store's last answer.
 
     Args:
         name: Name of the table.
         table: The table.
         apply: Called with rows that changed.
         batch_s: Pause after each change, for tables that change in bursts.
-        store_readers: Chooses the VMs that ask the store; None where each VM
+        store_readers: Chooses the VMs that read the store; None where each VM
             does.
-        reader_watch_s: How long a call waits for changes where other VMs rely
-            on this one.
-        outage: What this VM's followers know of an outage together; None for
-            a follower on its own.
-        announces_changes: Whether peers are told of new rows also where none
-            relies on this VM: one whose call fell silent knows then that it is
-            behind.
+        reader_watch_s: Long-poll timeout where other VMs rely on this one.
+        outage: Outage state that this VM's followers share; None for a follower
+            on its own.
+        announces_changes: Whether to publish new rows to peers also where none
+            relies on this VM: a peer whose call stopped responding learns by
+            them that it is behind.
 
     Attributes:
         name: Name of the table, for logs.
@@ -76,13 +74,13 @@
         version: Newest version of the store that was seen.
         row_version: Newest version of a row of this table.
         answered_at: When a call last succeeded.
-        contact_at: When the last call that succeeded was sent; the rows are
-            at least as new as that.
+        contact_at: When the last call that succeeded was sent; the rows are at
+            least as new as that.
         failing_since: When calls began to fail; None while they succeed.
         recovered_at: Since when calls succeed, the first one included.
         is_loaded: Whether the table was read since the start.
-        earliest_change_at: Since when the store may have had the rows that are
-            being applied, or were last.
+        earliest_change_at: Earliest time at which the store may have had the
+            rows that are being applied, or were applied last.
     """
 
     def __init__(
@@ -106,7 +104,7 @@
         self.recovered_at = 0.0
         self.is_loaded = False
         self.earliest_change_at = float("-inf")
-        # Until when there was nothing that wasn't known here.
+        # Time up to which all changes of the table are known here.
         self._complete_until = float("-inf")
         self._table = table
         self._apply = apply
@@ -115,15 +113,15 @@
         self._reader_watch_s = reader_watch_s
         self._outage = outage or outage_lib.Outage()
         self._announces_changes = announces_changes
-        # When the newest row of this table came.
+        # When the newest row of this table arrived.
         self._row_at = float("-inf")
         self._started = clocks.monotonic()
         self._freshness = freshness.Freshness(name)
-        # Ends the step that is under way.
+        # Cancels the step in progress.
         self._limit: asyncio.Timeout | None = None
         # Versions at which rows were removed, by key, oldest first.
         self._removed: dict[str, int] = {}
-        # All rows that were removed after this version are in `_removed`.
+        # `_removed` has all rows that were removed after this version.
         self._remembers_since = 0
 
     async def run(self) -> None:
@@ -146,16 +144,16 @@
                 pause_s = INITIAL_BACKOFF_S
                 self._record_contact(sent)
             elif self.failing_since is not None:
-                # Rows of peers may come often; a store that is away isn't asked
-                # each time.
+                # Rows of peers may arrive often; an unresponsive store isn't
+                # called after each of them.
                 await self._outage.pause(pause_s * random.uniform(0.7, 1.3))
 
     async def _step_unless_overtaken(self) -> bool:
-        """Does a step; returns whether it came to its end.
+        """Runs a step; returns whether it completed.
 
-        It doesn't where a peer hands over newer rows meanwhile: the store's
-        answer may be on its way for seconds, as it holds each version that was
-        missed, and would take bandwidth from what is newer.
+        A step is cancelled when newer rows arrive from a peer: the store's
+        answer may take seconds to arrive, as it contains each version that was
+        missed, and would compete with newer rows for bandwidth.
         """
         self._limit = limit = asyncio.timeout(None)
         try:
@@ -187,31 +185,31 @@
             await self._reload()
             return
         if changes.version < self.version:
-            # A peer's rows were quicker. They include these, and the removal
+            # A peer's rows arrived first. They include these, and the removal
             # of some of them.
             return
         self._note_answer(asked_at)
         self._merge_rows(changes.rows)
         self._note_version(changes.version)
         if changes.rows:
-            # What changes in the meantime comes with the next call.
+            # Changes during the pause come with the next call.
             await asyncio.sleep(self._pause_after_change_s())
 
     async def _reload(self) -> None:
         asked_at = self.version
         snapshot = await self._table.read_all()
         if self.is_loaded and asked_at <= snapshot.version < self.version:
-            # A peer's rows were quicker, and the store's answer wasn't stale.
+            # A peer's rows arrived first, and the store's answer wasn't stale.
             return
         self.earliest_change_at = self._complete_until
         self._replace_rows(snapshot)
         self._complete_until = clocks.monotonic()
 
     def _note_answer(self, asked_at: float) -> None:
-        """The store told of all that is new.
+        """Records that the store has returned all changes up to now.
 
-        A call that waits is answered as soon as there is news. What it brings
-        sooner may have been there since the answer before it.
+        A long poll is answered as soon as there is a change. What an earlier
+        answer contains may have been in the store since the answer before it.
         """
         now = clocks.monotonic()
         was_waiting = (
@@ -231,7 +229,7 @@
     def _watch_s(self) -> float:
         now = clocks.monotonic()
         if self.failing_since is not None:
-            # A call that waits would tell of the store's return too late.
+            # A long poll would delay the notice of the store's recovery.
             return 0.0
         if self._readers is None or not self._readers.is_large_domain(now):
             return WATCH_S
@@ -243,11 +241,11 @@
         return self._batch_s
 
     def follows_peers(self, now: float) -> bool:
-        """Whether peers tell of newer rows, so that the store isn't asked."""
+        """Whether peers publish newer rows, so that the store isn't called."""
         return self.relies_on_peers(now) and not self.is_lagging(now)
 
     def relies_on_peers(self, now: float) -> bool:
-        """Whether it is for peers to follow the store, and they do."""
+        """Whether peers are responsible for reading the store, and do so."""
         if self._readers is None or not self.is_loaded:
             return False
         return not self._readers.must_read_store(
@@ -255,28 +253,27 @@
         )
 
     def is_lagging(self, now: float) -> bool:
-        """Whether a row that a peer told of doesn't come, for a while now."""
+        """Whether a row that a peer published is overdue."""
         return self._freshness.is_lagging(now)
 
     def is_current(self, now: float) -> bool:
-        """Whether "there is no such row" may be said, as far as can be known.
-
-        It may not while calls fail, while a row is missing that a peer told of,
-        and after the last status has grown old. The silence of a call
-        counts only after one that was answered: the first one after a failure,
-        or after peers' status ended, proves nothing yet. `contact_at`
-        is no measure of
-        this: a call that succeeded was sent up to a whole wait before its
-        answer, and the next one waits as long.
+        """Whether a missing row may be reported as final, as far as is known.
+
+        It may not while calls fail, while a row is missing that a peer
+        published, and after the last status has expired. A call that waits
+        counts as "no change" only after one that was answered: the first one
+        after a failure, or after peers' status expired, proves nothing yet.
+        `contact_at` can't decide this: a call that succeeded was sent up to a
+        whole long poll before its answer, and the next one waits as long.
         """
         return self.failing_since is None and self._freshness.is_current(now)
 
     def record_reported_version(self, version: int, now: float) -> None:
-        """A peer told that there is a row of a version."""
+        """Records that a peer published a row of a version."""
         self._freshness.record_reported_version(version, now)
 
     def record_progress(self, now: float) -> None:
-        """A part of the rows that a peer told of came from it."""
+        """Records that part of the rows that a peer published has arrived."""
         self._freshness.record_progress(now)
 
     def _note_version(self, version: int) -> None:
@@ -284,7 +281,7 @@
         self._freshness.record_version(version, clocks.monotonic())
 
     def published_status(self, now: float) -> reports.TableStatus | None:
-        """Returns what others may rely on; None if there is nothing."""
+        """Returns the status to publish to peers; None if there is none."""
         if not self._should_publish(now):
             return None
         if self.failing_since is not None or self.follows_peers(now):
@@ -300,7 +297,7 @@
 
     def _record_peer_coverage(self, now: float) -> None:
         if not self._freshness.is_behind():
-            # A reader's status is no older than this.
+            # A reader's status is never older than this.
             age_s = self._reader_watch_s + readers.STATUS_MARGIN_S
             self.contact_at = max(self.contact_at, now - age_s)
             self._complete_until = max(self._complete_until, now - age_s)
@@ -308,7 +305,7 @@
         self._note_recovery(now)
 
     def accept(self, snapshot: interfaces.Snapshot, is_whole: bool) -> None:
-        """Takes in rows from a peer, unless newer ones are known.
+        """Applies rows from a peer, unless newer ones are known.
 
         Args:
             snapshot: The rows.
@@ -326,15 +323,16 @@
 
     @property
     def newest_change(self) -> int:
-        """Version after which rows neither changed nor may have, unseen.
+        """Version after which no row changed, or may have changed unseen.
 
-        Rows may have come and gone before a whole read that changed none here.
-        Who saw them come needs an answer that is as new as that read.
+        Rows may have been written and removed before a whole read that changed
+        no row here. A peer that saw them written needs an answer that is as new
+        as that read.
         """
         return max(self.row_version, self._remembers_since)
 
     def _record_peer_rows(self, now: float) -> None:
-        """Rows come from a peer."""
+        """Updates `earliest_change_at` for rows that arrive from a peer."""
         if not self.is_loaded:
             self.earliest_change_at = float("-inf")
             return
@@ -343,7 +341,7 @@
         self.earliest_change_at = told_at - PEER_REPORT_DELAY_S
 
     def changes_since(self, version: int) -> list[interfaces.Change] | None:
-        """Returns what changed after a version; None if that isn't known."""
+        """Returns the changes after a version; None if they aren't known."""
         if version < self._remembers_since:
             return None
         changed = [row for row in self.rows.values() if row.version > version]
@@ -361,8 +359,8 @@
                 step="read table",
                 peer=self.name,
             )
-        # Rows may have come and gone since the last read, unseen here; peers
-        # that saw them have to get all rows.
+        # Rows may have been written and removed since the last read, unseen
+        # here; peers that saw them have to get all rows.
         self._remembers_since = max(self._remembers_since, snapshot.version)
         present = {row.key for row in snapshot.rows}
         removed = [
@@ -430,5 +428,5 @@
             self.failing_since = None
 
     def failing_s(self, now: float) -> float:
-        """Returns since when calls fail, in seconds; 0 while they succeed."""
+        """Returns the duration of failing calls, in seconds; 0 if none fail."""
         return 0.0 if self.failing_since is None else now - self.failing_since
--- a/src/swiftstile/gateway/outage.py
+++ b/src/swiftstile/gateway/outage.py
@@ -1,16 +1,17 @@
-"""What the followers of one VM know together of an outage of the store.
+"""Shares what the followers of one VM know of an outage of the store.
 
-Each table has a follower of its own. While the store is away, one of them asks
-whether it is back; the others would only ask the same. They wait for longer,
-and go on as soon as a call of any of them succeeds.
+Each table has a follower of its own. During an outage one of them, the primary,
+checks whether the store has recovered; calls of the others would only duplicate
+that. These back off for longer, and resume as soon as a call of any follower
+succeeds.
 """
 
 from swiftstile import signals
 
 __all__ = ["Outage"]
 
-# Longest pause between two tries of a follower that isn't the first: parts of
-# the store may come back one after the other, and calm VMs have 5 s to follow.
+# Maximum backoff of followers other than the primary: parts of the store may
+# recover one after the other, and idle VMs have 5 s to catch up.
 MAX_SECONDARY_BACKOFF_S = 2.0
 
 
@@ -18,25 +19,30 @@
     """The tables of this VM whose calls fail."""
 
     def __init__(self):
-        # Used as an ordered set: the first asks most often.
+        # Used as an ordered set; the first table is the primary.
         self._failing: dict[str, None] = {}
         self._answered = signals.Signal()
 
     def note_failure(self, table: str) -> None:
-        """A call for a table failed."""
+        """Records that a call for a table failed."""
         self._failing.setdefault(table)
 
     def note_answer(self, table: str) -> None:
-        """A call for a table succeeded, or peers tell of it again."""
+        """Records that a call succeeded, or peers publish a table again."""
         if table in self._failing:
             del self._failing[table]
             self._answered.wake()
 
     def max_backoff_s(self, table: str, primary_s: float) -> float:
-        """Returns the longest pause between two tries for a table."""
+        """Returns the maximum backoff of calls for a table.
+
+        Args:
+            table: Name of the table.
+            primary_s: The maximum for the primary.
+        """
         is_primary = next(iter(self._failing), table) == table
         return primary_s if is_primary else MAX_SECONDARY_BACKOFF_S
 
     async def pause(self, seconds: float) -> None:
-        """Waits, and no longer than until a call for some table succeeds."""
+        """Waits, but only until a call for some table succeeds."""
         await self._answered.wait(seconds)
--- a/src/swiftstile/gateway/readers.py
+++ b/src/swiftstile/gateway/readers.py
@@ -1,9 +1,9 @@
-"""Which VMs follow the platform's store themselves: decisions only.
+"""Decides which VMs read the platform's store; this module does no I/O.
 
-Each call to the store has its price, and with many VMs most calls would bring
-the same rows. So where a failure domain has many VMs, a few of them follow the
-store and tell the others of newer rows; the others ask the store only while
-nobody tells them anything fresh.
+Each call to the store has a cost, and with many VMs most calls would return the
+same rows. In a failure domain with many VMs a few of them, its readers,
+therefore follow the store and publish the newest versions; the others call the
+store only while no peer publishes a fresh status.
 """
 
 import collections.abc
@@ -21,30 +21,32 @@
     "StoreReaders",
 ]
 
-# Up to so many other VMs in a failure domain each follows the store itself: it
-# saves little there, and nothing depends on peers.
+# Up to this many other VMs in a failure domain each VM reads the store itself:
+# readers would save little, and nothing depends on peers.
 MAX_INDEPENDENT_VMS = 6
-# The same for our own table. Its news comes most often, and none has to be in
-# force within a time: a VM renews only by the version that its leader tells.
+# The same for the gateway's own table, which changes most often. No change of
+# it has to be in force within a time: a VM renews only by the version that its
+# leader publishes.
 MAX_INDEPENDENT_VMS_FOR_STATE = 2
-# How long a reader's call waits for changes, for tables that have to be
-# followed at once. Short, since its answers prove that it reaches the store.
+# Long-poll timeout of readers for tables that have to be followed closely. It
+# is short, as an answer proves that the reader reaches the store.
 READER_WATCH_S = 1.0
-# Word of a reader counts while its last answer is no older than its watch and
-# this: a round trip and a report. With one more round trip of our own that is
-# below the 2 s in which a configuration has to be in force.
+# A reader's status is fresh while the store's last answer to it is no older
+# than its long poll and this margin: one round trip and one report. With one
+# more round trip of the VM that uses it that is below the 2 s within which a
+# configuration has to be in force.
 STATUS_MARGIN_S = 0.4
 
 
 class StoreReaders:
-    """Chooses the VMs that follow the store.
+    """Chooses the VMs that read the store.
 
     Args:
         peers: The other VMs.
-        is_leader: Returns whether this VM plans the key maps; it always
-            follows the store itself.
-        max_independent_vms: Up to so many other VMs in a domain each follows
-            itself.
+        is_leader: Returns whether this VM plans the key maps; if so it always
+            reads the store itself.
+        max_independent_vms: Up to this many other VMs in a domain each VM reads
+            the store itself.
     """
 
     def __init__(
@@ -56,21 +58,21 @@
         self._peers = peers
         self._is_leader = is_leader
         self._max_independent_vms = max_independent_vms
-        # What was seen at a look, and when that was.
+        # State of the last refresh, and its time.
         self._refreshed_at = -1.0
         self._is_large_domain = self._is_reader = False
 
     def is_reader(self, now: float) -> bool:
-        """Whether this VM is one of those that the others rely on."""
+        """Whether this VM reads the store on behalf of its domain."""
         self._refresh(now)
         return self._is_reader
 
     def must_read_store(self, table: str, watch_s: float, now: float) -> bool:
-        """Whether this VM has to ask the store for a table itself.
+        """Whether this VM has to call the store for a table itself.
 
         Args:
             table: Name of the table.
-            watch_s: How long readers' calls for it wait for changes.
+            watch_s: Long-poll timeout of the readers for it.
             now: The time.
         """
         if self._is_leader() or self.is_reader(now):
@@ -81,19 +83,19 @@
         )
 
     def is_large_domain(self, now: float) -> bool:
-        """Whether others may rely on this VM's word."""
+        """Whether the domain has enough VMs for others to rely on readers."""
         self._refresh(now)
         return self._is_large_domain
 
     def _refresh(self, now: float) -> None:
-        """Looks who is there, once a moment: a report asks several times."""
+        """Updates the cached state, once for each time: a report asks often."""
         if now == self._refreshed_at:
             return
         self._refreshed_at = now
         most = max(self._max_independent_vms, dissemination.READERS_PER_DOMAIN)
         present = list(itertools.islice(self._live_near_peers(now), most))
         self._is_large_domain = len(present) >= self._max_independent_vms
-        # Readers come first, so no more than those have to be looked at.
+        # Readers come first, so only the first few have to be checked.
         own = dissemination.reader_order(self._peers.me)
         before = [
             peer
@@ -113,9 +115,10 @@
     def _live_near_peers(
         self, now: float
     ) -> collections.abc.Iterator[reports.Peer]:
-        """Returns near peers that are heard and stay, readers first.
+        """Yields near peers that are live and stay, readers first.
 
-        One by one: a report asks several times, mostly for the first few.
+        A generator, as it is called several times for each report and mostly
+        for the first few peers.
         """
         since = now - reports.PEER_TIMEOUT_S
         for peer in self._peers.topology.near:
--- a/src/swiftstile/gateway/relay.py
+++ b/src/swiftstile/gateway/relay.py
@@ -1,8 +1,8 @@
-"""Rows of the platform's store from peers.
+"""Fetches rows of the platform's store from peers.
 
-The store may refuse some VMs while it serves the others, and where many VMs
-share a failure domain only a few of them follow it. Rows only move forward by
-their versions, so a peer's copy is as good as the store's, only older.
+The store may reject some VMs while it serves the others, and in a large failure
+domain only a few VMs read it. Versions of rows only increase, so a peer's copy
+is as valid as the store's, only older.
 """
 
 import asyncio
@@ -22,34 +22,33 @@
 
 __all__ = ["RowRelay"]
 
-# A table is asked of a peer after the store was silent this long: longer than
-# single lost answers take.
+# A table is fetched from a peer once calls to the store have failed for this
+# long, which is longer than single lost answers take.
 STORE_TIMEOUT_S = 0.5
-# Between two questions.
+# Interval of fetches while the store doesn't answer.
 RETRY_INTERVAL_S = 0.4
-# Longest wait for one piece of a peer's answer, when it is asked for first.
+# Timeout of the first request for a piece of a peer's answer.
 PIECE_TIMEOUT_S = 0.5
-# A further piece is asked for so often before the peer is given up. Each time
-# it is waited for twice as long: where many fetch from a peer at the same time,
-# it isn't lost but on its way behind others, and asking again adds to those.
+# Requests for one further piece before the peer is given up. Each waits twice
+# as long as the one before: where many VMs fetch from a peer at once a piece
+# isn't lost but queued behind others, and more requests add to that queue.
 PIECE_ATTEMPTS = 3
-# Peers asked for a table at the same time: a second one only while the first
-# one's next piece is late, as both share this VM's link.
+# Concurrent fetches of a table: a second peer is asked only while the next
+# piece of the first is late, as both share this VM's link.
 MAX_CONCURRENT_FETCHES = 2
-# Questions answered at the same time: those of a failure domain may come all
-# at once, and each is short.
+# Requests answered concurrently: those of a whole failure domain may arrive at
+# once, and each takes little time.
 MAX_PARALLEL_REQUESTS = 8
 
 
 class _Fetch:
-    """One fetch to a peer for a table.
+    """A fetch of a table from one peer.
 
     Attributes:
         table: Name of the table.
-        address: The peer.
-        is_late: A piece of its answer didn't come in time, and is asked for
-            again.
-        task: Asks.
+        address: Address of the peer.
+        is_late: A piece of its answer timed out and was requested again.
+        task: The task that fetches.
     """
 
     def __init__(self, table: str, address: str):
@@ -60,14 +59,14 @@
 
 
 class RowRelay(links.ControlHandler):
-    """Asks peers for rows, and answers theirs.
+    """Fetches rows from peers, and answers their requests.
 
     Args:
         followers: The followed tables, by name.
         peers: The other VMs.
         calls: Links to them.
         seeds: Addresses to ask while no peer is known.
-        meters: Counts questions by table and result.
+        meters: Counts fetches by table and result.
     """
 
     def __init__(
@@ -102,7 +101,7 @@
         return self._outgoing.begin(span, lambda: rows, now)
 
     def on_report(self, peer: reports.Peer, now: float) -> None:
-        """Asks a near peer for rows if it just told of newer ones."""
+        """Fetches rows from a near peer whose report has a newer version."""
         for name, status in peer.report.tables.items():
             follower = self._followers.get(name)
             if follower is None or not _has_newer(peer, follower):
@@ -114,7 +113,7 @@
     def _start_fetch(
         self, address: str, follower: follow.TableFollower
     ) -> None:
-        """Asks a peer for a table, unless one is being asked that answers."""
+        """Fetches a table from a peer unless other fetches make progress."""
         asked = self._fetches_of(follower.name)
         if len(asked) >= MAX_CONCURRENT_FETCHES or not all(
             q.is_late for q in asked
@@ -131,17 +130,18 @@
         return [q for q in self._fetches if q.table == table]
 
     def _cancel_others(self, fetch: _Fetch) -> None:
-        """Ends questions that another one's answer made needless."""
+        """Cancels fetches that the answer to another one made redundant."""
         for other in self._fetches_of(fetch.table):
             if other is not fetch:
                 other.task.cancel()
 
     async def run(self) -> None:
-        """Asks whenever the store is silent, until cancelled."""
+        """Fetches from peers while calls to the store fail, until cancelled."""
         while True:
             await pacing.pause(RETRY_INTERVAL_S)
             now = clocks.monotonic()
-            # Each on its own: a large table doesn't hold up the others.
+            # Tables are fetched independently: a large one doesn't delay the
+            # others.
             for follower in self._followers.values():
                 if follower.failing_s(now) <= STORE_TIMEOUT_S:
                     continue
@@ -150,7 +150,7 @@
                     self._start_fetch(address, follower)
 
     def _choose(self, follower: follow.TableFollower, now: float) -> str | None:
-        """Returns the address of a peer to ask, each in its turn."""
+        """Returns the address of a peer to ask, in round-robin order."""
         asked = {fetch.address for fetch in self._fetches_of(follower.name)}
         served = [
             peer
@@ -159,7 +159,8 @@
             and peer.row.address not in asked
         ]
         near = [p for p in served if p.row.domain == self._peers.me.domain]
-        # Others may rely on them as well, and know no more than this VM.
+        # Other VMs of the domain may rely on readers, too, and have no newer
+        # rows.
         ahead = [p for p in near if _has_newer(p, follower)]
         pool = [peer.row.address for peer in ahead or near or served]
         if not pool and not self._peers.by_node:
@@ -210,11 +211,12 @@
     ) -> messages.Rows:
         link = self._calls.to(fetch.address)
         message = messages.AskRows(follower.name, follower.version)
-        # Tried once: another peer may be quicker than one that is silent.
+        # Sent once: another peer may answer faster than one that timed out.
         first = await link.call(message, messages.Piece, PIECE_TIMEOUT_S)
         incoming = transfers.IncomingRows(first)
         while not incoming.is_whole:
-            # The store would not be quicker than what is already coming.
+            # The store wouldn't be faster than an answer that is already
+            # arriving.
             follower.record_progress(clocks.monotonic())
             incoming.add(await self._next_piece(link, fetch, incoming))
             fetch.is_late = False
@@ -232,7 +234,7 @@
             try:
                 return await link.call(message, messages.Piece, timeout_s)
             except errors.PeerTimeoutError as error:
-                # What came before it is kept.
+                # The pieces received before are kept.
                 logs.logger.info("piece not relayed", error=str(error))
                 fetch.is_late = True
                 timeout_s *= 2
@@ -240,12 +242,12 @@
 
 
 def _should_ask_peer(follower: follow.TableFollower, now: float) -> bool:
-    """Whether to ask a peer that has newer rows, besides the store or not.
+    """Whether to fetch newer rows from a peer as well as from the store.
 
-    Not where the store is followed and answers: its answer is on its way,
-    unless it doesn't come for a while. But the first one, and that to a VM that
-    relies on peers otherwise, may hold much that isn't needed, and come over a
-    narrow link.
+    Not while this VM reads the store and the store answers: its answer is on
+    the way, unless it is overdue. But the first answer, and an answer to a VM
+    that relies on peers otherwise, may contain much that isn't needed and
+    arrive over a narrow link.
     """
     if follower.failing_since is not None or not follower.is_loaded:
         return True
@@ -253,13 +255,13 @@
 
 
 def _has_newer(peer: reports.Peer, follower: follow.TableFollower) -> bool:
-    """Whether a peer told of a row that a follower of a table lacks."""
+    """Whether a peer published a row that a follower of a table lacks."""
     status = peer.report.tables.get(follower.name)
     return status is not None and status.version > follower.version
 
 
 def _changes_for(follower: follow.TableFollower, version: int) -> messages.Rows:
-    """Returns what a peer that knows a version lacks."""
+    """Returns the rows that a peer lacks that knows a version."""
     if follower.version <= version:
         return messages.Rows([], version, False)
     changed = follower.changes_since(version)
--- a/src/swiftstile/gateway/transfers.py
+++ b/src/swiftstile/gateway/transfers.py
@@ -1,9 +1,9 @@
-"""Rows of a table on their way to a peer, in compressed pieces.
+"""Transfers rows of a table to a peer in compressed pieces.
 
-The time limit of a question is one for its whole answer. Over a link of little
-bandwidth a large answer would never come within it, and each new try would
-begin at the first byte and fill the link again. So an answer comes in pieces,
-each with a limit of its own, and a piece that is lost is asked for alone.
+The timeout of a request covers its whole answer. Over a link of little
+bandwidth a large answer would never arrive in time, and each retry would start
+at the first byte and fill the link again. Answers are therefore split into
+pieces with a timeout each, and only a lost piece is requested again.
 """
 
 import collections.abc
@@ -22,21 +22,22 @@
     "Span",
 ]
 
-# Some VMs of a domain may fetch from one whose link is the narrowest, 5 Mbit/s:
-# 38 such pieces pass there within the time limit of one.
+# Several VMs of a domain may fetch from one whose link is the narrowest, 5
+# Mbit/s: 38 pieces of this size pass within the timeout of one.
 PIECE_BYTES = 8192
-# Rows of more bytes than this, all together, are refused. The whole
-# configuration of the largest deployment that is planned for is a tenth of it.
+# Maximum size of all rows of an answer; larger ones are refused. The whole
+# configuration of the largest planned deployment is a tenth of it.
 MAX_BYTES = 32 << 20
-# An answer is kept for so long after its last piece was asked for, in seconds.
+# Answers are retained for this long after their last piece was requested, in
+# seconds.
 RETENTION_S = 5.0
-# Most bytes of answers that are kept; the newest is kept in any case.
+# Maximum size of all retained answers; the newest is retained in any case.
 MAX_RETAINED_BYTES = 8 << 20
-# Rows are JSON or MessagePack with many names that repeat. The fastest level
-# already makes a tenth of it.
+# Rows are JSON or MessagePack with many repeated names: the fastest level
+# already compresses them to a tenth.
 _LEVEL = 1
 
-# First rows of spans without one; versions of rows are greater.
+# Values of `Span.first` without a first row; versions of rows are greater.
 ALL_ROWS, NO_ROWS = -1, -2
 
 _encoder = msgspec.msgpack.Encoder()
@@ -44,14 +45,14 @@
 
 
 class Span(msgspec.Struct, frozen=True):
-    """What an answer holds, the same for all peers that lack the same rows.
+    """Identifies the rows of an answer, for all peers that lack the same rows.
 
     Peers know different versions of the store, each as of its own last call.
 
     Attributes:
         table: Name of the table.
-        first: Version of the first row that is missing; `ALL_ROWS` if all rows
-            are told, and `NO_ROWS` if none is.
+        first: Version of the first row in the answer; `ALL_ROWS` if it has all
+            rows, and `NO_ROWS` if it has none.
         newest: Version of the newest change of the table, or of the last time
             at which rows may have changed unseen.
     """
@@ -72,13 +73,13 @@
         if rows.is_whole:
             return cls(table, ALL_ROWS, newest)
         if not rows.rows:
-            # Says nothing but the version.
+            # Such an answer only carries the version.
             return cls(table, NO_ROWS, rows.version)
         return cls(table, rows.rows[0].version, newest)
 
 
 class _RetainedAnswer:
-    """An encoded answer, for all peers that asked the same."""
+    """An encoded answer, shared by all peers that lack the same rows."""
 
     def __init__(self, number: int, data: bytes, now: float):
         self.number = number
@@ -87,7 +88,7 @@
 
 
 class OutgoingRows:
-    """Answers that peers are fetching piece by piece."""
+    """Answers that peers fetch piece by piece."""
 
     def __init__(self):
         self._number = 0
@@ -103,9 +104,9 @@
         """Returns the first piece of an answer.
 
         Args:
-            span: What it holds. What was encoded once serves all peers that
-                lack the same.
-            make_rows: Returns the rows, if they have to be encoded.
+            span: Identifies the answer. It is encoded once for all peers that
+                lack the same rows.
+            make_rows: Returns the rows; called only if they have to be encoded.
             now: The time.
         """
         number = self._number_by_span.get(span)
@@ -117,7 +118,8 @@
         """Returns a piece of an answer.
 
         Raises:
-            ControlMessageError: It isn't kept any more, or isn't as long.
+            ControlMessageError: The answer was evicted, or is shorter than the
+                offset.
         """
         answer = self._by_number.get(number)
         if answer is None or not 0 <= offset < len(answer.data):
@@ -155,11 +157,11 @@
 
 
 class IncomingRows:
-    """An answer of which pieces come in.
+    """An answer that is being received in pieces.
 
     Attributes:
         number: The peer's number for it.
-        size: Bytes in all.
+        size: Its size in bytes.
     """
 
     def __init__(self, first: messages.Piece):
@@ -174,16 +176,16 @@
 
     @property
     def received(self) -> int:
-        """Bytes that are here; the offset of the next piece."""
+        """Number of bytes received; the offset of the next piece."""
         return len(self._data)
 
     @property
     def is_whole(self) -> bool:
-        """Whether all pieces are here."""
+        """Whether all pieces were received."""
         return len(self._data) == self.size
 
     def add(self, piece: messages.Piece) -> None:
-        """Takes in the next piece.
+        """Adds the next piece.
 
         Raises:
             ControlMessageError: It doesn't continue this answer.
@@ -199,7 +201,7 @@
         self._data += piece.data
 
     def rows(self) -> messages.Rows:
-        """Returns the rows, once all pieces are here.
+        """Returns the rows, once all pieces were received.
 
         Raises:
             ControlMessageError: They can't be decoded.
