--- a/src/swiftstile/gateway/dissemination.py
+++ b/src/swiftstile/gateway/dissemination.py
@@ -219,8 +219,8 @@
             return self._topology.far
         chosen = {peer.row.node: peer for peer in self.far_leaders()}
         if report.is_reader:
-            likely = self._reader_candidates()
-            chosen |= {peer.row.node: peer for peer in likely}
+            candidates = self._reader_candidates()
+            chosen |= {peer.row.node: peer for peer in candidates}
         return list(chosen.values())
 
     def urgent_recipients(self, report: reports.Report) -> list[reports.Peer]:
@@ -251,18 +251,20 @@
 
     def _far_live(self, now: float) -> dict[ids.FailureDomain, int]:
         """Returns the live VMs of other domains, by own or readers' reports."""
-        most = self._far_live_by_report(now)
+        count_by_domain = self._far_live_by_report(now)
         for peer in reports.live_peers(self._topology.near, now):
-            for domain, told in peer.report.far_live.items():
-                most[domain] = max(most.get(domain, 0), told)
-        return most
+            for domain, count in peer.report.far_live.items():
+                count_by_domain[domain] = max(
+                    count_by_domain.get(domain, 0), count
+                )
+        return count_by_domain
 
     def _far_live_by_report(self, now: float) -> dict[ids.FailureDomain, int]:
-        most: dict[ids.FailureDomain, int] = {}
+        count_by_domain: dict[ids.FailureDomain, int] = {}
         for peer in reports.live_peers(self._topology.far, now):
-            domain, told = peer.row.domain, max(1, peer.report.near_live)
-            most[domain] = max(most.get(domain, 0), told)
-        return most
+            domain, count = peer.row.domain, max(1, peer.report.near_live)
+            count_by_domain[domain] = max(count_by_domain.get(domain, 0), count)
+        return count_by_domain
 
     def _reader_candidates(self) -> list[reports.Peer]:
         by_domain: dict[ids.FailureDomain, list[reports.Peer]] = {}
--- a/src/swiftstile/gateway/domain_reports.py
+++ b/src/swiftstile/gateway/domain_reports.py
@@ -80,13 +80,15 @@
     ) -> list[reports.Peer]:
         """Returns the VMs to send a report of this VM to."""
         near = self._topology.near
-        concerns_all = report.is_leader or report.is_leaving or report.is_reader
-        if not self.is_large or concerns_all:
+        must_reach_all = (
+            report.is_leader or report.is_leaving or report.is_reader
+        )
+        if not self.is_large or must_reach_all:
             return near
         if now - self._echoed_at > BATCH_TRUST_S:
             return near
-        likely = near[: dissemination.READER_CANDIDATES]
-        return likely + [
+        candidates = near[: dissemination.READER_CANDIDATES]
+        return candidates + [
             peer
             for peer in near[dissemination.READER_CANDIDATES :]
             if peer.claims_leadership or peer.claims_reader_role
@@ -103,13 +105,13 @@
         pending, self._pending_by_run = self._pending_by_run, {}
         batches: list[list[Entry]] = []
         remaining = 0
-        for run, one in pending.items():
-            if len(one.data) > remaining:
+        for run, entry in pending.items():
+            if len(entry.data) > remaining:
                 batches.append([])
                 remaining = BATCH_BYTES
-            age_ms = round((now - one.received_at) * 1000)
-            batches[-1].append(Entry(run, one.sequence, age_ms, one.data))
-            remaining -= len(one.data)
+            age_ms = round((now - entry.received_at) * 1000)
+            batches[-1].append(Entry(run, entry.sequence, age_ms, entry.data))
+            remaining -= len(entry.data)
         return [self._encoder.encode(batch) for batch in batches]
 
     def entries(self, data: bytes) -> list[Entry]:
--- a/src/swiftstile/gateway/follow.py
+++ b/src/swiftstile/gateway/follow.py
@@ -223,9 +223,9 @@
         self._complete_until = now
 
     def _max_backoff_s(self) -> float:
-        chosen = self._readers
+        store_readers = self._readers
         longest_s = MAX_BACKOFF_WITH_READERS_S
-        if chosen is None or chosen.is_reader(clocks.monotonic()):
+        if store_readers is None or store_readers.is_reader(clocks.monotonic()):
             longest_s = MAX_BACKOFF_S
         return self._outage.max_backoff_s(self.name, longest_s)
 
@@ -340,8 +340,8 @@
             self.earliest_change_at = float("-inf")
             return
         behind_since = self._freshness.behind_since
-        told_at = now if behind_since is None else behind_since
-        self.earliest_change_at = told_at - PEER_REPORT_DELAY_S
+        published_at = now if behind_since is None else behind_since
+        self.earliest_change_at = published_at - PEER_REPORT_DELAY_S
 
     def changes_since(self, version: int) -> list[interfaces.Change] | None:
         """Returns the changes after a version; None if they aren't known."""
--- a/src/swiftstile/gateway/gossip.py
+++ b/src/swiftstile/gateway/gossip.py
@@ -300,7 +300,7 @@
         self._send_far_if_due(report, now)
 
     def _send_near_if_due(self, report: reports.Report, now: float) -> None:
-        versions = [word.version for word in report.tables.values()]
+        versions = [status.version for status in report.tables.values()]
         content = (
             report.shared,
             report.local,
@@ -321,16 +321,16 @@
         dissemination = self.dissemination
         if now - self._far_at >= FAR_INTERVAL_S - _TIMER_SLACK_S:
             self._far_at = now
-            to = dissemination.periodic_recipients(report)
+            recipients = dissemination.periodic_recipients(report)
         elif state != self._far_sent:
-            to = dissemination.urgent_recipients(report)
+            recipients = dissemination.urgent_recipients(report)
         elif report.holds:
             # Only the leader waits for holds.
-            to = dissemination.far_leaders()
+            recipients = dissemination.far_leaders()
         else:
             return
         self._urgent_at, self._far_sent = now, state
-        self._send_to_far(dissemination.trim(report), now, to)
+        self._send_to_far(dissemination.trim(report), now, recipients)
 
     @property
     def dissemination(self) -> dissemination_lib.Dissemination:
@@ -356,21 +356,23 @@
                 if not peer.row.is_retired or peer.is_live(now):
                     self._transport.sendto(_BATCH + batch, _address(peer))
 
-    def _send_to_far(self, report: reports.Report, now: float, to) -> None:
+    def _send_to_far(
+        self, report: reports.Report, now: float, recipients
+    ) -> None:
         self._sequence = report.sequence
-        if not to:
+        if not recipients:
             return
         data = self._encoder.encode(report)
-        to_leader = data
-        if any(peer.claims_leadership for peer in to):
+        leader_data = data
+        if any(peer.claims_leadership for peer in recipients):
             # Only the leader, which places keys, uses speeds and key load.
             measured = self._with_measures(
                 report, self._leader_measure_pace, now
             )
-            to_leader = self._encoder.encode(measured)
-        for peer in to:
+            leader_data = self._encoder.encode(measured)
+        for peer in recipients:
             self._send_to(
-                peer, to_leader if peer.claims_leadership else data, now
+                peer, leader_data if peer.claims_leadership else data, now
             )
 
     def _with_measures(
--- a/src/swiftstile/gateway/readers.py
+++ b/src/swiftstile/gateway/readers.py
@@ -92,18 +92,20 @@
         if now == self._refreshed_at:
             return
         self._refreshed_at = now
-        most = max(self._max_independent_vms, dissemination.READERS_PER_DOMAIN)
-        present = list(itertools.islice(self._live_near_peers(now), most))
-        self._is_large_domain = len(present) >= self._max_independent_vms
+        needed = max(
+            self._max_independent_vms, dissemination.READERS_PER_DOMAIN
+        )
+        live = list(itertools.islice(self._live_near_peers(now), needed))
+        self._is_large_domain = len(live) >= self._max_independent_vms
         # Readers come first, so only the first few have to be checked.
         own = dissemination.reader_order(self._peers.me)
         before = [
             peer
-            for peer in present[: dissemination.READERS_PER_DOMAIN]
+            for peer in live[: dissemination.READERS_PER_DOMAIN]
             if dissemination.reader_order(peer.row) < own
         ]
-        is_one = len(before) < dissemination.READERS_PER_DOMAIN
-        self._is_reader = not self._is_large_domain or is_one
+        is_among_first = len(before) < dissemination.READERS_PER_DOMAIN
+        self._is_reader = not self._is_large_domain or is_among_first
 
     @staticmethod
     def _age_s(peer: reports.Peer, table: str, now: float) -> float:
--- a/src/swiftstile/gateway/relay.py
+++ b/src/swiftstile/gateway/relay.py
@@ -114,12 +114,12 @@
         self, address: str, follower: follow.TableFollower
     ) -> None:
         """Fetches a table from a peer unless other fetches make progress."""
-        asked = self._fetches_of(follower.name)
-        if len(asked) >= MAX_CONCURRENT_FETCHES or not all(
-            q.is_late for q in asked
+        fetches = self._fetches_of(follower.name)
+        if len(fetches) >= MAX_CONCURRENT_FETCHES or not all(
+            fetch.is_late for fetch in fetches
         ):
             return
-        if address in {fetch.address for fetch in asked}:
+        if address in {fetch.address for fetch in fetches}:
             return
         fetch = _Fetch(follower.name, address)
         fetch.task = asyncio.create_task(self._ask(fetch, follower))
@@ -127,7 +127,7 @@
         fetch.task.add_done_callback(lambda _: self._fetches.remove(fetch))
 
     def _fetches_of(self, table: str) -> list[_Fetch]:
-        return [q for q in self._fetches if q.table == table]
+        return [fetch for fetch in self._fetches if fetch.table == table]
 
     def _cancel_others(self, fetch: _Fetch) -> None:
         """Cancels fetches that the answer to another one made redundant."""
@@ -151,24 +151,24 @@
 
     def _choose(self, follower: follow.TableFollower, now: float) -> str | None:
         """Returns the address of a peer to ask, in round-robin order."""
-        asked = {fetch.address for fetch in self._fetches_of(follower.name)}
-        served = [
+        addresses = {fetch.address for fetch in self._fetches_of(follower.name)}
+        with_store = [
             peer
             for peer in self._peers.live_peers(now)
             if peer.report.store_unresponsive_s == 0
-            and peer.row.address not in asked
+            and peer.row.address not in addresses
         ]
-        near = [p for p in served if p.row.domain == self._peers.me.domain]
+        near = [p for p in with_store if p.row.domain == self._peers.me.domain]
         # Other VMs of the domain may rely on readers, too, and have no newer
         # rows.
         ahead = [p for p in near if _has_newer(p, follower)]
-        pool = [peer.row.address for peer in ahead or near or served]
-        if not pool and not self._peers.by_node:
-            pool = self._seeds
-        if not pool:
+        candidates = [peer.row.address for peer in ahead or near or with_store]
+        if not candidates and not self._peers.by_node:
+            candidates = self._seeds
+        if not candidates:
             return None
         self._next_peer += 1
-        return pool[self._next_peer % len(pool)]
+        return candidates[self._next_peer % len(candidates)]
 
     async def _ask(self, fetch: _Fetch, follower: follow.TableFollower) -> None:
         began = clocks.monotonic()
--- a/src/swiftstile/gateway/reports.py
+++ b/src/swiftstile/gateway/reports.py
@@ -175,12 +175,12 @@
 
     def record_run(self, row: NodeRow, now: float) -> None:
         """Records that another run of the VM has registered."""
-        told = None if self.report is None else self.report.grants_end_s
-        self._is_end_undeclared = told is None
-        if told is None:
+        grants_end_s = None if self.report is None else self.report.grants_end_s
+        self._is_end_undeclared = grants_end_s is None
+        if grants_end_s is None:
             self._undeclared_end_at = now
         else:
-            end = self.received_at + told
+            end = self.received_at + grants_end_s
             self._declared_end_at = max(self._declared_end_at, end)
         self.row = row
         self.run_began_at = now
--- a/src/swiftstile/gateway/transfers.py
+++ b/src/swiftstile/gateway/transfers.py
@@ -138,16 +138,16 @@
         return self._number
 
     def _evict_old(self, now: float) -> None:
-        kept = sorted(
+        answers = sorted(
             self._by_number.values(),
             key=lambda answer: (answer.used_at, answer.number),
             reverse=True,
         )
         size = 0
-        for place, answer in enumerate(kept):
+        for index, answer in enumerate(answers):
             size += len(answer.data)
             is_old = now - answer.used_at > RETENTION_S
-            if place and (is_old or size > MAX_RETAINED_BYTES):
+            if index and (is_old or size > MAX_RETAINED_BYTES):
                 del self._by_number[answer.number]
         self._number_by_span = {
             span: number
