--- a/tests/domain_player.py
+++ b/tests/domain_player.py
@@ -103,11 +103,11 @@
             holds=self.leader_holds if number == self._leader else {},
         )
 
-    def heard_by(self, number: int) -> int:
+    def live_peers_of(self, number: int) -> int:
         """Returns how many others a VM hears."""
         return len(self.vms[number].peers.live_peers(self.now))
 
-    def forget_counts(self) -> None:
+    def reset_counts(self) -> None:
         """Counts datagrams anew."""
         for vm in self.vms:
             vm.datagrams = vm.bytes = vm.wakeups = 0
--- a/tests/integration/test_gateway_evacuation.py
+++ b/tests/integration/test_gateway_evacuation.py
@@ -54,7 +54,7 @@
     await site.until(is_over, _BOUND_S + 5)
 
 
-def test_an_evacuated_domain_gets_nothing_until_it_is_taken_back(tmp_path):
+def test_an_evacuated_domain_gets_no_requests_until_revoked(tmp_path):
     async def scenario(site):
         site.store.put("op", _ROW, {})
         evacuated_at = _now()
--- a/tests/integration/test_gateway_site.py
+++ b/tests/integration/test_gateway_site.py
@@ -67,7 +67,7 @@
     _run(tmp_path, scenario)
 
 
-def test_a_configuration_takes_effect_everywhere_and_none_goes_back(tmp_path):
+def test_a_configuration_takes_effect_everywhere_and_no_older_one(tmp_path):
     async def scenario(site):
         extra = users_standins.plain_route("/new/", "unsafe")
         site.store.put("op", "config", users_standins.config(5, extra))
@@ -122,7 +122,7 @@
     _run(tmp_path, scenario)
 
 
-def test_an_outage_of_the_store_takes_no_key_away(tmp_path):
+def test_keys_keep_their_owners_in_an_outage_of_the_store(tmp_path):
     async def scenario(site):
         for door in range(len(site.gateways)):
             site.store.mode_by_door[door] = "silent"
@@ -137,7 +137,7 @@
     _run(tmp_path, scenario)
 
 
-def test_a_vm_that_the_store_turns_away_follows_its_peers(tmp_path):
+def test_a_vm_that_the_store_refuses_follows_its_peers(tmp_path):
     async def scenario(site):
         site.store.mode_by_door[0] = "busy"
         await asyncio.sleep(1)
--- a/tests/integration/test_gateway_stale.py
+++ b/tests/integration/test_gateway_stale.py
@@ -22,10 +22,10 @@
 _PATH = "/new/x"
 
 
-async def _lose_the_store(site) -> None:
+async def _start_store_outage(site) -> None:
     """Waits until every gateway's calls for the operator's table fail."""
 
-    async def is_lost() -> bool:
+    async def has_failed() -> bool:
         return all(
             any(
                 '"event":"table lost"' in line and '"operations"' in line
@@ -38,7 +38,7 @@
         site.store.mode_by_door[gateway.number] = "busy"
     # A change ends the calls that wait for one.
     site.store.put("op", "other", {})
-    await site.until(is_lost, 10)
+    await site.until(has_failed, 10)
 
 
 async def _statuses(site, path: str) -> list[int]:
@@ -55,10 +55,10 @@
     await site.until(is_told, 5)
 
 
-def test_a_route_that_was_added_during_an_outage_is_not_denied(tmp_path):
+def test_a_route_added_during_an_outage_is_not_answered_404(tmp_path):
     async def scenario(site):
         assert await _statuses(site, _PATH) == [404] * 3
-        await _lose_the_store(site)
+        await _start_store_outage(site)
         site.store.put("op", "config", users_standins.config(5, _NEW_ROUTE))
         assert await _statuses(site, _PATH) == [503] * 3
         # What was known before is served.
@@ -72,7 +72,7 @@
     asyncio.run(gateways.Site(tmp_path, 3).play(scenario))
 
 
-def test_a_configuration_that_cannot_be_read_makes_no_answer_final(tmp_path):
+def test_with_an_invalid_configuration_no_404_is_final(tmp_path):
     """A newer configuration that isn't understood may have any route.
 
     What callers would see: 404 for its routes, for good. Cause: the follower
@@ -94,7 +94,7 @@
     asyncio.run(gateways.Site(tmp_path, 3).play(scenario))
 
 
-def test_a_call_that_fell_silent_keeps_no_vm_behind(tmp_path):
+def test_a_call_without_an_answer_keeps_no_vm_behind(tmp_path):
     """A peer of the domain knows a route, and this VM's call says nothing.
 
     What callers would see: 404 for 4.5 s. Order of events: a VM's call that
@@ -106,21 +106,21 @@
 
     async def scenario(site):
         # Two of the four are in one domain.
-        silent, peer = site.gateways[0], site.gateways[3]
-        assert silent.zone == peer.zone
+        stalled, peer = site.gateways[0], site.gateways[3]
+        assert stalled.zone == peer.zone
         # A change ends the calls that wait for one; those after it wait long.
         site.store.put("op", "other", {})
         await asyncio.sleep(0.3)
-        site.store.mode_by_door[silent.number] = "deaf"
+        site.store.mode_by_door[stalled.number] = "deaf"
         site.store.put("op", "config", users_standins.config(5, _NEW_ROUTE))
-        told = asyncio.get_running_loop().time()
+        written_at = asyncio.get_running_loop().time()
 
         async def is_known() -> bool:
             answer = await site.callers.call(_PATH, gateway=peer)
             return answer.status == 200
 
         async def has_come() -> bool:
-            answer = await site.callers.call(_PATH, gateway=silent)
+            answer = await site.callers.call(_PATH, gateway=stalled)
             assert answer.status in (200, 503), answer
             return answer.status == 200
 
@@ -128,6 +128,6 @@
         # A report later.
         await asyncio.sleep(0.1)
         await site.until(has_come, 2)
-        assert asyncio.get_running_loop().time() - told < 2
+        assert asyncio.get_running_loop().time() - written_at < 2
 
     asyncio.run(gateways.Site(tmp_path, 4).play(scenario))
--- a/tests/integration/test_narrow_links.py
+++ b/tests/integration/test_narrow_links.py
@@ -89,7 +89,7 @@
     asyncio.run(scenario())
 
 
-def test_an_answer_that_stops_on_its_way_is_given_up():
+def test_an_answer_that_stalls_times_out():
     async def scenario():
         async with _store_table() as (store, table, link):
             store.write([(_TABLE, "config", _big_row())])
@@ -101,7 +101,7 @@
     asyncio.run(scenario())
 
 
-def test_the_leader_knows_that_the_store_answers_while_much_is_on_its_way():
+def test_the_leader_can_probe_the_store_during_a_large_transfer():
     """The question whether the store answers brings nothing else.
 
     What callers would see: slots that nobody serves for longer, as their move
@@ -124,7 +124,7 @@
     asyncio.run(scenario())
 
 
-def test_the_leader_is_told_when_the_store_does_not_answer():
+def test_the_leader_detects_that_the_store_does_not_answer():
     async def scenario():
         async with _store_table() as (store, table, _):
             leader = keeper_parts.Parts(table=table).keeper
@@ -173,11 +173,11 @@
         await asyncio.wait([serving])
 
 
-def _teller(address: str, version: int) -> reports.Peer:
+def _publishing_peer(address: str, version: int) -> reports.Peer:
     """Returns a peer at an address that tells of a version."""
     row = builders.node_row("vm-10", address=address)
-    words = {_TABLE: reports.TableStatus(version, 0.1)}
-    return builders.peer(row, builders.report(row, tables=words), 100.0)
+    statuses = {_TABLE: reports.TableStatus(version, 0.1)}
+    return builders.peer(row, builders.report(row, tables=statuses), 100.0)
 
 
 async def _until_known(dependent: follow.TableFollower, version: int) -> None:
@@ -185,14 +185,14 @@
         await asyncio.sleep(0.01)
 
 
-def test_a_large_row_comes_from_a_peer_over_a_narrow_link():
+def test_a_large_row_is_fetched_from_a_peer_over_a_narrow_link():
     async def scenario():
         async with _reader_and_dependent() as (reader, dependent, client, link):
             value = _big_row(1_000_000)
             change = interfaces.Change("config", value, 5)
             reader.is_loaded = True
             reader.accept(interfaces.Snapshot([change], 5), True)
-            client.on_report(_teller(link.address, 5), 100.0)
+            client.on_report(_publishing_peer(link.address, 5), 100.0)
             async with asyncio.timeout(4):
                 await _until_known(dependent, 5)
             assert dependent.rows["config"].value == value
@@ -214,10 +214,10 @@
     return outcome.status == 200
 
 
-async def _lose_the_store(site) -> None:
+async def _start_store_outage(site) -> None:
     """Waits until every gateway's calls for the operator's table fail."""
 
-    async def is_lost() -> bool:
+    async def has_failed() -> bool:
         lost = '"event":"table lost"'
         lines = [
             line
@@ -231,12 +231,12 @@
         site.store.mode_by_door[gateway.number] = "busy"
     # A change ends the calls that wait for one.
     site.store.put("op", "other", {})
-    await site.until(is_lost, 10)
+    await site.until(has_failed, 10)
 
 
 def test_many_routes_are_in_force_in_time_where_links_are_narrow(tmp_path):
     async def scenario(site):
-        await _lose_the_store(site)
+        await _start_store_outage(site)
         routes = _many_routes()
         site.store.put("op", "config", users_standins.config(5, *routes))
         site.store.mode_by_door.clear()
--- a/tests/integration/test_shared_links.py
+++ b/tests/integration/test_shared_links.py
@@ -76,11 +76,13 @@
         calls = links.Links(meters)
         client = relay.RowRelay(dependent, _peers(), calls, [], meters)
         row = builders.node_row("vm-10", address=address)
-        words = {name: reports.TableStatus(9, 0.1) for name in _NAMES}
-        teller = builders.peer(row, builders.report(row, tables=words), 100.0)
+        statuses = {name: reports.TableStatus(9, 0.1) for name in _NAMES}
+        publisher = builders.peer(
+            row, builders.report(row, tables=statuses), 100.0
+        )
         try:
             # Each is asked for once.
-            client.on_report(teller, 100.0)
+            client.on_report(publisher, 100.0)
             async with asyncio.timeout(8):
                 while client._fetches:
                     await asyncio.sleep(0.01)
@@ -111,9 +113,9 @@
         loop = asyncio.get_running_loop()
         async with narrow_link.NarrowLink(address) as link:
             row = builders.node_row("vm-10", address=link.address)
-            words = {"operations": reports.TableStatus(9, 0.1)}
-            teller = builders.peer(
-                row, builders.report(row, tables=words), 100.0
+            statuses = {"operations": reports.TableStatus(9, 0.1)}
+            publisher = builders.peer(
+                row, builders.report(row, tables=statuses), 100.0
             )
             vms = []
             for _ in range(30):
@@ -132,7 +134,7 @@
                             done_at.setdefault(number, loop.time() - began)
                             continue
                         # A report each 0.25 s tells of it again.
-                        client.on_report(teller, 100.0)
+                        client.on_report(publisher, 100.0)
                     await asyncio.sleep(0.05)
             finally:
                 for _, _, calls in vms:
--- a/tests/row_parts.py
+++ b/tests/row_parts.py
@@ -9,14 +9,14 @@
 TABLE = "operations"
 
 
-def near_peers(count: int, me: str = "vm-50", **told) -> gossip.Peers:
+def near_peers(count: int, me: str = "vm-50", **reported) -> gossip.Peers:
     """Returns peers of one domain, of which the first two tell of a table."""
     peers = gossip.Peers(builders.node_row(me), lambda *_: None)
-    words = {TABLE: reports.TableStatus(7, 0.2)}
+    statuses = {TABLE: reports.TableStatus(7, 0.2)}
     for number in range(10, 10 + count):
         row = builders.node_row(f"vm-{number}")
-        tables = words if number < 12 else {}
-        report = builders.report(row, **({"tables": tables} | told))
+        tables = statuses if number < 12 else {}
+        report = builders.report(row, **({"tables": tables} | reported))
         peers.by_node[row.node] = builders.peer(row, report, received_at=100.0)
     return peers
 
--- a/tests/unit/test_config_decoder.py
+++ b/tests/unit/test_config_decoder.py
@@ -88,7 +88,7 @@
         assert _outcome(decoder.decode, data) == fresh
 
 
-def test_only_what_differs_is_decoded_again():
+def test_only_changed_resources_are_decoded_again():
     """Routes decoded when one of 1470 differs: 1470 without memory, 1 with."""
     decoder = documents.ConfigDecoder()
     resources = [_SERVICE, *(_route(f"r{n}") for n in range(ROUTES))]
@@ -108,7 +108,7 @@
         _version(2, _SERVICE, _route("r1"), _route("r2", service="s2")),
     ],
 )
-def test_a_bad_version_takes_nothing_from_the_next(bad):
+def test_an_invalid_version_doesnt_affect_the_next(bad):
     decoder = documents.ConfigDecoder()
     before = decoder.decode(_version(1, _SERVICE, _route("r1"), _route("r2")))
     with pytest.raises(errors.BundleError):
@@ -120,12 +120,12 @@
 @pytest.mark.parametrize(
     "bad", [_route("r1", kind="odd"), {"entry_type": "routes"}]
 )
-def test_an_error_tells_the_place_of_the_resource(bad):
+def test_an_error_names_the_index_of_the_resource(bad):
     with pytest.raises(errors.BundleError, match=r"resources\[1\]"):
         documents.decode_config(_version(1, _SERVICE, bad))
 
 
-def test_what_a_version_left_out_is_not_held():
+def test_resources_absent_from_a_version_are_not_retained():
     decoder = documents.ConfigDecoder()
     before = decoder.decode(_version(1, _SERVICE, _route("r1"), _route("r2")))
     decoder.decode(_version(2, _SERVICE, _route("r1")))
--- a/tests/unit/test_gateway_dissemination.py
+++ b/tests/unit/test_gateway_dissemination.py
@@ -19,22 +19,22 @@
     return builders.node_row(f"vm-{number:02d}", domain=domain)
 
 
-def _peers(me: int, count: int, hears) -> gossip.Peers:
+def _peers(me: int, count: int, receives) -> gossip.Peers:
     """Returns the peers of one VM.
 
     Args:
         me: Number of the VM.
         count: All VMs.
-        hears: Numbers of the VMs that it hears.
+        receives: Numbers of the VMs that it receives.
     """
     peers = gossip.Peers(_row(me), lambda *_: None)
     for number in range(count):
         if number == me:
             continue
         row = _row(number)
-        received_at = _NOW if number in hears else 0.0
-        told = builders.report(row, near_live=count // 3)
-        peers.by_node[row.node] = builders.peer(row, told, received_at)
+        received_at = _NOW if number in receives else 0.0
+        reported = builders.report(row, near_live=count // 3)
+        peers.by_node[row.node] = builders.peer(row, reported, received_at)
     return peers
 
 
@@ -42,14 +42,14 @@
     return {number for number in range(count) if number % 3 == me % 3}
 
 
-def test_few_vms_tell_all_others():
+def test_few_vms_report_to_all_others():
     peers = _peers(0, 9, range(9))
     to = peers.dissemination.periodic_recipients(builders.report(peers.me))
     assert len(to) == 6
     assert peers.dissemination.live_count(_NOW) == 9
 
 
-def test_of_many_vms_each_tells_the_leader_alone():
+def test_with_many_vms_each_reports_only_to_the_leader():
     peers = _peers(30, 78, _near(30, 78))
     peers.by_node["vm-01"].report.is_leader = True
     report = builders.report(peers.me)
@@ -61,20 +61,22 @@
     ] == ["vm-01"]
 
 
-def test_the_leader_tells_all():
+def test_the_leader_reports_to_all():
     peers = _peers(30, 78, range(78))
     report = builders.report(peers.me, is_leader=True)
     assert len(peers.dissemination.periodic_recipients(report)) == 52
 
 
-def test_readers_tell_the_readers_of_other_domains():
+def test_readers_report_to_the_readers_of_other_domains():
     peers = _peers(0, 78, _near(0, 78))
     report = builders.report(peers.me, is_reader=True)
-    told = {p.row.node for p in peers.dissemination.periodic_recipients(report)}
-    assert told == {"vm-01", "vm-04", "vm-07", "vm-02", "vm-05", "vm-08"}
+    reported = {
+        p.row.node for p in peers.dissemination.periodic_recipients(report)
+    }
+    assert reported == {"vm-01", "vm-04", "vm-07", "vm-02", "vm-05", "vm-08"}
 
 
-def test_a_vm_counts_what_readers_of_its_domain_heard_of_others():
+def test_live_vms_of_other_domains_are_counted_by_readers():
     peers = _peers(30, 78, _near(30, 78))
     assert peers.dissemination.live_count(_NOW) == 26
     reader = peers.by_node["vm-00"]
@@ -86,7 +88,7 @@
     assert peers.dissemination.live_count(_NOW) == 25
 
 
-def test_what_readers_hear_of_other_domains_is_told_by_domain():
+def test_readers_publish_live_counts_by_domain():
     peers = _peers(0, 78, _near(0, 78) | {1, 4, 2})
     assert peers.dissemination.counts_to_publish(_NOW) == (
         26,
@@ -101,23 +103,25 @@
         self.views = []
         for me in range(count):
             peers = _peers(me, count, _near(me, count))
-            told = {
+            reported = {
                 name: count // 3
                 for name in _DOMAINS
                 if name not in (lost_domain, peers.me.domain)
             }
             for peer in peers.by_node.values():
-                peer.report.far_live = told
+                peer.report.far_live = reported
             self.views.append(self._renewals(peers))
 
     @staticmethod
     def _renewals(peers):
-        book = builders.book(builders.upstream("u-1", failure_domain="z1"))
+        target_table = builders.book(
+            builders.upstream("u-1", failure_domain="z1")
+        )
         maps = renewals.KeyMaps()
         owned = keymap.KeyMap.empty(1).give({}, {0: "u-1"})
         maps.put(builders.LOOKUPS, owned, _NOW)
         return renewals.Renewals(
-            maps, book, peers, None, None, metrics.Meters()
+            maps, target_table, peers, None, None, metrics.Meters()
         )
 
     def renewers(self) -> list[str]:
@@ -127,7 +131,7 @@
                 found.append(view._peers.me.domain)
         return found
 
-    def lose(self) -> None:
+    def make_unreachable(self) -> None:
         """No VM of its domain reaches the upstream."""
         for view in self.views:
             view.unreachable.add("u-1")
@@ -141,26 +145,26 @@
     assert _Site(78).renewers() == ["z1"]
 
 
-def test_an_upstream_that_nobody_reaches_is_tried_by_one_vm():
+def test_an_upstream_that_no_vm_reaches_is_retried_by_one_vm():
     # Found there too: 25 VMs each tried 25 crashed upstreams again and again,
     # 65,000 connections in half a minute.
     site = _Site(78)
-    site.lose()
+    site.make_unreachable()
     assert site.renewers() == ["z1"]
 
 
 @pytest.mark.parametrize("count", [78, 87])
-def test_upstreams_of_a_silent_domain_are_looked_after_by_others(count):
+def test_upstreams_of_an_unreachable_domain_are_taken_over(count):
     assert {"z0", "z2"} <= set(_Site(count, lost_domain="z1").renewers())
 
 
-def test_readers_come_by_bandwidth():
+def test_readers_are_ordered_by_bandwidth():
     small, large = builders.node_row("a"), builders.node_row("b", link_mbps=9.0)
     rows = sorted([small, large], key=dissemination.reader_order)
     assert rows == [large, small]
 
 
-def test_only_what_grants_may_still_hold_is_told_while_slots_leave():
+def test_only_unexpired_holds_of_leaving_slots_are_reported():
     # Found on trouble-3 of hbrt-gw-grown: 77 VMs listed all 99 owners, nearly
     # all with nothing, to the leader 20 times a second.
     peers = _peers(0, 9, range(9))
@@ -170,13 +174,13 @@
     view = _Site._renewals(peers)
     view._maps.put(builders.LOOKUPS, made, _NOW)
     assert view.leaving_holds(_NOW) == {}
-    book = view.holds(builders.LOOKUPS, 16)
-    book.note_sent(range(1, 2))
-    book.note_answered(range(1, 2), _NOW, renewals.HOLD_S)
+    hold_table = view.holds(builders.LOOKUPS, 16)
+    hold_table.note_sent(range(1, 2))
+    hold_table.note_answered(range(1, 2), _NOW, renewals.HOLD_S)
     # A slot that stays doesn't matter.
-    book.note_sent(range(10, 11))
-    book.note_answered(range(10, 11), _NOW, renewals.HOLD_S)
-    told = view.leaving_holds(_NOW)[builders.LOOKUPS]
-    assert list(told) == ["u-1"]
-    assert told["u-1"].held_s >= renewals.HOLD_S
+    hold_table.note_sent(range(10, 11))
+    hold_table.note_answered(range(10, 11), _NOW, renewals.HOLD_S)
+    reported = view.leaving_holds(_NOW)[builders.LOOKUPS]
+    assert list(reported) == ["u-1"]
+    assert reported["u-1"].held_s >= renewals.HOLD_S
     assert view.leaving_holds(_NOW + 2 * renewals.HOLD_S) == {}
--- a/tests/unit/test_gateway_domain_reports.py
+++ b/tests/unit/test_gateway_domain_reports.py
@@ -9,79 +9,79 @@
 from tests import gateway_builders as builders
 
 
-def test_all_hear_each_other_though_few_are_told(monkeypatch):
+def test_all_vms_know_each_other_though_reports_go_to_few(monkeypatch):
     player = domain_player.DomainPlayer(40, monkeypatch)
     player.play(3.0)
     for number in (0, 1, 2, 20, 39):
-        assert player.heard_by(number) == 39
+        assert player.live_peers_of(number) == 39
 
 
 @pytest.mark.parametrize("count", [4, 12, 40, 144])
-def test_an_ordinary_vm_is_woken_as_often_however_many_there_are(
+def test_wakeups_of_an_ordinary_vm_dont_grow_with_the_number_of_vms(
     count, monkeypatch
 ):
     player = domain_player.DomainPlayer(count, monkeypatch, leader=5)
     player.play(3.0)
-    player.forget_counts()
+    player.reset_counts()
     player.play(2.0)
     ordinary = player.vms[count - 1]
     # Told by all others it would be woken at each tick, at 20 a second.
     assert ordinary.datagrams / 2.0 <= 50
-    assert player.heard_by(count - 1) == count - 1
+    assert player.live_peers_of(count - 1) == count - 1
 
 
-def test_datagrams_grow_by_vms_and_not_by_pairs_of_them(monkeypatch):
+def test_datagrams_grow_linearly_with_vms(monkeypatch):
     sent = {}
     for count in (20, 80):
         player = domain_player.DomainPlayer(count, monkeypatch)
         player.play(3.0)
-        player.forget_counts()
+        player.reset_counts()
         player.play(2.0)
         sent[count] = sum(vm.datagrams for vm in player.vms)
     assert sent[80] < 8 * sent[20]
 
 
-def test_the_loss_of_all_readers_silences_nobody(monkeypatch):
+def test_vms_stay_live_when_all_readers_fail(monkeypatch):
     player = domain_player.DomainPlayer(40, monkeypatch)
     player.play(3.0)
     for reader in player.vms[:2]:
         reader.is_down = True
     for _ in range(40):
         player.play(0.1)
-        assert player.heard_by(39) >= 37
-    assert player.heard_by(39) == 37
+        assert player.live_peers_of(39) >= 37
+    assert player.live_peers_of(39) == 37
 
 
-def test_one_whose_word_doesnt_reach_the_readers_tells_all_itself(monkeypatch):
+def test_a_vm_whose_reports_miss_the_readers_reports_to_all(monkeypatch):
     player = domain_player.DomainPlayer(40, monkeypatch)
     player.play(3.0)
     player.cut |= {(39, reader) for reader in range(3)}
     player.play(3.0)
-    assert player.heard_by(38) == 39
+    assert player.live_peers_of(38) == 39
 
 
-def test_one_that_hears_no_reader_tells_all_itself(monkeypatch):
+def test_a_vm_that_receives_no_reader_reports_to_all(monkeypatch):
     player = domain_player.DomainPlayer(40, monkeypatch)
     player.play(3.0)
     player.cut |= {(reader, 39) for reader in range(2)}
     player.play(3.0)
-    assert player.heard_by(38) == 39
+    assert player.live_peers_of(38) == 39
     # The readers told it of the others; these tell readers alone.
-    assert player.heard_by(39) < 39
+    assert player.live_peers_of(39) < 39
 
 
-def test_word_that_is_handed_on_is_as_old_as_it_was(monkeypatch):
+def test_a_forwarded_report_keeps_its_age(monkeypatch):
     player = domain_player.DomainPlayer(40, monkeypatch)
     player.play(3.0)
     last = player.vms[39]
     last.is_down = True
-    fell_silent_at = player.now
+    failed_at = player.now
     player.play(0.9)
-    told = player.vms[20].peers.by_node[last.row.node]
-    assert told.received_at <= fell_silent_at + 0.001
+    known = player.vms[20].peers.by_node[last.row.node]
+    assert known.received_at <= failed_at + 0.001
 
 
-def test_the_leader_is_told_directly(monkeypatch):
+def test_the_leader_receives_reports_directly(monkeypatch):
     player = domain_player.DomainPlayer(40, monkeypatch, leader=30)
     player.play(3.0)
     leader = player.vms[30].peers
@@ -91,7 +91,7 @@
     )
 
 
-def test_a_leader_tells_all_itself(monkeypatch):
+def test_a_leader_reports_directly_to_all(monkeypatch):
     player = domain_player.DomainPlayer(40, monkeypatch, leader=30)
     player.play(3.0)
     for number in (0, 20, 39):
@@ -99,7 +99,7 @@
         assert leader.reported_directly(player.now, 0.5)
 
 
-def test_a_batch_that_cant_be_read_is_dropped(monkeypatch):
+def test_a_malformed_batch_is_dropped(monkeypatch):
     player = domain_player.DomainPlayer(14, monkeypatch)
     player.play(1.0)
     receiver = player.vms[3]
@@ -107,10 +107,10 @@
         receiver.receive(data, player.now)
     counts = receiver.peers._meters.control_messages
     assert counts.get("report-dropped") == 2
-    assert player.heard_by(3) == 13
+    assert player.live_peers_of(3) == 13
 
 
-def test_batches_are_cut_where_they_grow_large():
+def test_large_batches_are_split():
     made = domain_reports.DomainReports(None)
     for number in range(60):
         made.add_to_batch(f"run{number:05d}", 1, b"x" * 1000, now=10.0)
@@ -125,7 +125,7 @@
     assert made.take_batches(now=10.3) == []
 
 
-def test_a_new_run_isnt_heard_directly_by_what_its_last_run_told():
+def test_direct_reports_of_an_earlier_run_dont_count_for_a_new_one():
     row = builders.node_row("vm-1", run="aaaaaaaa")
     peer = reports.Peer(row, now=1.0)
     peer.record_direct_report(builders.report(row), 2.0)
--- a/tests/unit/test_gateway_outage.py
+++ b/tests/unit/test_gateway_outage.py
@@ -32,11 +32,11 @@
             while not all(map(condition, self.by_name.values())):
                 await asyncio.sleep(0.005)
 
-    def lose(self) -> None:
+    def start_outage(self) -> None:
         for table in self.table_by_name.values():
             table.refuse = _MANY
 
-    def regain(self) -> None:
+    def end_outage(self) -> None:
         for table in self.table_by_name.values():
             table.refuse = 0
 
@@ -49,14 +49,14 @@
             task.cancel()
 
 
-def test_one_of_three_asks_while_the_store_is_away():
+def test_one_of_three_followers_polls_during_an_outage():
     async def run():
         followers = _Followers()
         await followers.until(lambda f: f.is_loaded, 1.0)
-        followers.lose()
+        followers.start_outage()
         await followers.until(lambda f: f.failing_s(_now()) > 3.5, 6.0)
         first, *others = sorted(followers.calls(), reverse=True)
-        followers.regain()
+        followers.end_outage()
         # The longest pause of the first, and time for a call.
         await followers.until(lambda f: f.failing_since is None, 0.7)
         followers.stop()
@@ -66,7 +66,7 @@
     asyncio.run(run())
 
 
-def test_a_table_that_fails_alone_is_asked_for_soon():
+def test_a_table_that_fails_alone_is_retried_soon():
     async def run():
         followers = _Followers()
         await followers.until(lambda f: f.is_loaded, 1.0)
--- a/tests/unit/test_gateway_parallel.py
+++ b/tests/unit/test_gateway_parallel.py
@@ -5,31 +5,31 @@
 from swiftstile.gateway import parallel
 
 
-def test_all_is_done_some_at_a_time_from_the_end():
-    left, begun, running, most = list(range(10)), [], set(), 0
+def test_entries_are_processed_concurrently_from_the_end():
+    pending, started, running, most = list(range(10)), [], set(), 0
 
     async def work(entry: int) -> None:
         nonlocal most
-        begun.append(entry)
+        started.append(entry)
         running.add(entry)
         most = max(most, len(running))
         await asyncio.sleep(0)
         running.discard(entry)
 
-    asyncio.run(parallel.process_concurrently(left, 3, work, lambda: True))
-    assert begun == list(range(9, -1, -1))
-    assert left == []
+    asyncio.run(parallel.process_concurrently(pending, 3, work, lambda: True))
+    assert started == list(range(9, -1, -1))
+    assert pending == []
     assert most == 3
 
 
-def test_nothing_is_begun_once_it_should_stop():
-    left, done = list(range(10)), []
+def test_no_entry_is_started_after_the_stop_condition():
+    pending, done = list(range(10)), []
 
     async def work(entry: int) -> None:
         done.append(entry)
 
     asyncio.run(
-        parallel.process_concurrently(left, 2, work, lambda: len(done) < 4)
+        parallel.process_concurrently(pending, 2, work, lambda: len(done) < 4)
     )
     assert len(done) == 4
-    assert left == list(range(6))
+    assert pending == list(range(6))
--- a/tests/unit/test_gateway_readers.py
+++ b/tests/unit/test_gateway_readers.py
@@ -26,23 +26,23 @@
     return readers.StoreReaders(peers, lambda: leads)
 
 
-def test_where_there_are_few_vms_each_follows_the_store():
+def test_few_vms_each_read_the_store():
     made = _readers(row_parts.near_peers(readers.MAX_INDEPENDENT_VMS - 1))
     assert made.must_read_store(_TABLE, 1.0, 100.1)
 
 
-def test_where_there_are_many_others_take_the_readers_word():
+def test_many_vms_rely_on_the_readers():
     made = _readers(row_parts.near_peers(20))
     assert not made.must_read_store(_TABLE, 1.0, 100.1)
 
 
-def test_the_readers_follow_the_store():
+def test_the_readers_read_the_store():
     made = _readers(row_parts.near_peers(20, me="vm-00"))
     assert made.must_read_store(_TABLE, 1.0, 100.1)
     assert made.is_large_domain(100.1)
 
 
-def test_the_leader_follows_the_store():
+def test_the_leader_reads_the_store():
     assert _readers(row_parts.near_peers(20), leads=True).must_read_store(
         _TABLE, 1.0, 100.1
     )
@@ -58,13 +58,13 @@
 @pytest.mark.parametrize(
     ("now", "is_fresh"), [(100.9, True), (101.19, False), (102.5, False)]
 )
-def test_word_of_a_reader_that_lost_the_store_grows_old(now, is_fresh):
+def test_the_status_of_a_reader_without_the_store_expires(now, is_fresh):
     # Its last answer was 0.2 s old when it told; peers are heard for 1 s.
     made = _readers(row_parts.near_peers(20))
     assert made.must_read_store(_TABLE, 1.0, now) is not is_fresh
 
 
-def test_word_of_a_leaving_reader_does_not_count():
+def test_the_status_of_a_leaving_reader_is_ignored():
     made = _readers(row_parts.near_peers(20, is_leaving=True))
     assert made.must_read_store(_TABLE, 1.0, 100.1)
 
@@ -92,7 +92,7 @@
     assert follower.changes_since(1) is None
 
 
-def test_removals_are_forgotten_in_the_end_and_all_rows_are_sent(monkeypatch):
+def test_old_removals_are_dropped_and_all_rows_are_sent(monkeypatch):
     monkeypatch.setattr(follow, "MAX_REMOVED_ROWS", 2)
     follower = _follower(lambda _: None)
     rows = [(name, b"1", 2) for name in "abcd"]
@@ -103,7 +103,7 @@
     assert [c.key for c in follower.changes_since(3)] == ["b", "c"]
 
 
-def test_a_led_vm_asks_a_reader_that_tells_of_newer_rows():
+def test_a_dependent_vm_fetches_newer_rows_from_a_reader():
     async def scenario():
         # The reader.
         table = _follower(lambda _: None)
@@ -155,7 +155,7 @@
     asyncio.run(scenario())
 
 
-def test_rows_that_a_peer_told_of_and_does_not_hand_over_are_read_directly():
+def test_rows_that_a_peer_publishes_and_does_not_deliver_are_read_directly():
     # Suspected on the grown haddad-gw: VMs went on with a configuration that
     # was 5 s old, though reports of their readers came.
     async def scenario():
@@ -163,7 +163,7 @@
         dependent.accept(_snapshot(2, ("x", b"1", 2)), True)
         assert dependent.follows_peers(100.0)
 
-        class _Silent:
+        class _TimingOutLink:
 
             async def call(self, message, expected, timeout_s):
                 raise errors.PeerTimeoutError("silent", step="call")
@@ -173,7 +173,7 @@
 
         peers = row_parts.near_peers(20)
         client = relay.RowRelay(
-            {_TABLE: dependent}, peers, _Silent(), [], metrics.Meters()
+            {_TABLE: dependent}, peers, _TimingOutLink(), [], metrics.Meters()
         )
         peer = peers.by_node["vm-10"]
         peer.report.tables[_TABLE] = reports.TableStatus(8, 0.1)
@@ -192,7 +192,7 @@
     asyncio.run(scenario())
 
 
-def test_rows_are_not_as_new_as_a_readers_word_while_some_are_missing():
+def test_rows_dont_take_a_readers_age_while_some_are_missing():
     # Users saw routes denied by VMs whose configuration was seconds old. A peer
     # told such a VM of a newer row, the row didn't come, and the age of its
     # rows was told as that of the peer's word. Evidence: a follower on its own
@@ -209,7 +209,7 @@
     assert dependent.contact_at == pytest.approx(before + 0.4)
 
 
-def test_a_led_vm_does_not_ask_the_store():
+def test_a_dependent_vm_does_not_call_the_store():
     async def scenario():
         table = builders.MemoryTable()
         table.apply([], [interfaces.Write("a", b"1")])
@@ -232,7 +232,7 @@
     asyncio.run(scenario())
 
 
-def test_our_own_table_is_followed_by_two_of_four_vms():
+def test_two_of_four_vms_read_the_gateways_own_table():
     # Found on armor-encheres: calls to the store cost 0.032 of a calm day's
     # worth, half of them for the key maps, which 12 VMs followed each.
     def follows(me: str) -> bool:
@@ -240,8 +240,8 @@
         peers = gossip.Peers(builders.node_row(me), lambda *_: None)
         for name in others:
             row = builders.node_row(name)
-            told = {"state": reports.TableStatus(7, 0.1)}
-            report = builders.report(row, tables=told)
+            reported = {"state": reports.TableStatus(7, 0.1)}
+            report = builders.report(row, tables=reported)
             peers.by_node[row.node] = builders.peer(row, report, 100.0)
         made = readers.StoreReaders(
             peers, lambda: False, readers.MAX_INDEPENDENT_VMS_FOR_STATE
@@ -294,25 +294,25 @@
     return asyncio.run(scenario())
 
 
-def test_only_a_piece_that_was_lost_is_asked_for_again():
+def test_only_a_lost_piece_is_requested_again():
     link, dependent = _ask_losing(3, 4)
     offsets = [
-        question.offset
-        for question in link.asked
-        if isinstance(question, messages.AskPiece)
+        request.offset
+        for request in link.asked
+        if isinstance(request, messages.AskPiece)
     ]
     assert dependent.version == 9
     step = transfers.PIECE_BYTES
     assert offsets == [step, 2 * step, 2 * step, 2 * step, 3 * step, 4 * step]
 
 
-def test_a_peer_that_loses_a_piece_again_and_again_is_given_up():
+def test_a_peer_that_keeps_losing_a_piece_is_given_up():
     link, dependent = _ask_losing(*range(3, 3 + relay.PIECE_ATTEMPTS))
     assert dependent.version == 2
     assert len(link.asked) == 2 + relay.PIECE_ATTEMPTS
 
 
-def test_the_store_is_not_asked_while_a_peer_hands_rows_over():
+def test_the_store_is_not_called_while_a_peer_delivers_rows():
     dependent = _follower(lambda _: None, row_parts.ActiveReaders())
     dependent.accept(_snapshot(2, ("x", b"1", 2)), True)
     dependent.is_loaded = True
@@ -322,7 +322,7 @@
     assert not dependent.follows_peers(100.41 + freshness.LAG_TOLERANCE_S)
 
 
-def test_each_piece_that_comes_keeps_the_store_unasked(monkeypatch):
+def test_each_received_piece_is_recorded_as_progress(monkeypatch):
     noted = []
     monkeypatch.setattr(
         follow.TableFollower,
--- a/tests/unit/test_gateway_report_sizes.py
+++ b/tests/unit/test_gateway_report_sizes.py
@@ -48,7 +48,7 @@
 
     def __init__(self, monkeypatch):
         monkeypatch.setattr(clocks, "monotonic", lambda: 100.0)
-        self.heard: list[reports.Report] = []
+        self.received: list[reports.Report] = []
         rows = [
             builders.node_row(f"vm-{n}", f"{n:08}", address=f"127.0.0.1:{n}")
             for n in range(7000, 7000 + _VMS)
@@ -56,7 +56,7 @@
         self.meters = metrics.Meters()
         self.sender = gossip.Peers(rows[0], lambda *_: None, None, self.meters)
         self.receiver = gossip.Peers(
-            rows[1], lambda peer, _: self.heard.append(peer.report)
+            rows[1], lambda peer, _: self.received.append(peer.report)
         )
         for row in rows:
             for peers in (self.sender, self.receiver):
@@ -64,69 +64,71 @@
         self.receiver._tick_at = 100.0
         self.network = self.sender._transport = _Network(self.receiver)
 
-    def tell(self, **changes) -> list[reports.Report]:
-        """Sends a report to all; returns what one heard."""
-        told = builders.report(
+    def report(self, **changes) -> list[reports.Report]:
+        """Sends a report to all; returns what one received."""
+        sent = builders.report(
             self.sender.me, self.sender.next_sequence(), **changes
         )
-        self.sender.send_now(told)
-        return self.heard
+        self.sender.send_now(sent)
+        return self.received
 
 
-def test_what_keys_depend_on_arrives_however_much_there_is(monkeypatch):
+def test_fields_that_keys_depend_on_are_never_shortened(monkeypatch):
     vms = _Vms(monkeypatch)
     holds = {builders.LOOKUPS: dict.fromkeys(_NAMES, _HOLD)}
     counts = dict.fromkeys(_NAMES, (3, 0))
-    [heard] = vms.tell(
+    [received] = vms.report(
         shared=counts, local=counts, holds=holds, unreachable=_NAMES[:100]
     )
-    assert heard.holds == holds
-    assert heard.unreachable == _NAMES[:100]
+    assert received.holds == holds
+    assert received.unreachable == _NAMES[:100]
     # A datagram holds 65,507 bytes at most.
     assert max(vms.network.sizes) <= 40_000
 
 
-def test_of_many_counts_the_greatest_are_told(monkeypatch):
+def test_of_many_counts_the_largest_are_reported(monkeypatch):
     vms = _Vms(monkeypatch)
     counts = {name: (n, 0) for n, name in enumerate(_NAMES)}
     speeds = dict.fromkeys(_NAMES[:60], (10, 100))
-    [heard] = vms.tell(shared=counts, local={}, speeds=speeds)
+    [received] = vms.report(shared=counts, local={}, speeds=speeds)
     assert max(vms.network.sizes) <= 8192
-    told = [count for count, _ in heard.shared.values()]
-    assert min(told) == _UPSTREAMS - len(told)
-    assert heard.speeds == speeds
+    sent = [count for count, _ in received.shared.values()]
+    assert min(sent) == _UPSTREAMS - len(sent)
+    assert received.speeds == speeds
 
 
-def test_a_usual_report_is_told_as_it_is(monkeypatch):
+def test_a_report_of_usual_size_is_sent_unchanged(monkeypatch):
     vms = _Vms(monkeypatch)
     counts = dict.fromkeys(_NAMES[:50], (2, 1))
-    [heard] = vms.tell(shared=counts, local=counts, key_load={"a": {7: 1.5}})
-    assert (heard.shared, heard.local) == (counts, counts)
-    assert heard.key_load == {"a": {7: 1.5}}
+    [received] = vms.report(
+        shared=counts, local=counts, key_load={"a": {7: 1.5}}
+    )
+    assert (received.shared, received.local) == (counts, counts)
+    assert received.key_load == {"a": {7: 1.5}}
 
 
 def test_a_report_that_fits_no_datagram_is_counted(monkeypatch):
     vms = _Vms(monkeypatch)
     many = [model.UpstreamId(f"{name}-{n}") for name in _NAMES for n in "12345"]
-    assert vms.tell(unreachable=many) == []
+    assert vms.report(unreachable=many) == []
     assert vms.network.sizes == []
     assert vms.meters.control_messages.get("report-too-large") == 1
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x90" * 5])
-def test_what_is_no_report_is_counted(monkeypatch, data):
+def test_a_malformed_report_is_counted(monkeypatch, data):
     vms = _Vms(monkeypatch)
     vms.sender._tick_at = 100.0
     vms.sender._receive(b"rh" + data, ("127.0.0.1", 7001))
     assert vms.meters.control_messages.get("report-dropped") == 1
 
 
-def test_a_leader_that_takes_keys_back_tells_all_vms_little(monkeypatch):
+def test_a_leader_that_reclaims_keys_sends_small_reports(monkeypatch):
     player = domain_player.DomainPlayer(40, monkeypatch, leader=5)
     held = {name: reports.Hold(4.9, 0.5) for name in _NAMES[:140]}
     player.leader_holds = {builders.LOOKUPS: held}
     player.play(1.0)
-    player.forget_counts()
+    player.reset_counts()
     player.play(2.0)
     # Reports of the leader and batches of two readers.
     assert player.vms[39].bytes / 2.0 < 60_000
--- a/tests/unit/test_gateway_rows_dying.py
+++ b/tests/unit/test_gateway_rows_dying.py
@@ -34,34 +34,34 @@
         most: Most questions that were under way at the same time.
     """
 
-    def __init__(self, peers, server: relay.RowRelay, dying: int):
+    def __init__(self, peers, server: relay.RowRelay, failing_count: int):
         self._peers = peers
         self._server = server
-        self._dying = dying
-        self._dead: list[str] = []
-        self._under_way = 0
+        self._failing_count = failing_count
+        self._failed: list[str] = []
+        self._in_progress = 0
         self.asked: list[tuple[str, type]] = []
-        self.most = 0
+        self.max_concurrent = 0
 
     def to(self, address: str) -> "_Link":
         return _Link(self, address)
 
     async def answer(self, address: str, message, timeout_s: float):
         self.asked.append((address, type(message)))
-        self._under_way += 1
-        self.most = max(self.most, self._under_way)
+        self._in_progress += 1
+        self.max_concurrent = max(self.max_concurrent, self._in_progress)
         try:
-            if address in self._dead:
+            if address in self._failed:
                 await asyncio.sleep(timeout_s)
                 raise errors.PeerTimeoutError("dead", step="call")
-            if len(self._dead) < self._dying:
-                self._die(address)
+            if len(self._failed) < self._failing_count:
+                self._fail(address)
             return await self._server.handle(message)
         finally:
-            self._under_way -= 1
+            self._in_progress -= 1
 
-    def _die(self, address: str) -> None:
-        self._dead.append(address)
+    def _fail(self, address: str) -> None:
+        self._failed.append(address)
         for peer in self._peers.by_node.values():
             if peer.row.address == address:
                 # Nothing is heard of it after a while.
@@ -92,7 +92,7 @@
     )
 
 
-def _refused(dying: int):
+def _refused(failing_count: int):
     """Returns a relay whose table the store refuses, its table and links."""
     peers = row_parts.near_peers(10)
     for number, peer in enumerate(peers.by_node.values()):
@@ -101,7 +101,7 @@
     ahead = _follower()
     row = interfaces.Change("config", os.urandom(30_000), 7)
     ahead.accept(interfaces.Snapshot([row], 7), True)
-    links = _Peers(peers, _relay(ahead, peers, None), dying)
+    links = _Peers(peers, _relay(ahead, peers, None), failing_count)
     behind = _follower()
     behind.accept(interfaces.Snapshot([], 1), True)
     behind.failing_since = -1000.0
@@ -120,41 +120,41 @@
     monkeypatch.setattr(relay, "PIECE_TIMEOUT_S", 0.3)
 
 
-def test_another_peer_is_asked_while_a_piece_does_not_come():
+def test_another_peer_is_asked_while_a_piece_is_late():
     async def scenario():
-        asking, follower, links = _refused(dying=1)
+        asking, follower, links = _refused(failing_count=1)
         running = asyncio.create_task(asking.run())
         await _until(lambda: follower.version == 7)
-        (dead, _), *_ = links.asked
-        pieces = links.asked.count((dead, messages.AskPiece))
+        (failed, _), *_ = links.asked
+        pieces = links.asked.count((failed, messages.AskPiece))
         # The dead peer hasn't been given up yet.
         assert pieces <= relay.PIECE_ATTEMPTS - 1
         # Its question ends with the answer of the other.
         follower.failing_since = None
         await _until(lambda: not asking._fetches)
-        assert links.asked.count((dead, messages.AskPiece)) == pieces
+        assert links.asked.count((failed, messages.AskPiece)) == pieces
         running.cancel()
 
     asyncio.run(scenario())
 
 
-def test_no_more_than_two_peers_are_asked_for_a_table_at_a_time():
+def test_at_most_two_peers_are_asked_for_a_table_concurrently():
     async def scenario():
-        asking, follower, links = _refused(dying=3)
+        asking, follower, links = _refused(failing_count=3)
         running = asyncio.create_task(asking.run())
         await _until(lambda: follower.version == 7)
-        assert links.most == 2
+        assert links.max_concurrent == 2
         running.cancel()
 
     asyncio.run(scenario())
 
 
-def test_a_peer_whose_pieces_come_is_the_only_one_that_is_asked():
+def test_no_other_peer_is_asked_while_pieces_arrive_in_time():
     async def scenario():
-        asking, follower, links = _refused(dying=0)
+        asking, follower, links = _refused(failing_count=0)
         running = asyncio.create_task(asking.run())
         await _until(lambda: follower.version == 7)
-        assert links.most == 1
+        assert links.max_concurrent == 1
         assert len({address for address, _ in links.asked}) == 1
         running.cancel()
 
--- a/tests/unit/test_gateway_rows_guards.py
+++ b/tests/unit/test_gateway_rows_guards.py
@@ -38,12 +38,12 @@
 
 
 def _ask(server: relay.RowRelay, version: int) -> messages.Rows:
-    question = messages.AskRows("operations", version)
-    first = asyncio.run(server.handle(question))
+    request = messages.AskRows("operations", version)
+    first = asyncio.run(server.handle(request))
     return transfers.IncomingRows(first).rows()
 
 
-def test_who_knows_less_gets_more_of_the_same_version():
+def test_an_answer_has_all_rows_after_the_peers_version():
     reader = _follower("operations", 3, ("a", b"1", 2))
     change = interfaces.Change("b", b"1", 5)
     reader.accept(interfaces.Snapshot([change], 9), False)
@@ -53,7 +53,7 @@
     assert [row.key for row in _ask(server, 1).rows] == ["a", "b"]
 
 
-def test_an_answer_that_was_kept_is_not_given_once_there_is_a_newer_version():
+def test_a_retained_answer_is_not_served_after_a_newer_version():
     reader = _follower("operations", 3, ("a", b"1", 2))
     server = _relay([reader])
     assert _ask(server, 1).version == 3
@@ -62,7 +62,7 @@
     assert _ask(server, 1).version == 9
 
 
-def test_an_answer_that_was_kept_is_not_given_after_a_whole_read():
+def test_a_retained_answer_is_not_served_after_a_whole_read():
     # A row came and went while the reader had lost its table: it read all rows
     # again, and found none of them changed. A VM that saw only the row's coming
     # asks it, as the store refuses that VM. The answer kept from before the
@@ -75,14 +75,16 @@
         interfaces.Snapshot([interfaces.Change("a", b"1", 2)], 9), True
     )
     peer = _follower("operations", 6, ("a", b"1", 2), ("gone", b"1", 5))
-    told = _ask(server, peer.version)
-    assert told.version == 9
-    changes = [interfaces.Change(r.key, r.value, r.version) for r in told.rows]
-    peer.accept(interfaces.Snapshot(changes, told.version), told.is_whole)
+    answer = _ask(server, peer.version)
+    assert answer.version == 9
+    changes = [
+        interfaces.Change(r.key, r.value, r.version) for r in answer.rows
+    ]
+    peer.accept(interfaces.Snapshot(changes, answer.version), answer.is_whole)
     assert set(peer.rows) == {"a"}
 
 
-def test_a_configuration_of_many_routes_is_small_on_its_way():
+def test_a_configuration_of_many_routes_is_compressed():
     routes = [
         {
             "entry_type": "routes",
@@ -112,8 +114,8 @@
         asked: Names of the tables that it was asked for.
     """
 
-    def __init__(self, silent: str):
-        self._silent = silent
+    def __init__(self, unanswered: str):
+        self._unanswered = unanswered
         self.asked = []
 
     def to(self, address):
@@ -121,17 +123,17 @@
 
     async def call(self, message, expected, timeout_s):
         self.asked.append(message.table)
-        if message.table == self._silent:
+        if message.table == self._unanswered:
             await asyncio.get_running_loop().create_future()
         rows = messages.Rows([], 0, False)
         return transfers.OutgoingRows().begin((), lambda: rows, 0.0)
 
 
-@pytest.mark.parametrize("silent", _NAMES)
-def test_a_table_that_does_not_come_holds_up_no_other(monkeypatch, silent):
+@pytest.mark.parametrize("unanswered", _NAMES)
+def test_a_table_without_an_answer_delays_no_other(monkeypatch, unanswered):
     monkeypatch.setattr(relay, "RETRY_INTERVAL_S", 0.02)
     monkeypatch.setattr(relay.RowRelay, "_choose", lambda *_: "127.0.0.1:1")
-    link = _Link(silent)
+    link = _Link(unanswered)
     followers = [_follower(name, 3) for name in _NAMES]
     for follower in followers:
         follower.failing_since = -1000.0
@@ -142,12 +144,12 @@
         asking.cancel()
 
     asyncio.run(scenario())
-    other = next(name for name in _NAMES if name != silent)
-    assert link.asked.count(silent) == 1
+    other = next(name for name in _NAMES if name != unanswered)
+    assert link.asked.count(unanswered) == 1
     assert link.asked.count(other) > 2
 
 
-def test_who_needs_all_rows_gets_them_after_one_that_needed_none():
+def test_a_peer_gets_all_rows_after_one_that_needed_none():
     # All upstreams were gone for the VMs of a domain: a peer that had lost the
     # store answered one that knew as much as itself with no rows, and the next,
     # which needed all, with the same. Seen as `rows from a peer` with 0 bytes
@@ -155,6 +157,6 @@
     server = _relay([_follower("operations", 9, ("a", b"1", 2))])
     nothing = _ask(server, 9)
     assert (nothing.rows, nothing.is_whole) == ([], False)
-    told = _ask(server, 0)
-    assert [row.key for row in told.rows] == ["a"]
-    assert told.is_whole
+    answer = _ask(server, 0)
+    assert [row.key for row in answer.rows] == ["a"]
+    assert answer.is_whole
--- a/tests/unit/test_gateway_rows_racing.py
+++ b/tests/unit/test_gateway_rows_racing.py
@@ -63,18 +63,18 @@
 
     def __init__(self, answer):
         super().__init__()
-        self.let_go = asyncio.Event()
+        self.released = asyncio.Event()
         self._answer = answer
 
     async def wait_for_changes(self, after, wait_s):
         if self._answer is None:
             return await super().wait_for_changes(after, wait_s)
         answer, self._answer = self._answer, None
-        await self.let_go.wait()
+        await self.released.wait()
         return answer
 
 
-def test_a_late_answer_of_the_store_brings_no_removed_row_back():
+def test_a_late_answer_of_the_store_restores_no_removed_row():
     async def scenario():
         # Made by the store at version 12, on its way over a slow link.
         table = _SlowTable(_snapshot(12, ("gone", b"1", 12)))
@@ -87,7 +87,7 @@
         # A peer is quicker: the row came and went by version 20.
         follower.accept(_snapshot(20, ("gone", None, 15)), False)
         chosen.are_active = True
-        table.let_go.set()
+        table.released.set()
         await asyncio.sleep(0.05)
         running.cancel()
         assert follower.version == 20
@@ -96,7 +96,7 @@
     asyncio.run(scenario())
 
 
-def test_removals_that_a_whole_read_skipped_are_not_left_out_for_peers():
+def test_removals_that_a_whole_read_skipped_reach_peers():
     # Of a VM whose history was dropped: it never saw row `gone`, which was
     # there from version 20 to 25.
     follower = _follower()
@@ -130,7 +130,7 @@
     return {"rows": rows, "ver": ver, "has_more": has_more}
 
 
-def test_changes_between_two_pages_of_a_table_are_still_asked_for():
+def test_changes_between_two_pages_of_a_table_are_read_again():
     # Row `a` is removed at version 8, after the first page was read.
     client = _Pages(_page(7, True, "a", "b"), _page(9, False, "c"))
     snapshot = asyncio.run(store.StoreTable(client, "t").read_all())
@@ -138,7 +138,7 @@
     assert snapshot.version <= 7
 
 
-def test_a_vm_that_gets_each_version_in_time_stays_led_through_a_burst(
+def test_a_vm_follows_peers_through_a_burst_of_versions(
     monkeypatch,
 ):
     # A version each 60 ms, each handed over 80 ms after it was told of.
@@ -146,12 +146,12 @@
     follower.accept(_snapshot(1, ("x", b"1", 1)), True)
     events = []
     for step in range(50):
-        told_at = 100.0 + 0.06 * step
-        events.append((told_at, "told", step + 2))
-        events.append((told_at + 0.08, "rows", step + 2))
+        published_at = 100.0 + 0.06 * step
+        events.append((published_at, "published", step + 2))
+        events.append((published_at + 0.08, "rows", step + 2))
     for now, kind, version in sorted(events):
         monkeypatch.setattr(clocks, "monotonic", lambda now=now: now)
-        if kind == "told":
+        if kind == "published":
             follower.record_reported_version(version, now)
         else:
             follower.accept(_snapshot(version, ("x", b"1", version)), False)
@@ -160,7 +160,7 @@
         ), f"not led {now - 100:.2f} s into the burst"
 
 
-def test_a_peer_that_tells_of_newer_rows_is_asked_while_the_store_refuses():
+def test_a_peer_with_newer_rows_is_asked_while_the_store_refuses():
     # Left behind once, then refused by the store: the peers that have the rows
     # say so with each report.
     async def scenario():
@@ -179,9 +179,11 @@
             metrics.Meters(),
         )
         row = builders.node_row("vm-10")
-        words = {_TABLE: reports.TableStatus(8, 0.1)}
-        teller = builders.peer(row, builders.report(row, tables=words), 101.0)
-        client.on_report(teller, 101.0)
+        statuses = {_TABLE: reports.TableStatus(8, 0.1)}
+        publisher = builders.peer(
+            row, builders.report(row, tables=statuses), 101.0
+        )
+        client.on_report(publisher, 101.0)
         await asyncio.sleep(0.05)
         assert follower.version == 9
 
@@ -194,19 +196,19 @@
     peers = row_parts.near_peers(20, tables={})
     for node, peer in peers.by_node.items():
         peer.row = builders.node_row(node, address=f"{node}:1")
-    teller = peers.by_node["vm-17"]
-    teller.report.tables = {_TABLE: reports.TableStatus(8, 0.1)}
+    publisher = peers.by_node["vm-17"]
+    publisher.report.tables = {_TABLE: reports.TableStatus(8, 0.1)}
     follower = _follower()
     follower.accept(_snapshot(2, ("x", b"1", 2)), True)
     client = relay.RowRelay(
         {_TABLE: follower}, peers, None, [], metrics.Meters()
     )
-    assert client._choose(follower, 100.1) == teller.row.address
+    assert client._choose(follower, 100.1) == publisher.row.address
 
 
-def test_a_read_that_a_peer_overtakes_is_no_failure_of_the_store():
+def test_a_read_overtaken_by_a_peer_is_not_a_failure():
     # A VM reads the whole table over a narrow link; a peer's rows come first.
-    class _Overtaken(builders.MemoryTable):
+    class _OvertakenTable(builders.MemoryTable):
 
         async def wait_for_changes(self, after, wait_s):
             if after < 12:
@@ -226,7 +228,7 @@
 
     chosen = _SwitchableReaders()
     chosen.are_active = False
-    table = _Overtaken()
+    table = _OvertakenTable()
     follower = _follower(table, chosen)
     follower.accept(_snapshot(10, ("x", b"1", 3)), True)
     asyncio.run(scenario())
@@ -269,20 +271,20 @@
             )
             for version in range(100, 200)
         ]
-        lost = 0
+        failed = 0
         for one in incoming:
             try:
                 while not one.is_whole:
-                    question = messages.AskPiece(one.number, one.received)
-                    one.add(await server.handle(question))
+                    request = messages.AskPiece(one.number, one.received)
+                    one.add(await server.handle(request))
             except errors.ControlMessageError:
-                lost += 1
-        assert lost == 0
+                failed += 1
+        assert failed == 0
 
     asyncio.run(scenario())
 
 
-class _NeverEnding(builders.MemoryTable):
+class _HangingTable(builders.MemoryTable):
     """A table whose answers take longer than any test.
 
     Attributes:
@@ -292,41 +294,41 @@
 
     def __init__(self):
         super().__init__()
-        self.calls = self.under_way = 0
+        self.calls = self.in_progress = 0
 
     async def wait_for_changes(self, after, wait_s):
-        return await self._never()
+        return await self._hang()
 
     async def read_all(self):
-        return await self._never()
+        return await self._hang()
 
-    async def _never(self):
+    async def _hang(self):
         self.calls += 1
-        self.under_way += 1
+        self.in_progress += 1
         try:
             await asyncio.get_running_loop().create_future()
         finally:
-            self.under_way -= 1
+            self.in_progress -= 1
 
 
 @pytest.mark.parametrize("is_loaded", [True, False])
-def test_an_answer_that_a_peer_overtook_is_given_up(is_loaded):
+def test_an_answer_overtaken_by_a_peer_is_cancelled(is_loaded):
     # What users saw: after the store had turned all VMs away, those on narrow
     # links read each version of a large configuration that they had missed, up
     # to 5.4 s, though their peers had handed over the newest long before.
     async def scenario():
-        table, chosen = _NeverEnding(), _SwitchableReaders()
+        table, chosen = _HangingTable(), _SwitchableReaders()
         chosen.are_active = False
         follower = _follower(table, chosen)
         if is_loaded:
             follower.accept(_snapshot(2, ("x", b"1", 2)), True)
         running = asyncio.create_task(follower.run())
         await asyncio.sleep(0.01)
-        assert (table.calls, table.under_way) == (1, 1)
+        assert (table.calls, table.in_progress) == (1, 1)
         chosen.are_active = True
         follower.accept(_snapshot(9, ("x", b"2", 8)), not is_loaded)
         await asyncio.sleep(0.02)
-        assert (table.calls, table.under_way) == (1, 0)
+        assert (table.calls, table.in_progress) == (1, 0)
         # Its own end isn't held up.
         running.cancel()
         await asyncio.wait([running], timeout=1)
@@ -340,7 +342,7 @@
     # Left behind for longer than a peer is waited for, or just started: the
     # store's answer is on its way, and the peer's may be quicker.
     async def scenario():
-        follower = _follower(_NeverEnding())
+        follower = _follower(_HangingTable())
         if is_loaded:
             follower.accept(_snapshot(2, ("x", b"1", 2)), True)
             follower.record_reported_version(8, 100.0)
@@ -353,18 +355,18 @@
             metrics.Meters(),
         )
         row = builders.node_row("vm-10")
-        words = {_TABLE: reports.TableStatus(8, 0.1)}
-        told = builders.report(row, tables=words)
-        client.on_report(builders.peer(row, told, 101.0), 101.0)
+        statuses = {_TABLE: reports.TableStatus(8, 0.1)}
+        reported = builders.report(row, tables=statuses)
+        client.on_report(builders.peer(row, reported, 101.0), 101.0)
         await asyncio.sleep(0.05)
         assert follower.version == 9
 
     asyncio.run(scenario())
 
 
-def test_rows_of_peers_do_not_make_a_vm_ask_a_silent_store_more_often():
+def test_rows_of_peers_cause_no_calls_to_an_unresponsive_store():
     async def scenario():
-        table, chosen = _NeverEnding(), _SwitchableReaders()
+        table, chosen = _HangingTable(), _SwitchableReaders()
         chosen.are_active = False
         follower = _follower(table, chosen)
         follower.accept(_snapshot(2, ("x", b"1", 2)), True)
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -35,11 +35,11 @@
 class _Readers:
     """Readers that tell of the table, or not."""
 
-    def __init__(self, are_telling: bool):
-        self.are_telling = are_telling
+    def __init__(self, are_publishing: bool):
+        self.are_publishing = are_publishing
 
     def must_read_store(self, table, watch_s, now):
-        return not self.are_telling
+        return not self.are_publishing
 
     def is_large_domain(self, now):
         return True
@@ -60,7 +60,7 @@
 
 def _dependent() -> follow.TableFollower:
     """Returns a follower that peers told that nothing is new at 100.0."""
-    made = _follower(_Readers(are_telling=True))
+    made = _follower(_Readers(are_publishing=True))
     made.accept(interfaces.Snapshot([], 2), True)
     made._record_peer_coverage(100.0)
     return made
@@ -72,7 +72,7 @@
             await asyncio.sleep(0.005)
 
 
-def test_nothing_is_current_before_the_first_word():
+def test_nothing_is_current_before_the_first_answer():
     made = _follower()
     assert not made.is_current(clocks.monotonic())
     # Rows of a peer alone don't say that there are no newer ones.
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize(
     ("store_readers", "wait_s"),
-    [(None, follow.WATCH_S), (_Readers(are_telling=False), 1.0)],
+    [(None, follow.WATCH_S), (_Readers(are_publishing=False), 1.0)],
 )
 def test_a_waiting_call_is_trusted_until_its_answer_is_late(
     monkeypatch, store_readers, wait_s
@@ -113,7 +113,7 @@
     )
 
 
-def test_rows_are_not_current_while_one_is_missing_that_a_peer_told_of():
+def test_rows_are_not_current_while_a_published_one_is_missing():
     made = _dependent()
     assert made.is_current(100.1)
     made.record_reported_version(8, 100.1)
@@ -125,7 +125,7 @@
     assert made.is_current(100.4)
 
 
-def test_peers_word_is_trusted_until_the_look_after_next():
+def test_peers_status_is_trusted_for_two_check_intervals():
     made = _dependent()
     assert made.is_current(100.0 + follow.PEER_TRUST_S - 0.01)
     assert not made.is_current(100.0 + follow.PEER_TRUST_S + 0.01)
@@ -141,7 +141,7 @@
         return True
 
 
-def test_news_are_told_to_peers_that_may_lack_them_yet(monkeypatch):
+def test_new_rows_are_published_while_peers_may_lack_them(monkeypatch):
     clock = _Clock(monkeypatch)
     made = follow.TableFollower(
         "operations",
@@ -165,7 +165,7 @@
 
 def _handler(operations: follow.TableFollower) -> handler_lib.Handler:
     made = handler_lib.Handler(
-        permits=_NoPermits(),
+        permits=_EmptyQueue(),
         sender=None,
         dialect=_Dialect(),
         book=builders.book(),
@@ -182,7 +182,7 @@
     return made
 
 
-class _NoPermits:
+class _EmptyQueue:
     queued = 0
 
 
--- a/tests/unit/test_gateway_store.py
+++ b/tests/unit/test_gateway_store.py
@@ -157,7 +157,7 @@
     asyncio.run(run())
 
 
-def test_after_a_failure_the_store_is_probed_not_waited_for():
+def test_after_a_failure_the_store_is_called_without_a_long_poll():
     # A call that waits hides the store's return for as long as it may wait.
     async def run():
         table, seen = builders.MemoryTable(), _Seen()
@@ -172,10 +172,10 @@
 
 
 def _registry(recovered_at: float = 0.0, decode=None):
-    book = targets.TargetBook()
+    target_table = targets.TargetBook()
     meters = metrics.Meters()
     made = registry.Registry(
-        book,
+        target_table,
         decode or (lambda name, _: builders.upstream(name)),
         lambda: None,
         meters,
@@ -183,33 +183,33 @@
     made.set_services(frozenset([builders.LOOKUPS]))
     made.follower = follow.TableFollower("t", builders.MemoryTable(), None)
     made.follower.recovered_at = recovered_at
-    return made, book, meters
+    return made, target_table, meters
 
 
 def _row(name: str, value: bytes | None, version: int) -> interfaces.Change:
     return interfaces.Change(name, value, version)
 
 
-def test_a_registration_that_is_gone_makes_the_target_leave(monkeypatch):
+def test_a_removed_registration_makes_the_target_leave(monkeypatch):
     clock = _Clock(monkeypatch)
-    made, book, _ = _registry(recovered_at=-100.0)
+    made, target_table, _ = _registry(recovered_at=-100.0)
     clock.now = 10.0
     made.apply([_row("u-1", b"", 1)])
     made.apply([_row("u-1", None, 2)])
-    assert book.by_id["u-1"].leaving_since == 10.0
+    assert target_table.by_id["u-1"].leaving_since == 10.0
 
 
-def test_a_registration_that_lapsed_in_an_outage_may_come_back(monkeypatch):
+def test_a_registration_that_expired_in_an_outage_may_be_renewed(monkeypatch):
     clock = _Clock(monkeypatch)
-    made, book, _ = _registry(recovered_at=10.0)
+    made, target_table, _ = _registry(recovered_at=10.0)
     clock.now = 10.1
     made.apply([_row("u-1", b"", 1), _row("u-2", b"", 1)])
     made.apply([_row("u-1", None, 2), _row("u-2", None, 2)])
-    assert book.by_id["u-1"].leaving_since is None
+    assert target_table.by_id["u-1"].leaving_since is None
     made.apply([_row("u-1", b"", 3)])
     made.tick(10.0 + registry.REREGISTRATION_GRACE_S + 0.1)
-    assert book.by_id["u-1"].leaving_since is None
-    assert book.by_id["u-2"].leaving_since is not None
+    assert target_table.by_id["u-1"].leaving_since is None
+    assert target_table.by_id["u-2"].leaving_since is not None
 
 
 def _decode_by_value(name, data):
@@ -222,42 +222,46 @@
 
 
 def test_a_malformed_registration_is_dropped_and_the_rest_kept():
-    made, book, meters = _registry(decode=_decode_by_value)
+    made, target_table, meters = _registry(decode=_decode_by_value)
     made.apply([_row("u-1", b"bad", 1), _row("u-2", b"", 1)])
-    assert list(book.by_id) == ["u-2"]
+    assert list(target_table.by_id) == ["u-2"]
     assert meters.refusals.get("registration-malformed") == 1
 
 
-def test_an_upstream_whose_entry_turned_unreadable_is_used_no_longer(
+def test_an_upstream_whose_entry_becomes_malformed_is_removed(
     monkeypatch,
 ):
     clock = _Clock(monkeypatch)
-    made, book, _ = _registry(recovered_at=-100.0, decode=_decode_by_value)
+    made, target_table, _ = _registry(
+        recovered_at=-100.0, decode=_decode_by_value
+    )
     clock.now = 10.0
     made.apply([_row("u-1", b"", 1), _row("u-2", b"", 1)])
     made.apply([_row("u-1", b"bad", 2)])
-    assert book.by_id["u-1"].leaving_since == 10.0
-    assert book.by_id["u-2"].leaving_since is None
+    assert target_table.by_id["u-1"].leaving_since == 10.0
+    assert target_table.by_id["u-2"].leaving_since is None
     made.apply([_row("u-1", b"", 3)])
-    assert book.by_id["u-1"].leaving_since is None
+    assert target_table.by_id["u-1"].leaving_since is None
 
 
-def test_an_entry_of_an_unknown_service_ends_nobody_at_its_address():
-    made, book, meters = _registry(recovered_at=-100, decode=_decode_by_value)
-    book.put(builders.upstream("u-1", address="127.0.0.1:9"), 0.0)
-    book.mark_gone("u-1", 1.0)
+def test_an_entry_of_an_unknown_service_replaces_no_upstream():
+    made, target_table, meters = _registry(
+        recovered_at=-100, decode=_decode_by_value
+    )
+    target_table.put(builders.upstream("u-1", address="127.0.0.1:9"), 0.0)
+    target_table.mark_gone("u-1", 1.0)
     made.apply([_row("x", b"other", 1)])
-    assert "x" not in book.by_id
-    assert not book.by_id["u-1"].is_replaced
+    assert "x" not in target_table.by_id
+    assert not target_table.by_id["u-1"].is_replaced
     assert meters.refusals.get("registration-unknown-service") == 1
 
 
 def test_a_service_that_is_named_later_gets_its_upstreams():
-    made, book, _ = _registry(decode=_decode_by_value)
+    made, target_table, _ = _registry(decode=_decode_by_value)
     made.apply([_row("x", b"other", 1), _row("y", b"other", 1)])
     made.apply([_row("y", None, 2)])
     made.set_services(frozenset([builders.LOOKUPS, "other"]))
-    assert list(book.by_id) == ["x"]
+    assert list(target_table.by_id) == ["x"]
 
 
 class _Clock:
@@ -301,7 +305,7 @@
     return [made._pause_s() for _ in range(200)]
 
 
-def test_vms_with_narrow_links_let_others_lead():
+def test_low_bandwidth_vms_let_others_lead_first():
     others = [100.0] * 15 + [10.0] * 180
     wide, narrow = _pauses(others, 100.0), _pauses(others, 10.0)
     # Word of a new leader takes some 0.1 s.
@@ -310,7 +314,7 @@
     assert max(narrow) < 2.5
 
 
-def test_where_all_links_are_alike_none_waits_for_others():
+def test_vms_with_equal_links_dont_wait_for_others():
     assert max(_pauses([10.0] * 8, 10.0)) <= leadership.SPREAD_S
     assert max(_pauses([0.0] * 8, 0.0)) <= leadership.SPREAD_S
 
@@ -341,28 +345,28 @@
     return two, peers, clock
 
 
-def test_a_leader_that_is_heard_is_left_alone(monkeypatch):
+def test_a_live_leader_is_not_replaced(monkeypatch):
     two, peers, clock = _led_by_vm_1(monkeypatch, told_at=0.0)
     clock.now = 50.0
     row = builders.node_row("vm-1", run="----vm-1")
-    told = builders.report(row, is_leader=True)
-    peers.by_node["vm-1"] = builders.peer(row, told, received_at=49.9)
+    reported = builders.report(row, is_leader=True)
+    peers.by_node["vm-1"] = builders.peer(row, reported, received_at=49.9)
     _lead(two)
     assert not two.is_leader
     # Without the store it is replaced by one that has it.
-    told.store_unresponsive_s = leadership.STORELESS_S + 0.1
+    reported.store_unresponsive_s = leadership.STORELESS_S + 0.1
     _lead(two)
     assert two.is_leader
 
 
-def test_after_an_outage_for_all_the_leader_gets_time_to_come_back(monkeypatch):
+def test_after_an_outage_the_leader_gets_time_to_recover(monkeypatch):
     # Found on trouble-3 of armor-encheres: another VM saw the store's return
     # first and took over; 1,183 slots then waited 8 s more for an owner.
     two, peers, clock = _led_by_vm_1(monkeypatch, told_at=0.0)
     clock.now = 50.0
     row = builders.node_row("vm-1", run="----vm-1")
-    told = builders.report(row, is_leader=True, store_unresponsive_s=8.0)
-    peers.by_node["vm-1"] = builders.peer(row, told, received_at=49.9)
+    reported = builders.report(row, is_leader=True, store_unresponsive_s=8.0)
+    peers.by_node["vm-1"] = builders.peer(row, reported, received_at=49.9)
     two._follower.recovered_at = 49.7
     _lead(two)
     assert not two.is_leader
@@ -371,13 +375,13 @@
     assert two.is_leader
 
 
-def test_the_smaller_part_of_a_cut_does_not_take_over(monkeypatch):
+def test_a_minority_partition_does_not_take_over(monkeypatch):
     two, peers, clock = _led_by_vm_1(monkeypatch, told_at=0.0)
     clock.now = 50.0
     for name in ("vm-1", "vm-3", "vm-4"):
         row = builders.node_row(name, run=name.rjust(8, "-"))
-        told = builders.report(row, is_leader=name == "vm-1")
-        peers.by_node[name] = builders.peer(row, told, received_at=48.0)
+        reported = builders.report(row, is_leader=name == "vm-1")
+        peers.by_node[name] = builders.peer(row, reported, received_at=48.0)
     _lead(two)
     assert not two.is_leader
     clock.now = 48.0 + leadership.LONG_SILENCE_S + 0.1
@@ -385,7 +389,7 @@
     assert two.is_leader
 
 
-def test_a_new_leader_that_was_never_heard_is_given_time_to_speak(monkeypatch):
+def test_a_new_leader_gets_time_for_its_first_report(monkeypatch):
     two, peers, clock = _led_by_vm_1(monkeypatch, told_at=50.0)
     # Of many VMs those of other domains tell nothing here until they lead.
     row = builders.node_row("vm-1", run="----vm-1", domain="far")
@@ -399,9 +403,11 @@
 
 
 def test_reports_of_an_earlier_run_are_dropped():
-    heard = []
+    received = []
     me = builders.node_row("vm-1")
-    peers = gossip.Peers(me, lambda peer, _: heard.append(peer.report.sequence))
+    peers = gossip.Peers(
+        me, lambda peer, _: received.append(peer.report.sequence)
+    )
     row = builders.node_row("vm-2", run="bbbbbbbb")
     peers.apply(row, row.node, 0.0)
     encoder = gossip.msgspec.msgpack.Encoder()
@@ -412,15 +418,15 @@
     peers._receive(b"rh" + encoder.encode(builders.report(row, 1)), "x")
     peers._receive(b"rhnot a report", "x")
     peers._receive(b"?", "x")
-    assert heard == [2]
+    assert received == [2]
 
 
 @pytest.mark.parametrize(
-    ("received_at", "is_retired", "word"),
+    ("received_at", "is_retired", "marker"),
     [(49.9, False, b"rh"), (48.0, False, b"r-"), (49.9, True, b"r-")],
 )
-def test_a_report_says_whether_its_receiver_is_heard(
-    received_at, is_retired, word
+def test_a_report_says_whether_its_receiver_is_live(
+    received_at, is_retired, marker
 ):
     sent = []
     peers = gossip.Peers(builders.node_row("vm-1"), lambda *_: None)
@@ -430,15 +436,17 @@
     row = builders.node_row("vm-2", is_retired=is_retired)
     peer = builders.peer(row, builders.report(row), received_at)
     peers._send_to(peer, b"...", 50.0)
-    assert [data[:2] for data in sent] == [word]
+    assert [data[:2] for data in sent] == [marker]
 
 
-def test_what_queued_up_while_the_process_stood_still_is_not_fresh(monkeypatch):
-    heard = []
+def test_reports_queued_during_a_pause_are_discarded(monkeypatch):
+    received = []
     clock = _Clock(monkeypatch)
     clock.now = 100.0
     me = builders.node_row("vm-1")
-    peers = gossip.Peers(me, lambda peer, _: heard.append(peer.report.sequence))
+    peers = gossip.Peers(
+        me, lambda peer, _: received.append(peer.report.sequence)
+    )
     row = builders.node_row("vm-2")
     peers.apply(row, row.node, 0.0)
     encoder = gossip.msgspec.msgpack.Encoder()
@@ -448,8 +456,8 @@
     peers.detect_stall(107.0)
     clock.now = 107.01
     peers._receive(b"rh" + encoder.encode(builders.report(row, 2)), "x")
-    assert heard == []
+    assert received == []
     clock.now = 107.2
     peers.detect_stall(107.19)
     peers._receive(b"rh" + encoder.encode(builders.report(row, 3)), "x")
-    assert heard == [3]
+    assert received == [3]
--- a/tests/unit/test_gateway_transfers.py
+++ b/tests/unit/test_gateway_transfers.py
@@ -37,10 +37,10 @@
     ),
     strategies.booleans(),
 )
-def test_rows_come_as_they_were(rows, is_whole):
-    told = messages.Rows(rows, 9, is_whole)
+def test_rows_are_transferred_unchanged(rows, is_whole):
+    sent = messages.Rows(rows, 9, is_whole)
     outgoing = transfers.OutgoingRows()
-    assert _fetch(outgoing, outgoing.begin(_SPAN, lambda: told, 0.0)) == told
+    assert _fetch(outgoing, outgoing.begin(_SPAN, lambda: sent, 0.0)) == sent
 
 
 def test_no_piece_is_longer_than_a_narrow_link_carries_in_time():
@@ -51,7 +51,7 @@
     assert len(rest.data) == 5
 
 
-def test_peers_that_know_the_same_share_one_encoding():
+def test_peers_that_lack_the_same_rows_share_one_encoding():
     made = []
 
     def make():
@@ -64,7 +64,7 @@
     assert len({piece.number for piece in pieces}) == 1
 
 
-def test_an_answer_is_fetched_to_its_end_though_newer_rows_came():
+def test_an_answer_stays_available_after_newer_rows():
     outgoing = transfers.OutgoingRows()
     rows = _rows(200_000)
     first = outgoing.begin(_SPAN, lambda: rows, 0.0)
@@ -72,7 +72,7 @@
     assert _fetch(outgoing, first, 0.2) == rows
 
 
-def test_answers_that_nobody_fetches_are_forgotten():
+def test_unused_answers_are_evicted():
     outgoing = transfers.OutgoingRows()
     first = outgoing.begin(_SPAN, lambda: _rows(100_000), 0.0)
     later = transfers.RETENTION_S + 0.1
@@ -81,7 +81,7 @@
         outgoing.piece(first.number, 0, later)
 
 
-def test_kept_answers_are_bounded(monkeypatch):
+def test_retained_answers_are_bounded(monkeypatch):
     monkeypatch.setattr(transfers, "MAX_RETAINED_BYTES", 250_000)
     outgoing = transfers.OutgoingRows()
     numbers = [
--- a/tests/unit/test_gateway_wiring.py
+++ b/tests/unit/test_gateway_wiring.py
@@ -40,12 +40,12 @@
     daemon._leader_role.row = types.SimpleNamespace(
         node=row.node, incarnation=row.incarnation
     )
-    words = {name: reports.TableStatus(1, 0.1) for name in daemon._followers}
+    statuses = {name: reports.TableStatus(1, 0.1) for name in daemon._followers}
     for number in range(10, 10 + _NEAR_VMS):
         peer = builders.node_row(f"vm-{number}", link_mbps=100.0)
-        told = builders.report(peer, tables=words)
+        reported = builders.report(peer, tables=statuses)
         daemon._peers.by_node[peer.node] = builders.peer(
-            peer, told, clocks.monotonic()
+            peer, reported, clocks.monotonic()
         )
     for follower in daemon._followers.values():
         follower.is_loaded = True
@@ -55,7 +55,7 @@
     ("table", "follows_peers"),
     [("operations", True), ("registrations", False), ("state", False)],
 )
-def test_a_leader_follows_itself_only_what_it_plans_by(table, follows_peers):
+def test_a_leader_reads_only_the_tables_that_it_plans_by(table, follows_peers):
     # A leader on a narrow link read each large configuration from the store,
     # several at once when they followed each other closely; its domain's
     # readers hand it over compressed, and only the newest.
@@ -73,7 +73,7 @@
     follower.accept(interfaces.Snapshot([row], version), is_whole=False)
 
 
-def test_an_evacuation_reaches_the_targets_and_is_taken_back():
+def test_an_evacuation_reaches_the_targets_and_is_revoked():
     # VMs took the configuration alone from the operator's table and passed
     # over the rows beside it: an evacuated domain went on getting requests.
     daemon = _daemon()
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -139,7 +139,7 @@
 }
 
 
-def test_a_registration_tells_one_life_from_another():
+def test_a_registration_distinguishes_runs():
     def decode(**changes):
         data = json.dumps(_ENTRY | changes).encode()
         return documents.decode_upstream(model.UpstreamId("u"), data)
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("value", ["%%%", "YQ", "\u00e9"])
-def test_a_row_that_is_no_base64_takes_no_other_row_along(value):
+def test_a_row_that_is_not_base64_affects_no_other_row(value):
     page = {"rows": [], "ver": 7, "has_more": False}
     page["rows"] = [
         {"key": "bad", "value": value, "ver": 3},
@@ -233,12 +233,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "2", "ms", "2m", "s", "-"])
-def test_a_time_needs_its_unit(text):
+def test_a_duration_needs_a_unit(text):
     with pytest.raises(ValueError):
         settings.seconds(text)
 
 
-def test_headers_of_one_connection_and_forged_ones_stay_behind():
+def test_connection_headers_and_forged_ones_are_dropped():
     headers = _headers(
         Host="a",
         Connection="close, X-Private",
@@ -274,7 +274,7 @@
         dialect.UsersDialect().read_request(headers)
 
 
-def test_the_load_of_an_upstream_may_tell_how_long_work_takes():
+def test_the_load_of_an_upstream_may_include_a_slowdown():
     def load(text: str):
         headers = _headers(X_Instance_Load=text)
         return dialect.UsersDialect().judge(200, headers).load
@@ -286,7 +286,7 @@
     assert load("3,1") is None and load("3,1,x,100") is None
 
 
-def test_what_an_answer_says():
+def test_the_verdict_on_an_answer():
     judge = dialect.UsersDialect().judge
     kind = interfaces.AnswerKind
     shed = judge(503, _headers(X_Not_Executed="1", X_Instance_Load="3,12,3"))
@@ -313,11 +313,11 @@
         ("x/evacuate/z-1", None),
     ],
 )
-def test_rows_that_evacuate_a_failure_domain_name_it(key, domain):
+def test_evacuated_domains_are_decoded_from_keys(key, domain):
     assert documents.evacuated_domain(key) == domain
 
 
-def test_what_a_cold_upstream_bears_is_decoded():
+def test_cold_start_limits_are_decoded():
     spec = {**_SERVICE["spec"], "cold_start": "3s", "cold_per_s": 5.9}
     config = documents.decode_config(_config(_entry("services", "s1", **spec)))
     service = config.services_by_name["s1"]
