--- a/tests/domain_player.py
+++ b/tests/domain_player.py
@@ -1,7 +1,7 @@
-"""Plays the reports of one failure domain, without a network or a clock.
+"""Simulates the reports of one failure domain, without a network or a clock.
 
-Each VM is a `gossip.Peers` whose datagrams go to the others at once. VMs can be
-killed, and the way between two of them cut.
+Each VM is a `gossip.Peers` whose datagrams reach the others at once. VMs can be
+stopped, and the path between two of them cut.
 """
 
 from swiftstile import clocks
@@ -17,7 +17,7 @@
 
 
 class _Wire:
-    """Stands in for a VM's socket."""
+    """Replaces a VM's socket."""
 
     def __init__(self, player: "DomainPlayer", number: int):
         self._player = player
@@ -28,7 +28,7 @@
 
 
 class _Vm:
-    """One VM, and what it received."""
+    """One VM, and counts of what it received."""
 
     def __init__(self, player: "DomainPlayer", number: int):
         self.row = builders.node_row(
@@ -53,13 +53,14 @@
 
 
 class DomainPlayer:
-    """A failure domain in which VMs tell each other that they live.
+    """A failure domain whose VMs exchange reports.
 
     Attributes:
         vms: All VMs; the first two are the readers.
-        now: The time, on the steady clock.
-        cut: Pairs of VMs, from and to, between which nothing arrives.
-        leader_holds: What the leader's grants may still hold.
+        now: The time, on the monotonic clock.
+        cut: Pairs of VMs, sender and receiver, between which datagrams are
+            lost.
+        leader_holds: How long the leader's grants may still hold slots.
     """
 
     def __init__(self, count: int, monkeypatch, leader: int | None = None):
@@ -79,7 +80,7 @@
             vm.receive(data, self.now)
 
     def play(self, seconds: float) -> None:
-        """Lets some time go by."""
+        """Simulates a span of time."""
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
             for number, vm in enumerate(self.vms):
@@ -104,10 +105,10 @@
         )
 
     def live_peers_of(self, number: int) -> int:
-        """Returns how many others a VM hears."""
+        """Returns how many peers a VM regards as live."""
         return len(self.vms[number].peers.live_peers(self.now))
 
     def reset_counts(self) -> None:
-        """Counts datagrams anew."""
+        """Resets the counts of received datagrams."""
         for vm in self.vms:
             vm.datagrams = vm.bytes = vm.wakeups = 0
--- a/tests/integration/test_gateway_evacuation.py
+++ b/tests/integration/test_gateway_evacuation.py
@@ -1,9 +1,10 @@
-"""The operator evacuates a failure domain and takes it back.
+"""The operator evacuates a failure domain and revokes the evacuation.
 
-What callers would see: nothing at once. The operator writes that a failure
-domain is to get no more requests, the store acknowledges it, and then its
-upstreams are worked on, lose their caches or stop. VMs that passed the row over
-went on sending a third of all requests there, and owners there kept their keys.
+The operator writes that a failure domain is to get no more requests, the store
+acknowledges it, and the domain's upstreams are then maintained, lose their
+caches or stop. VMs that ignored the row kept sending a third of all requests
+there, and owners in that domain kept their keys. Callers wouldn't notice at
+once.
 """
 
 import asyncio
@@ -13,7 +14,8 @@
 
 _ZONE = "z2"
 _ROW = f"evacuate/{_ZONE}"
-# From the store's answer until nothing may reach an upstream of the domain.
+# Time from the store's answer until no request may reach an upstream of the
+# domain.
 _BOUND_S = 5.0
 _KEYS = range(0, users_standins.KEYS, 1024)
 
@@ -35,7 +37,7 @@
 
 
 async def _all_keys_served(site) -> None:
-    """Waits until each VM served each key; on the move they are refused."""
+    """Waits until each VM served each key; keys that move are refused."""
     for gateway in site.gateways:
         for key in _KEYS:
 
--- a/tests/integration/test_gateway_many.py
+++ b/tests/integration/test_gateway_many.py
@@ -1,4 +1,4 @@
-"""Many gateways: readers of the store, and their loss."""
+"""Many gateways: readers of the store, and failures of readers."""
 
 import asyncio
 import signal
@@ -6,11 +6,12 @@
 from tests.integration import gateways
 from tests.integration import users_standins
 
-# Starting two dozen processes, and one round of calls that all must succeed at
-# each of them: over 30 s beside two hunts and another such test, 12 s alone.
+# Time for starting two dozen processes, and one round of calls that must all
+# succeed at each of them: over 30 s beside two simulations and another such
+# test, 12 s alone.
 _START_S = 120
-# Eight in each of three domains: more than follow the store themselves, and
-# more in other domains than are told each time.
+# Eight in each of three domains: more than read the store independently, and
+# more in other domains than form a full mesh.
 _COUNT = 24
 _NEW_ROUTE = users_standins.plain_route("/read/new/", "safe")
 
@@ -21,7 +22,7 @@
 
 def test_a_configuration_reaches_all_though_readers_are_killed(tmp_path):
     async def scenario(site):
-        # With the same bandwidth, readers are those with the least names.
+        # With equal bandwidth the readers are the VMs whose names sort first.
         zone = [g for g in site.gateways if g.zone == gateways.ZONES[0]]
         lost = sorted(zone, key=lambda g: f"vm-{g.number}")[:2]
         others = [g for g in site.gateways if g not in lost]
@@ -30,7 +31,7 @@
         site.store.put("op", "config", users_standins.config(5, _NEW_ROUTE))
 
         def know() -> bool:
-            # The first one is the configuration that they started with.
+            # The first event is the configuration that they started with.
             return all(
                 _events(gateway, "configuration in force") == 2
                 for gateway in others
@@ -39,7 +40,7 @@
         async with asyncio.timeout(6):
             while not know():
                 await asyncio.sleep(0.05)
-        # Most took it from a reader and not from the store.
+        # Most fetched it from a reader and not from the store.
         relayed = sum(
             _events(gateway, "rows from a peer") > 0 for gateway in others
         )
--- a/tests/integration/test_gateway_site.py
+++ b/tests/integration/test_gateway_site.py
@@ -1,4 +1,4 @@
-"""Whole gateways as processes, between callers, servers and the store."""
+"""Gateway processes between callers, servers and the store."""
 
 import asyncio
 import json
@@ -44,7 +44,7 @@
             async with client.get(f"http://{gateway.metrics}/metrics") as got:
                 return await got.text()
         except aiohttp.ClientConnectorError:
-            # They are served some seconds after the start.
+            # Metrics are served some seconds after the start.
             return ""
 
     async def scenario(site):
--- a/tests/integration/test_gateway_stale.py
+++ b/tests/integration/test_gateway_stale.py
@@ -1,16 +1,17 @@
-"""A gateway that may lack news says so, instead of "there is no such route".
-
-What users saw: routes that the operator had added seconds before were answered
-404 by some VMs and served by others. 404 is final: callers didn't try again.
-
-Order of events: the operator adds routes; the store turns some VMs away, and to
-others the large row doesn't get through; requests on the new routes come to
-them for up to 9.5 s.
-Cause: a VM looked for a route in the configuration that it had and asked
-nowhere whether that could still be the newest, though its calls to the store
-failed, or peers had told it of a newer row.
-Evidence: lines `no route in version 4` on 26 VMs while versions 6 to 14 were
-confirmed. Here, without the mend, 3 of 3 gateways answer 404.
+"""A gateway that may lack new rows doesn't answer that a route is missing.
+
+Users got 404 from some VMs, while others served the same requests, for routes
+that the operator had added seconds before. 404 is final, so callers didn't
+retry.
+
+The operator adds routes; the store refuses some VMs, and to others the large
+row doesn't get through; requests for the new routes reach these VMs for up to
+9.5 s. A VM looked up routes in its configuration without checking whether that
+could still be the newest, though its calls to the store failed or peers had
+published a newer row.
+
+26 VMs logged `no route in version 4` while versions 6 to 14 were confirmed. In
+this test all 3 gateways answered 404 before the fix.
 """
 
 import asyncio
@@ -36,7 +37,7 @@
 
     for gateway in site.gateways:
         site.store.mode_by_door[gateway.number] = "busy"
-    # A change ends the calls that wait for one.
+    # A change ends the long polls in progress.
     site.store.put("op", "other", {})
     await site.until(has_failed, 10)
 
@@ -61,25 +62,24 @@
         await _start_store_outage(site)
         site.store.put("op", "config", users_standins.config(5, _NEW_ROUTE))
         assert await _statuses(site, _PATH) == [503] * 3
-        # What was known before is served.
+        # Routes known before are served.
         assert await _statuses(site, "/read/x") == [200] * 3
         site.store.mode_by_door.clear()
 
         await _until_all(site, _PATH, 200)
-        # Rows may come from a peer before the store answers again.
+        # Rows may arrive from a peer before the store answers again.
         await _until_all(site, "/nowhere/x", 404)
 
     asyncio.run(gateways.Site(tmp_path, 3).play(scenario))
 
 
 def test_with_an_invalid_configuration_no_404_is_final(tmp_path):
-    """A newer configuration that isn't understood may have any route.
+    """A newer configuration that can't be decoded may have any route.
 
-    What callers would see: 404 for its routes, for good. Cause: the follower
-    had the newest row, so that the configuration counted as current though the
-    one in force was older. Evidence: this test without the mend; the platform
-    says that its store accepts only valid configurations, and no play has shown
-    another.
+    Callers would get a final 404 for its routes: the follower had the newest
+    row, so the configuration counted as current though the one in force was
+    older. This test failed before the fix. The platform states that its store
+    accepts only valid configurations, and it wasn't observed in a simulation.
     """
 
     async def scenario(site):
@@ -95,20 +95,20 @@
 
 
 def test_a_call_without_an_answer_keeps_no_vm_behind(tmp_path):
-    """A peer of the domain knows a route, and this VM's call says nothing.
+    """A peer of the domain knows a route that this VM's call doesn't return.
 
-    What callers would see: 404 for 4.5 s. Order of events: a VM's call that
-    waits for changes falls silent in a domain of few VMs; the operator adds a
-    route; the domain's others have it. Cause: each VM of such a domain follows
-    the store itself and told the others nothing of what it knew, and a call's
-    silence counted as "nothing is new". Evidence: this test without the mend.
+    Callers would get 404 for 4.5 s: a VM's long poll stops responding in a
+    domain of few VMs, the operator adds a route, and the domain's other VMs
+    have it. Each VM of such a domain reads the store itself and used to publish
+    nothing to the others, and a call without an answer counted as "no change".
+    This test failed before the fix.
     """
 
     async def scenario(site):
         # Two of the four are in one domain.
         stalled, peer = site.gateways[0], site.gateways[3]
         assert stalled.zone == peer.zone
-        # A change ends the calls that wait for one; those after it wait long.
+        # A change ends the long polls in progress; the next ones last long.
         site.store.put("op", "other", {})
         await asyncio.sleep(0.3)
         site.store.mode_by_door[stalled.number] = "deaf"
@@ -125,7 +125,7 @@
             return answer.status == 200
 
         await site.until(is_known, 1)
-        # A report later.
+        # Time for one report.
         await asyncio.sleep(0.1)
         await site.until(has_come, 2)
         assert asyncio.get_running_loop().time() - written_at < 2
--- a/tests/integration/test_narrow_links.py
+++ b/tests/integration/test_narrow_links.py
@@ -1,19 +1,17 @@
-"""News reaches VMs whose links have little bandwidth.
-
-What users saw: minutes of the day in which proper requests were answered 404
-by some VMs, though the operator had added their route 10 s before and all other
-VMs served it.
-
-Order of events: the operator's configuration grew to 340 kB; the store refused
-some VMs; those on links of 5 Mbit/s asked the store and peers again and again
-and stayed on the configuration that they had.
-
-Cause: time limits for whole answers, of the store and of peers. A call to the
-store that followed a failure had 0.7 s, a question to a peer 0.5 s; the answers
-need 0.72 and 0.54 s on such a link that carries nothing else. Evidence: small
-tables came from peers 608 times and this one never; VMs of domains whose
-readers had the newest version were late as well; their links were full, and
-calls ended with most of the answer received.
+"""New rows reach VMs whose links have little bandwidth.
+
+Users saw minutes of the day in which some VMs answered proper requests with
+404, though the operator had added their route 10 s before and all other VMs
+served it. The operator's configuration had grown to 340 kB and the store
+refused some VMs; those on links of 5 Mbit/s retried the store and peers and
+kept their old configuration.
+
+The cause were timeouts for whole answers, of the store and of peers: 0.7 s for
+a call to the store after a failure and 0.5 s for a request to a peer, while the
+answers take 0.72 and 0.54 s on such a link without other traffic. Small tables
+were fetched from peers 608 times and this one never; VMs of domains whose
+readers had the newest version were late as well; their links were saturated,
+and calls ended with most of the answer received.
 """
 
 import asyncio
@@ -43,18 +41,18 @@
 
 _TABLE = "op"
 _ROUTES = 3000
-# A configuration has to be in force everywhere within this.
+# A configuration has to be in force on all VMs within this time.
 _IN_FORCE_S = 2.5
 
 
 def _big_row(size: int = 420_000) -> bytes:
-    """Returns a value that can't be made much shorter."""
+    """Returns a value that can't be compressed much."""
     return base64.b64encode(os.urandom(size * 3 // 4))
 
 
 @contextlib.asynccontextmanager
 async def _store_table():
-    """Yields a store and a table of it, read through a narrow link."""
+    """Yields a store, one of its tables, and the narrow link between them."""
     store = users_standins.Store()
     door = await store.open_door(0)
     async with narrow_link.NarrowLink(door) as link:
@@ -102,13 +100,13 @@
 
 
 def test_the_leader_can_probe_the_store_during_a_large_transfer():
-    """The question whether the store answers brings nothing else.
+    """The probe whether the store answers transfers no rows.
 
-    What callers would see: slots that nobody serves for longer, as their move
-    waits for the store. Order of events: much of the leader's table changes, on
-    a narrow link; its moves need an answer of the last 50 ms. Cause: the leader
-    asked for what had changed, and gave the whole answer 0.5 s. Evidence: this
-    test without the mend; no play has shown it.
+    A move of slots needs an answer of the store from the last 50 ms. The leader
+    used to ask for changes and to limit the whole answer to 0.5 s, so a large
+    change of its table on a narrow link delayed moves, and slots had no owner
+    for longer. This test failed before the fix; it wasn't observed in a
+    simulation.
     """
 
     async def scenario():
@@ -174,7 +172,7 @@
 
 
 def _publishing_peer(address: str, version: int) -> reports.Peer:
-    """Returns a peer at an address that tells of a version."""
+    """Returns a peer at an address that publishes a version."""
     row = builders.node_row("vm-10", address=address)
     statuses = {_TABLE: reports.TableStatus(version, 0.1)}
     return builders.peer(row, builders.report(row, tables=statuses), 100.0)
@@ -196,7 +194,7 @@
             async with asyncio.timeout(4):
                 await _until_known(dependent, 5)
             assert dependent.rows["config"].value == value
-            # Nothing was sent in vain.
+            # No data was sent twice.
             assert link.passed < 1.1 * len(value)
 
     asyncio.run(scenario())
@@ -229,7 +227,7 @@
 
     for gateway in site.gateways:
         site.store.mode_by_door[gateway.number] = "busy"
-    # A change ends the calls that wait for one.
+    # A change ends the long polls in progress.
     site.store.put("op", "other", {})
     await site.until(has_failed, 10)
 
--- a/tests/integration/test_shared_links.py
+++ b/tests/integration/test_shared_links.py
@@ -41,10 +41,10 @@
 
 
 class _LosesOne(links.ControlHandler):
-    """Takes 60 ms for each answer, and never answers one of the questions.
+    """Delays each answer by 60 ms, and never answers one of the requests.
 
     Attributes:
-        asked: Questions so far.
+        asked: Number of requests so far.
     """
 
     def __init__(self, server: relay.RowRelay, lost: int):
@@ -81,7 +81,7 @@
             row, builders.report(row, tables=statuses), 100.0
         )
         try:
-            # Each is asked for once.
+            # Requests each table once.
             client.on_report(publisher, 100.0)
             async with asyncio.timeout(8):
                 while client._fetches:
@@ -97,9 +97,9 @@
 
 
 def test_a_reader_on_a_narrow_link_serves_the_vms_of_its_domain():
-    # 30 VMs with wide links take 30 kB (1,470 routes, compressed) from one with
-    # 5 Mbit/s: 1.44 s for all of it, at best. So it is where the store refuses
-    # the readers of a domain and serves others.
+    # 30 VMs with wide links fetch 30 kB (1,470 routes, compressed) from one
+    # with 5 Mbit/s, which takes 1.44 s at best. This happens where the store
+    # refuses the readers of a domain and serves other VMs.
     async def scenario():
         meters = metrics.Meters()
         reader = _follower("operations", 9, 30_000)
@@ -133,7 +133,7 @@
                         if dependent.version == 9:
                             done_at.setdefault(number, loop.time() - began)
                             continue
-                        # A report each 0.25 s tells of it again.
+                        # A report every 0.25 s publishes the version again.
                         client.on_report(publisher, 100.0)
                     await asyncio.sleep(0.05)
             finally:
@@ -143,7 +143,7 @@
                 await asyncio.wait([serving])
             late = sorted(done_at.values())[-1:] or [None]
             assert len(done_at) == len(vms), f"{len(done_at)} of {len(vms)}"
-            # Twice what it takes at best.
+            # Twice the minimum.
             assert late[0] < 2.9
 
     asyncio.run(scenario())
--- a/tests/row_parts.py
+++ b/tests/row_parts.py
@@ -1,4 +1,4 @@
-"""Parts of tests about rows that VMs take from each other."""
+"""Helpers for tests of rows that VMs fetch from each other."""
 
 from swiftstile import errors
 from swiftstile.gateway import gossip
@@ -10,7 +10,7 @@
 
 
 def near_peers(count: int, me: str = "vm-50", **reported) -> gossip.Peers:
-    """Returns peers of one domain, of which the first two tell of a table."""
+    """Returns peers of one domain, the first two of which publish a table."""
     peers = gossip.Peers(builders.node_row(me), lambda *_: None)
     statuses = {TABLE: reports.TableStatus(7, 0.2)}
     for number in range(10, 10 + count):
@@ -22,7 +22,7 @@
 
 
 class ActiveReaders:
-    """Readers that are always there."""
+    """Readers that always publish a fresh status."""
 
     def must_read_store(self, table, watch_s, now):
         return False
@@ -32,11 +32,11 @@
 
 
 class LosingLink:
-    """A link to a peer, of whose answers some are lost.
+    """A link to a peer that loses some of its answers.
 
     Attributes:
-        lost: Questions whose answer is still to be lost, by number.
-        asked: All questions.
+        lost: Numbers of the requests whose answers are lost.
+        asked: All requests.
     """
 
     def __init__(self, server: relay.RowRelay, *lost: int):
--- a/tests/unit/test_config_decoder.py
+++ b/tests/unit/test_config_decoder.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration that are decoded one after the other."""
+"""Decoding consecutive versions of the configuration."""
 
 import json
 
@@ -10,7 +10,7 @@
 from swiftstile import errors
 from swiftstile.gateway import model
 
-# As many as on a large deployment.
+# As many as in a large deployment.
 ROUTES = 1470
 _HOST = "a.example"
 
@@ -40,7 +40,7 @@
 
 
 def _decoded_anew(before: model.Config, after: model.Config) -> list[str]:
-    """Returns the names of routes that aren't the very ones of before."""
+    """Returns the names of routes that aren't the same objects as before."""
     known = set(map(id, _routes_of(before)))
     return [r.name for r in _routes_of(after) if id(r) not in known]
 
@@ -73,7 +73,7 @@
 
 
 def _outcome(decode, data: bytes):
-    """Returns the configuration, or what its error says."""
+    """Returns the configuration, or the details of the error."""
     try:
         return decode(data)
     except errors.BundleError as error:
@@ -89,7 +89,7 @@
 
 
 def test_only_changed_resources_are_decoded_again():
-    """Routes decoded when one of 1470 differs: 1470 without memory, 1 with."""
+    """Decodes one of 1470 routes when one differs; without the cache, all."""
     decoder = documents.ConfigDecoder()
     resources = [_SERVICE, *(_route(f"r{n}") for n in range(ROUTES))]
     before = decoder.decode(_version(1, *resources))
--- a/tests/unit/test_gateway_dissemination.py
+++ b/tests/unit/test_gateway_dissemination.py
@@ -1,4 +1,4 @@
-"""Whom VMs tell where they are many, and who renews what."""
+"""Recipients of reports in large deployments, and who renews which grants."""
 
 import pytest
 
@@ -24,8 +24,8 @@
 
     Args:
         me: Number of the VM.
-        count: All VMs.
-        receives: Numbers of the VMs that it receives.
+        count: Number of all VMs.
+        receives: Numbers of the VMs whose reports it receives.
     """
     peers = gossip.Peers(_row(me), lambda *_: None)
     for number in range(count):
@@ -83,7 +83,7 @@
     reader.report.far_live = {"z1": 26, "z2": 20}
     assert peers.dissemination.live_count(_NOW) == 72
     assert peers.dissemination.live_domains(_NOW) == {"z1", "z2"}
-    # Word of a reader that fell silent doesn't count.
+    # The report of a reader that timed out doesn't count.
     reader.received_at = _NOW - 2.0
     assert peers.dissemination.live_count(_NOW) == 25
 
@@ -97,7 +97,7 @@
 
 
 class _Site:
-    """The views of all VMs on who renews the grants of one upstream."""
+    """All VMs' views of who renews the grants of one upstream."""
 
     def __init__(self, count: int, lost_domain: str = ""):
         self.views = []
@@ -132,7 +132,7 @@
         return found
 
     def make_unreachable(self) -> None:
-        """No VM of its domain reaches the upstream."""
+        """No VM of its domain reaches the upstream any more."""
         for view in self.views:
             view.unreachable.add("u-1")
             for peer in view._peers.by_node.values():
@@ -140,14 +140,15 @@
 
 
 def test_one_vm_of_its_domain_renews_an_upstreams_grants():
-    # Found on the grown hbrt-gw: VMs that don't hear those of other domains
-    # took their upstreams over, so that each was renewed three times.
+    # Observed on the enlarged hbrt-gw site: VMs that receive no reports from
+    # those of other domains took over their upstreams, so each upstream was
+    # renewed three times.
     assert _Site(78).renewers() == ["z1"]
 
 
 def test_an_upstream_that_no_vm_reaches_is_retried_by_one_vm():
-    # Found there too: 25 VMs each tried 25 crashed upstreams again and again,
-    # 65,000 connections in half a minute.
+    # Observed on the same site: 25 VMs each kept retrying 25 crashed upstreams,
+    # with 65,000 connections in half a minute.
     site = _Site(78)
     site.make_unreachable()
     assert site.renewers() == ["z1"]
@@ -165,8 +166,8 @@
 
 
 def test_only_unexpired_holds_of_leaving_slots_are_reported():
-    # Found on trouble-3 of hbrt-gw-grown: 77 VMs listed all 99 owners, nearly
-    # all with nothing, to the leader 20 times a second.
+    # Observed on day trouble-3 of the enlarged hbrt-gw site: 77 VMs listed all
+    # 99 owners, nearly all without a hold, to the leader 20 times a second.
     peers = _peers(0, 9, range(9))
     owners = {index: f"u-{index % 4}" for index in range(16)}
     made = keymap.KeyMap.empty(16).give({}, owners).mark_leaving(range(8))
@@ -177,7 +178,7 @@
     hold_table = view.holds(builders.LOOKUPS, 16)
     hold_table.note_sent(range(1, 2))
     hold_table.note_answered(range(1, 2), _NOW, renewals.HOLD_S)
-    # A slot that stays doesn't matter.
+    # Holds of slots that stay aren't reported.
     hold_table.note_sent(range(10, 11))
     hold_table.note_answered(range(10, 11), _NOW, renewals.HOLD_S)
     reported = view.leaving_holds(_NOW)[builders.LOOKUPS]
--- a/tests/unit/test_gateway_domain_reports.py
+++ b/tests/unit/test_gateway_domain_reports.py
@@ -1,4 +1,4 @@
-"""Reports within a failure domain of many VMs go through its readers."""
+"""In a large failure domain reports are batched by its readers."""
 
 import msgspec
 import pytest
@@ -25,7 +25,8 @@
     player.reset_counts()
     player.play(2.0)
     ordinary = player.vms[count - 1]
-    # Told by all others it would be woken at each tick, at 20 a second.
+    # With reports from all others it would be woken at each tick, 20 times a
+    # second.
     assert ordinary.datagrams / 2.0 <= 50
     assert player.live_peers_of(count - 1) == count - 1
 
@@ -66,7 +67,7 @@
     player.cut |= {(reader, 39) for reader in range(2)}
     player.play(3.0)
     assert player.live_peers_of(38) == 39
-    # The readers told it of the others; these tell readers alone.
+    # It knew the others by the readers' batches; they report to readers only.
     assert player.live_peers_of(39) < 39
 
 
--- a/tests/unit/test_gateway_outage.py
+++ b/tests/unit/test_gateway_outage.py
@@ -1,4 +1,4 @@
-"""While the store is away one follower of a VM asks for it, not all of them."""
+"""During an outage one follower of a VM polls the store, not all of them."""
 
 import asyncio
 
@@ -41,7 +41,7 @@
             table.refuse = 0
 
     def calls(self) -> list[int]:
-        """Returns calls that were refused since the loss, by table."""
+        """Returns the calls that were refused during the outage, by table."""
         return [_MANY - table.refuse for table in self.table_by_name.values()]
 
     def stop(self) -> None:
@@ -57,7 +57,7 @@
         await followers.until(lambda f: f.failing_s(_now()) > 3.5, 6.0)
         first, *others = sorted(followers.calls(), reverse=True)
         followers.end_outage()
-        # The longest pause of the first, and time for a call.
+        # The maximum backoff of the primary, and time for a call.
         await followers.until(lambda f: f.failing_since is None, 0.7)
         followers.stop()
         assert first >= 9
--- a/tests/unit/test_gateway_parallel.py
+++ b/tests/unit/test_gateway_parallel.py
@@ -1,4 +1,4 @@
-"""Working through a list some at a time."""
+"""Processing a list with limited concurrency."""
 
 import asyncio
 
--- a/tests/unit/test_gateway_readers.py
+++ b/tests/unit/test_gateway_readers.py
@@ -1,4 +1,4 @@
-"""Which VMs follow the store, and the rows that others take from them."""
+"""Which VMs read the store, and how others fetch rows from them."""
 
 import asyncio
 import os
@@ -59,7 +59,8 @@
     ("now", "is_fresh"), [(100.9, True), (101.19, False), (102.5, False)]
 )
 def test_the_status_of_a_reader_without_the_store_expires(now, is_fresh):
-    # Its last answer was 0.2 s old when it told; peers are heard for 1 s.
+    # The reader's last answer was 0.2 s old when it reported; peers are live
+    # for 1 s after a report.
     made = _readers(row_parts.near_peers(20))
     assert made.must_read_store(_TABLE, 1.0, now) is not is_fresh
 
@@ -88,7 +89,7 @@
     changed = follower.changes_since(3)
     assert [(c.key, c.value) for c in changed] == [("a", b"2"), ("b", None)]
     assert follower.changes_since(4) == [interfaces.Change("b", None, 5)]
-    # What was removed before the first read isn't known.
+    # Removals before the first read aren't known.
     assert follower.changes_since(1) is None
 
 
@@ -116,7 +117,7 @@
             [],
             metrics.Meters(),
         )
-        # The VM that is dependent.
+        # The dependent VM.
         seen = []
         dependent = _follower(seen.extend, row_parts.ActiveReaders())
         dependent.accept(_snapshot(2, ("x", b"1", 2)), True)
@@ -141,7 +142,7 @@
         peer = peers.by_node["vm-10"]
         peer.report.tables[_TABLE] = reports.TableStatus(8, 0.1)
         client.on_report(peer, 100.1)
-        # A second word before the answer asks nothing more.
+        # A second report before the answer causes no further request.
         client.on_report(peer, 100.1)
         async with asyncio.timeout(2):
             while dependent.version < 9:
@@ -156,8 +157,9 @@
 
 
 def test_rows_that_a_peer_publishes_and_does_not_deliver_are_read_directly():
-    # Suspected on the grown haddad-gw: VMs went on with a configuration that
-    # was 5 s old, though reports of their readers came.
+    # Guards against VMs that keep an old configuration though reports of their
+    # readers arrive. Suspected on the enlarged haddad-gw site, where some were
+    # 5 s behind.
     async def scenario():
         dependent = _follower(lambda _: None, row_parts.ActiveReaders())
         dependent.accept(_snapshot(2, ("x", b"1", 2)), True)
@@ -166,7 +168,7 @@
         class _TimingOutLink:
 
             async def call(self, message, expected, timeout_s):
-                raise errors.PeerTimeoutError("silent", step="call")
+                raise errors.PeerTimeoutError("no answer", step="call")
 
             def to(self, address):
                 return self
@@ -193,10 +195,10 @@
 
 
 def test_rows_dont_take_a_readers_age_while_some_are_missing():
-    # Users saw routes denied by VMs whose configuration was seconds old. A peer
-    # told such a VM of a newer row, the row didn't come, and the age of its
-    # rows was told as that of the peer's word. Evidence: a follower on its own
-    # that was told of version 8 and had 2 claimed an age of 4.4 s at any time.
+    # Guards against 404 from VMs whose configuration is seconds old. A peer
+    # published a newer row, the row didn't arrive, and the VM took the age of
+    # the peer's status for that of its own rows. A follower alone that knew of
+    # version 8 and had version 2 showed an age of 4.4 s at any time.
     dependent = _follower(lambda _: None, row_parts.ActiveReaders())
     dependent.accept(_snapshot(2, ("x", b"1", 2)), True)
     dependent._record_peer_coverage(100.0)
@@ -233,8 +235,8 @@
 
 
 def test_two_of_four_vms_read_the_gateways_own_table():
-    # Found on armor-encheres: calls to the store cost 0.032 of a calm day's
-    # worth, half of them for the key maps, which 12 VMs followed each.
+    # Observed on armor-encheres: calls to the store cost 0.032 of the worth of
+    # a quiet day, half of them for the key maps, which each of 12 VMs followed.
     def follows(me: str) -> bool:
         others = [f"vm-{i}" for i in range(1, 5) if f"vm-{i}" != me]
         peers = gossip.Peers(builders.node_row(me), lambda *_: None)
@@ -265,7 +267,7 @@
 
 
 def _ask_losing(*lost: int):
-    """Returns a link and the table of a VM that was dependent over it."""
+    """Returns the link and the table of a VM that fetches over a lossy link."""
 
     async def scenario():
         server = relay.RowRelay(
--- a/tests/unit/test_gateway_report_sizes.py
+++ b/tests/unit/test_gateway_report_sizes.py
@@ -1,13 +1,12 @@
-"""Reports of large deployments reach the other VMs, whatever they hold.
-
-What users would see: VMs that count as silent while they serve: their leads,
-renewals and counts lapse, and keys lie still.
-Order of events: a VM has requests at many upstreams, or renews for many whose
-slots are leaving; its report grows beyond what peers read of a datagram.
-Cause: peers cut datagrams off at 8,192 bytes and couldn't decode the rest; the
-VM that sent it noticed nothing.
-Evidence: these tests without the mend. No play has shown it: the largest
-deployment played has 89 VMs and 464 upstreams.
+"""Reports of large deployments stay decodable, whatever they contain.
+
+A VM with requests at many upstreams, or with renewals for many whose slots are
+leaving, makes a report larger than the 8,192 bytes that peers used to read of a
+datagram. They couldn't decode the truncated report, and the sender didn't
+notice: it counted as failed while it served, its leadership, renewals and
+counts expired, and keys had no owner. These tests failed before the fix. It
+wasn't observed in a simulation; the largest deployment simulated has 89 VMs and
+464 upstreams.
 """
 
 import pytest
@@ -21,16 +20,16 @@
 from tests import gateway_builders as builders
 
 _VMS, _UPSTREAMS = 89, 464
-# As long as a name with the service, the place and the run of the upstream.
+# As long as names made of the service, the location and the run of an upstream.
 _NAMES = [f"benchmark-svc-amman-{n:03d}-8f3a1c" for n in range(_UPSTREAMS)]
 _HOLD = reports.Hold(4.5, 0.5)
 
 
 class _Network:
-    """Hands datagrams to one VM.
+    """Delivers datagrams to one VM.
 
     Attributes:
-        sizes: Of all that were sent.
+        sizes: Sizes of all datagrams that were sent.
     """
 
     def __init__(self, to: gossip.Peers):
@@ -44,7 +43,7 @@
 
 
 class _Vms:
-    """A VM that reports, and one of the others that hears it."""
+    """A VM that reports, and one of its peers."""
 
     def __init__(self, monkeypatch):
         monkeypatch.setattr(clocks, "monotonic", lambda: 100.0)
@@ -65,7 +64,7 @@
         self.network = self.sender._transport = _Network(self.receiver)
 
     def report(self, **changes) -> list[reports.Report]:
-        """Sends a report to all; returns what one received."""
+        """Sends a report to all peers; returns what one of them received."""
         sent = builders.report(
             self.sender.me, self.sender.next_sequence(), **changes
         )
--- a/tests/unit/test_gateway_rows_dying.py
+++ b/tests/unit/test_gateway_rows_dying.py
@@ -1,12 +1,10 @@
-"""A peer that dies in the middle of an answer holds nothing up.
-
-What callers would see: a VM that the store refuses stays on its rows for 3.5 s
-more, though each of its peers has newer ones.
-Order of events: the store refuses a VM; a peer hands over the first piece of a
-table and dies; the next piece is asked for three times, each time with twice
-the time.
-Cause: one question at a time for each table, however long it stands still.
-Evidence: these tests without the mend; no play has shown it.
+"""A peer that fails in the middle of an answer doesn't delay rows.
+
+While the store refuses a VM, a peer delivers the first piece of a table and
+fails; the next piece is requested three times, with a doubled timeout each. As
+there was only one fetch for each table, the VM kept its old rows for 3.5 s more
+though each of its other peers had newer ones. These tests failed before the
+fix; it wasn't observed in a simulation.
 """
 
 import asyncio
@@ -27,11 +25,11 @@
 
 
 class _Peers:
-    """Links to peers, of which some die after their first piece.
+    """Links to peers, some of which fail after their first piece.
 
     Attributes:
-        asked: Address and kind of each question.
-        most: Most questions that were under way at the same time.
+        asked: Address and type of each request.
+        max_concurrent: Maximum number of requests in progress at the same time.
     """
 
     def __init__(self, peers, server: relay.RowRelay, failing_count: int):
@@ -53,7 +51,7 @@
         try:
             if address in self._failed:
                 await asyncio.sleep(timeout_s)
-                raise errors.PeerTimeoutError("dead", step="call")
+                raise errors.PeerTimeoutError("no answer", step="call")
             if len(self._failed) < self._failing_count:
                 self._fail(address)
             return await self._server.handle(message)
@@ -64,7 +62,7 @@
         self._failed.append(address)
         for peer in self._peers.by_node.values():
             if peer.row.address == address:
-                # Nothing is heard of it after a while.
+                # Its reports stop.
                 peer.received_at = 0.0
 
 
@@ -93,7 +91,7 @@
 
 
 def _refused(failing_count: int):
-    """Returns a relay whose table the store refuses, its table and links."""
+    """Returns a relay that the store refuses, its table and its links."""
     peers = row_parts.near_peers(10)
     for number, peer in enumerate(peers.by_node.values()):
         peer.row.address = f"127.0.0.1:{7000 + number}"
@@ -127,9 +125,9 @@
         await _until(lambda: follower.version == 7)
         (failed, _), *_ = links.asked
         pieces = links.asked.count((failed, messages.AskPiece))
-        # The dead peer hasn't been given up yet.
+        # The failed peer hasn't been given up yet.
         assert pieces <= relay.PIECE_ATTEMPTS - 1
-        # Its question ends with the answer of the other.
+        # Its fetch ends with the answer of the other peer.
         follower.failing_since = None
         await _until(lambda: not asking._fetches)
         assert links.asked.count((failed, messages.AskPiece)) == pieces
--- a/tests/unit/test_gateway_rows_guards.py
+++ b/tests/unit/test_gateway_rows_guards.py
@@ -1,4 +1,4 @@
-"""Rows that peers ask for: what they get, and what doesn't hold them up."""
+"""Which rows peers get, and that one fetch doesn't delay another."""
 
 import asyncio
 import json
@@ -63,18 +63,18 @@
 
 
 def test_a_retained_answer_is_not_served_after_a_whole_read():
-    # A row came and went while the reader had lost its table: it read all rows
-    # again, and found none of them changed. A VM that saw only the row's coming
-    # asks it, as the store refuses that VM. The answer kept from before the
-    # read is older than what the VM knows, so it went on with a row that is
-    # gone.
+    # A row was written and removed while the reader's calls failed. The reader
+    # then read all rows again and found no change. A VM that the store refuses,
+    # and that has seen only the written row, asks this reader. The answer
+    # retained from before the read is older than what the VM knows, so it kept
+    # the removed row.
     reader = _follower("operations", 3, ("a", b"1", 2))
     server = _relay([reader])
     assert _ask(server, 1).version == 3
     reader.accept(
         interfaces.Snapshot([interfaces.Change("a", b"1", 2)], 9), True
     )
-    peer = _follower("operations", 6, ("a", b"1", 2), ("gone", b"1", 5))
+    peer = _follower("operations", 6, ("a", b"1", 2), ("removed", b"1", 5))
     answer = _ask(server, peer.version)
     assert answer.version == 9
     changes = [
@@ -108,10 +108,10 @@
 
 
 class _Link:
-    """A link to a peer that never answers about one table.
+    """A link to a peer that never answers for one table.
 
     Attributes:
-        asked: Names of the tables that it was asked for.
+        asked: Names of the tables of all requests.
     """
 
     def __init__(self, unanswered: str):
@@ -150,10 +150,11 @@
 
 
 def test_a_peer_gets_all_rows_after_one_that_needed_none():
-    # All upstreams were gone for the VMs of a domain: a peer that had lost the
-    # store answered one that knew as much as itself with no rows, and the next,
-    # which needed all, with the same. Seen as `rows from a peer` with 0 bytes
-    # and `upstream gone` for all of them 2.2 s later.
+    # Guards against a domain whose VMs all lose their upstreams. A peer without
+    # the store answered one VM that knew as much as itself with no rows, and
+    # sent the same answer to the next VM, which needed all rows. Logs showed
+    # `rows from a peer` with 0 bytes, and `upstream gone` for all upstreams 2.2
+    # s later.
     server = _relay([_follower("operations", 9, ("a", b"1", 2))])
     nothing = _ask(server, 9)
     assert (nothing.rows, nothing.is_whole) == ([], False)
--- a/tests/unit/test_gateway_rows_racing.py
+++ b/tests/unit/test_gateway_rows_racing.py
@@ -1,7 +1,7 @@
-"""Answers of different versions cross each other, and versions come in bursts.
+"""Answers of different versions that overlap, and bursts of versions.
 
-What users may see: an upstream that is gone is sent requests again, or a
-configuration comes late. Found by reading the code with its tests, not by a
+Users might see requests sent to an upstream that has left, or a configuration
+that comes into force late. Found by reviewing the code and its tests, not by a
 failure in service.
 """
 
@@ -35,7 +35,7 @@
 
 
 class _SwitchableReaders:
-    """Readers that are there, or not."""
+    """Readers that can be switched on and off."""
 
     are_active = True
 
@@ -59,7 +59,7 @@
 
 
 class _SlowTable(builders.MemoryTable):
-    """A table whose next answer for changes is made before it is let go."""
+    """A table that computes its next answer before it is allowed to send it."""
 
     def __init__(self, answer):
         super().__init__()
@@ -76,45 +76,46 @@
 
 def test_a_late_answer_of_the_store_restores_no_removed_row():
     async def scenario():
-        # Made by the store at version 12, on its way over a slow link.
-        table = _SlowTable(_snapshot(12, ("gone", b"1", 12)))
+        # Computed by the store at version 12, and delayed by a slow link.
+        table = _SlowTable(_snapshot(12, ("removed", b"1", 12)))
         chosen = _SwitchableReaders()
         chosen.are_active = False
         follower = _follower(table, chosen)
         follower.accept(_snapshot(10, ("other", b"1", 9)), True)
         running = asyncio.create_task(follower.run())
         await asyncio.sleep(0.01)
-        # A peer is quicker: the row came and went by version 20.
-        follower.accept(_snapshot(20, ("gone", None, 15)), False)
+        # A peer's answer arrives first: the row was written and removed by
+        # version 20.
+        follower.accept(_snapshot(20, ("removed", None, 15)), False)
         chosen.are_active = True
         table.released.set()
         await asyncio.sleep(0.05)
         running.cancel()
         assert follower.version == 20
-        assert "gone" not in follower.rows
+        assert "removed" not in follower.rows
 
     asyncio.run(scenario())
 
 
 def test_removals_that_a_whole_read_skipped_reach_peers():
-    # Of a VM whose history was dropped: it never saw row `gone`, which was
-    # there from version 20 to 25.
+    # A VM whose change history expired never saw row `removed`, which existed
+    # from version 20 to 25.
     follower = _follower()
     follower.accept(_snapshot(10, ("a", b"1", 9)), True)
     follower.accept(_snapshot(30, ("a", b"1", 9)), True)
     # A peer that read the table at version 22 has that row.
     peer = _follower()
-    peer.accept(_snapshot(22, ("a", b"1", 9), ("gone", b"1", 20)), True)
+    peer.accept(_snapshot(22, ("a", b"1", 9), ("removed", b"1", 20)), True)
     changed = follower.changes_since(peer.version)
     is_whole = changed is None
     rows = list(follower.rows.values()) if is_whole else changed
     peer.accept(interfaces.Snapshot(rows, follower.version), is_whole)
     assert peer.version == 30
-    assert "gone" not in peer.rows
+    assert "removed" not in peer.rows
 
 
 class _Pages(store.StoreClient):
-    """A store of which a table is read in two pages."""
+    """A store that returns a table in two pages."""
 
     def __init__(self, *pages):
         super().__init__("127.0.0.1:1")
@@ -134,14 +135,14 @@
     # Row `a` is removed at version 8, after the first page was read.
     client = _Pages(_page(7, True, "a", "b"), _page(9, False, "c"))
     snapshot = asyncio.run(store.StoreTable(client, "t").read_all())
-    # Changes are followed from this version on.
+    # Changes are read from this version on.
     assert snapshot.version <= 7
 
 
 def test_a_vm_follows_peers_through_a_burst_of_versions(
     monkeypatch,
 ):
-    # A version each 60 ms, each handed over 80 ms after it was told of.
+    # A version every 60 ms, each delivered 80 ms after it was published.
     follower = _follower()
     follower.accept(_snapshot(1, ("x", b"1", 1)), True)
     events = []
@@ -157,12 +158,12 @@
             follower.accept(_snapshot(version, ("x", b"1", version)), False)
         assert follower.follows_peers(
             now
-        ), f"not led {now - 100:.2f} s into the burst"
+        ), f"read from the store {now - 100:.2f} s into the burst"
 
 
 def test_a_peer_with_newer_rows_is_asked_while_the_store_refuses():
-    # Left behind once, then refused by the store: the peers that have the rows
-    # say so with each report.
+    # A VM lags and is then refused by the store; the peers that have the rows
+    # publish them with each report.
     async def scenario():
         table = builders.MemoryTable()
         follower = _follower(table)
@@ -191,8 +192,8 @@
 
 
 def test_peers_that_have_the_newer_rows_are_asked_first():
-    # 20 VMs of a domain are heard, one of which told of newer rows; the others
-    # take theirs from it and may have none.
+    # 20 VMs of a domain are live and one of them published newer rows; the
+    # others fetch theirs from it and may have none.
     peers = row_parts.near_peers(20, tables={})
     for node, peer in peers.by_node.items():
         peer.row = builders.node_row(node, address=f"{node}:1")
@@ -207,7 +208,7 @@
 
 
 def test_a_read_overtaken_by_a_peer_is_not_a_failure():
-    # A VM reads the whole table over a narrow link; a peer's rows come first.
+    # A VM reads the whole table over a narrow link; a peer's rows arrive first.
     class _OvertakenTable(builders.MemoryTable):
 
         async def wait_for_changes(self, after, wait_s):
@@ -244,8 +245,8 @@
 
 
 def test_one_encoding_serves_vms_that_lack_the_same_row(monkeypatch):
-    # Each VM's version is the store's as of its own last call, so no two need
-    # to be the same, though all lack the same row.
+    # Each VM's version is the store's as of its own last call, so they all
+    # differ though all VMs lack the same row.
     encoded = []
     encode = transfers._encode
     monkeypatch.setattr(
@@ -288,8 +289,8 @@
     """A table whose answers take longer than any test.
 
     Attributes:
-        calls: Calls that were begun.
-        under_way: Those that weren't given up.
+        calls: Number of calls.
+        in_progress: Number of calls that weren't cancelled.
     """
 
     def __init__(self):
@@ -313,9 +314,9 @@
 
 @pytest.mark.parametrize("is_loaded", [True, False])
 def test_an_answer_overtaken_by_a_peer_is_cancelled(is_loaded):
-    # What users saw: after the store had turned all VMs away, those on narrow
-    # links read each version of a large configuration that they had missed, up
-    # to 5.4 s, though their peers had handed over the newest long before.
+    # Observed: after the store had refused all VMs, those on narrow links read
+    # each version of a large configuration that they had missed, for up to 5.4
+    # s, though their peers had delivered the newest one long before.
     async def scenario():
         table, chosen = _HangingTable(), _SwitchableReaders()
         chosen.are_active = False
@@ -329,7 +330,7 @@
         follower.accept(_snapshot(9, ("x", b"2", 8)), not is_loaded)
         await asyncio.sleep(0.02)
         assert (table.calls, table.in_progress) == (1, 0)
-        # Its own end isn't held up.
+        # The follower itself can be cancelled without delay.
         running.cancel()
         await asyncio.wait([running], timeout=1)
         assert running.cancelled()
@@ -339,8 +340,8 @@
 
 @pytest.mark.parametrize("is_loaded", [True, False])
 def test_a_vm_asks_a_peer_that_is_ahead_while_the_store_answers(is_loaded):
-    # Left behind for longer than a peer is waited for, or just started: the
-    # store's answer is on its way, and the peer's may be quicker.
+    # A VM that lags for longer than the tolerance, or has just started: the
+    # store's answer is on the way, and the peer's may arrive first.
     async def scenario():
         follower = _follower(_HangingTable())
         if is_loaded:
@@ -376,7 +377,7 @@
             follower.accept(_snapshot(version, ("x", b"2", version)), False)
             await asyncio.sleep(0.005)
         running.cancel()
-        # Once at first, and after each of the shortest pauses at most.
+        # One call at first, and at most one after each of the shortest pauses.
         assert table.calls <= 1 + 0.3 / (0.7 * follow.INITIAL_BACKOFF_S)
 
     asyncio.run(scenario())
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -1,7 +1,8 @@
-"""When a gateway may say that there is no such route.
+"""When a gateway may answer that there is no such route.
 
-What users saw: 404 for routes that the operator had added seconds before, by
-VMs that had been told of the new configuration, or had lost the store.
+Users got 404 for routes that the operator had added seconds before, from VMs to
+which peers had published the new configuration, or whose calls to the store
+failed.
 """
 
 import asyncio
@@ -33,7 +34,7 @@
 
 
 class _Readers:
-    """Readers that tell of the table, or not."""
+    """Readers that publish a table's status, or don't."""
 
     def __init__(self, are_publishing: bool):
         self.are_publishing = are_publishing
@@ -59,7 +60,7 @@
 
 
 def _dependent() -> follow.TableFollower:
-    """Returns a follower that peers told that nothing is new at 100.0."""
+    """Returns a follower whose peers published no change at 100.0."""
     made = _follower(_Readers(are_publishing=True))
     made.accept(interfaces.Snapshot([], 2), True)
     made._record_peer_coverage(100.0)
@@ -75,7 +76,7 @@
 def test_nothing_is_current_before_the_first_answer():
     made = _follower()
     assert not made.is_current(clocks.monotonic())
-    # Rows of a peer alone don't say that there are no newer ones.
+    # A peer's rows alone don't prove that there are no newer ones.
     made.accept(interfaces.Snapshot([], 2), True)
     assert not made.is_current(clocks.monotonic())
 
@@ -105,7 +106,7 @@
 ):
     clock = _Clock(monkeypatch)
     made = _follower(store_readers)
-    # The call that succeeded was sent a whole wait before.
+    # The call that succeeded was sent a whole long poll before.
     made._record_contact(clock.now - wait_s)
     assert made.is_current(clock.now + wait_s + 0.3)
     assert not made.is_current(
@@ -132,7 +133,7 @@
 
 
 class _FewVms:
-    """A domain in which each VM follows the store itself."""
+    """A domain in which each VM reads the store itself."""
 
     def is_large_domain(self, now):
         return False
@@ -153,7 +154,7 @@
     row = interfaces.Change("config", b"1", 7)
     made.accept(interfaces.Snapshot([row], 9), True)
     assert made.published_status(clock.now).version == 7
-    # Whoever's call fell silent before that knows by now.
+    # A VM whose call stopped responding before that knows by now.
     assert made.published_status(clock.now + follow.ANNOUNCE_S + 0.1) is None
 
 
@@ -187,7 +188,7 @@
 
 
 def _answer(handler: handler_lib.Handler, path: str) -> outcomes.GatewayError:
-    """Returns how a request ends that has no route."""
+    """Returns the error that answers a request without a route."""
     request = test_utils.make_mocked_request(
         "GET", path, headers={"Host": "a.example"}
     )
@@ -227,12 +228,11 @@
 
 # Sizes of requests that the configuration in force doesn't allow.
 #
-# What callers would see: 413 and 431, which are final as 404 is, for requests
-# that a newer configuration allows.
-# Order of events: the operator raises a limit; the store turns this VM away, or
-# a peer tells it of the newer row; a request beyond the old limit comes.
-# Cause: whether the configuration is current was asked for routes alone.
-# Evidence: these tests without the mend; no play has shown it.
+# Guards against final answers 413 and 431, as 404 is, for requests that a newer
+# configuration allows. The operator raises a limit; the store refuses this VM,
+# or a peer publishes the newer row; a request beyond the old limit arrives.
+# Only routes were checked for whether the configuration is current. These tests
+# failed before the fix; it wasn't observed in a simulation.
 
 
 class _NoShares:
@@ -244,11 +244,11 @@
 class _NoBudget:
 
     def note_request(self, service, now):
-        """Nothing is counted."""
+        """Counts nothing."""
 
 
 def _limited(operations: follow.TableFollower) -> handler_lib.Handler:
-    """Returns a handler by whose limits a request may be too large."""
+    """Returns a handler with limits that a request may exceed."""
     made = _handler(operations)
     made._shares, made._budget = _NoShares(), _NoBudget()
     limits = model.Limits(max_header_bytes=100, max_body_bytes=100)
--- a/tests/unit/test_gateway_store.py
+++ b/tests/unit/test_gateway_store.py
@@ -1,4 +1,4 @@
-"""Writes with lost answers, followed tables, registrations, leadership."""
+"""Writes with lost answers, followed tables, registrations and leadership."""
 
 import asyncio
 import types
@@ -158,7 +158,7 @@
 
 
 def test_after_a_failure_the_store_is_called_without_a_long_poll():
-    # A call that waits hides the store's return for as long as it may wait.
+    # A long poll hides the store's recovery for as long as it may wait.
     async def run():
         table, seen = builders.MemoryTable(), _Seen()
         follower, task = await _following(table, seen)
@@ -296,7 +296,7 @@
 
 
 def _pauses(mbps: list[float], own: float) -> list[float]:
-    """Returns how long a VM waits before it tries to lead, in some tries."""
+    """Returns a VM's delays before it claims leadership, in 200 trials."""
     made, peers = _leadership(builders.MemoryTable(), "vm-0")
     peers.me.link_mbps = own
     for number, one in enumerate(mbps, 1):
@@ -308,7 +308,7 @@
 def test_low_bandwidth_vms_let_others_lead_first():
     others = [100.0] * 15 + [10.0] * 180
     wide, narrow = _pauses(others, 100.0), _pauses(others, 10.0)
-    # Word of a new leader takes some 0.1 s.
+    # The report of a new leader takes some 0.1 s.
     assert max(wide) + 0.1 < min(narrow)
     assert max(wide) < 0.3
     assert max(narrow) < 2.5
@@ -334,7 +334,7 @@
 
 
 def _led_by_vm_1(monkeypatch, told_at: float):
-    """Returns vm-2, which was told then that vm-1 leads, and its clock."""
+    """Returns vm-2, which learned at a time that vm-1 leads, and its clock."""
     table = builders.MemoryTable()
     one, _ = _leadership(table, "vm-1")
     two, peers = _leadership(table, "vm-2")
@@ -353,15 +353,16 @@
     peers.by_node["vm-1"] = builders.peer(row, reported, received_at=49.9)
     _lead(two)
     assert not two.is_leader
-    # Without the store it is replaced by one that has it.
+    # A leader without the store is replaced by a VM that has it.
     reported.store_unresponsive_s = leadership.STORELESS_S + 0.1
     _lead(two)
     assert two.is_leader
 
 
 def test_after_an_outage_the_leader_gets_time_to_recover(monkeypatch):
-    # Found on trouble-3 of armor-encheres: another VM saw the store's return
-    # first and took over; 1,183 slots then waited 8 s more for an owner.
+    # Observed on day trouble-3 of armor-encheres: another VM saw the store's
+    # recovery first and took over; 1,183 slots then waited 8 s more for an
+    # owner.
     two, peers, clock = _led_by_vm_1(monkeypatch, told_at=0.0)
     clock.now = 50.0
     row = builders.node_row("vm-1", run="----vm-1")
@@ -391,7 +392,8 @@
 
 def test_a_new_leader_gets_time_for_its_first_report(monkeypatch):
     two, peers, clock = _led_by_vm_1(monkeypatch, told_at=50.0)
-    # Of many VMs those of other domains tell nothing here until they lead.
+    # In large deployments VMs of other domains don't report here until they
+    # lead.
     row = builders.node_row("vm-1", run="----vm-1", domain="far")
     peers.by_node["vm-1"] = builders.peer(row, None, received_at=0.0)
     clock.now = 50.5
--- a/tests/unit/test_gateway_transfers.py
+++ b/tests/unit/test_gateway_transfers.py
@@ -1,4 +1,4 @@
-"""Rows that go to a peer in pieces."""
+"""Transfers of rows to a peer in pieces."""
 
 import os
 import zlib
--- a/tests/unit/test_gateway_wiring.py
+++ b/tests/unit/test_gateway_wiring.py
@@ -1,4 +1,4 @@
-"""Which parts the composition root ties together."""
+"""Which components the composition root connects."""
 
 import types
 
@@ -19,7 +19,7 @@
 
 
 def _daemon():
-    """Returns the daemon of the VM with the least bandwidth of a domain."""
+    """Returns the daemon of the VM with the least bandwidth of its domain."""
     made = settings.GatewaySettings(
         vm=settings.NodeSettings(
             "vm-50", builders.HOME, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"
@@ -35,7 +35,7 @@
 
 
 def _lead(daemon) -> None:
-    """Makes the VM believe that it leads, and hear its domain's readers."""
+    """Makes the VM the leader, with live readers in its domain."""
     row = daemon._node
     daemon._leader_role.row = types.SimpleNamespace(
         node=row.node, incarnation=row.incarnation
@@ -58,7 +58,7 @@
 def test_a_leader_reads_only_the_tables_that_it_plans_by(table, follows_peers):
     # A leader on a narrow link read each large configuration from the store,
     # several at once when they followed each other closely; its domain's
-    # readers hand it over compressed, and only the newest.
+    # readers deliver it compressed, and only the newest.
     daemon = _daemon()
     _lead(daemon)
     assert daemon._leader_role.is_leader
@@ -67,15 +67,15 @@
 
 
 def _operate(daemon, version: int, value: bytes | None) -> None:
-    """The operator writes or removes the row that evacuates a domain."""
+    """Writes or removes the operator's row that evacuates a domain."""
     row = interfaces.Change("away is evacuated", value, version)
     follower = daemon._followers["operations"]
     follower.accept(interfaces.Snapshot([row], version), is_whole=False)
 
 
 def test_an_evacuation_reaches_the_targets_and_is_revoked():
-    # VMs took the configuration alone from the operator's table and passed
-    # over the rows beside it: an evacuated domain went on getting requests.
+    # VMs read only the configuration from the operator's table and ignored its
+    # other rows, so an evacuated domain still got requests.
     daemon = _daemon()
     daemon._target_table.put(builders.upstream("u-1"), 0.0)
     away = builders.upstream("u-2", failure_domain=builders.AWAY)
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: what the platform's bytes mean to us."""
+"""The adapter's decoding of the platform's data."""
 
 import asyncio
 import json
@@ -91,8 +91,8 @@
             _entry("routes", "r", **{**_ROUTE["spec"], "timeout": "2"}),
             _SERVICE,
         ),
-        # Nested beyond what a decoder follows: it ended the task that reads the
-        # operator's table.
+        # Nested deeper than the decoder supports; that ended the task which
+        # reads the operator's table.
         _config(_SERVICE)[:-1] + b', "x": ' + b"[" * 100_000,
     ],
 )
@@ -147,10 +147,10 @@
     first, second = decode(), decode(born=1789144559999)
     assert second.is_life_after(first.started_ms)
     assert not decode(sequence=9).is_life_after(first.started_ms)
-    # One that doesn't say is taken to be the same.
-    silent = dict(_ENTRY)
-    del silent["born"]
-    data = json.dumps(silent).encode()
+    # An entry without a start time counts as the same run.
+    without_start = dict(_ENTRY)
+    del without_start["born"]
+    data = json.dumps(without_start).encode()
     unknown = documents.decode_upstream(model.UpstreamId("u"), data)
     assert not unknown.is_life_after(first.started_ms)
     assert not first.is_life_after(unknown.started_ms)
@@ -174,8 +174,10 @@
     ),
     strategies.sets(strategies.sampled_from(list(_ENTRY)), max_size=2),
 )
-def test_an_entry_of_another_writer_is_an_upstream_or_an_error(changes, gone):
-    entry = {k: v for k, v in (_ENTRY | changes).items() if k not in gone}
+def test_an_entry_of_another_writer_is_an_upstream_or_an_error(
+    changes, missing
+):
+    entry = {k: v for k, v in (_ENTRY | changes).items() if k not in missing}
     data = json.dumps(entry).encode("utf-8", "surrogatepass")
     try:
         upstream = documents.decode_upstream(model.UpstreamId("u"), data)
@@ -222,7 +224,7 @@
 
 
 class _FixedClient(store.StoreClient):
-    """A store that always answers the same."""
+    """A store that always returns the same answer."""
 
     def __init__(self, body: bytes):
         super().__init__("127.0.0.1:1")
@@ -281,7 +283,7 @@
 
     assert load("3,0,2").slowdown is None
     assert load("3,1,2,300") == interfaces.Load(3, 1, 2, 3.0)
-    # What newer upstreams add is passed over.
+    # Fields that newer upstreams add are ignored.
     assert load("3,1,2,100,7").slowdown == 1.0
     assert load("3,1") is None and load("3,1,x,100") is None
 
