--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -103,7 +103,7 @@
         self._server = server
         self._budget = retry_budget
         self._speed_table = speed_table
-        self._slowness_at = 0.0
+        self._slowness_updated_at = 0.0
         self._key_load_table = key_load_table
         self._cold_limits = cold_limits
         self._suspect_tracker = suspect_tracker
@@ -130,8 +130,8 @@
             self._arbiter.run(),
             self._log.run(),
             self._front.enforce_limits(),
-            self._housekeeping(),
-            self._lead(),
+            self._run_housekeeping(),
+            self._run_leader_duties(),
         ]
         tasks = [asyncio.create_task(run) for run in runs]
         logs.logger.info("gateway started")
@@ -244,7 +244,7 @@
         node = peer.row.node
         counts = peer.report.shared | peer.report.local
         if counts or peer.reported_upstreams:
-            self._note_counts(peer, counts, now)
+            self._apply_counts(peer, counts, now)
         if peer.report.tables:
             self._relay.on_report(peer, now)
         if peer.report.key_load:
@@ -255,26 +255,26 @@
             self._suspect_tracker.hear(peer.report.suspicions, peer.received_at)
         self._gate.note_report()
 
-    def _note_counts(
+    def _apply_counts(
         self, peer: reports.Peer, counts: reports.Counts, now: float
     ) -> None:
         by_id, node = self._target_table.by_id, peer.row.node
         for name in peer.reported_upstreams - counts.keys():
             if name in by_id:
                 by_id[name].peers.pop(node, None)
-        for name, counted in counts.items():
+        for name, count in counts.items():
             if name in by_id:
-                by_id[name].peers[node] = (*counted, now)
+                by_id[name].peers[node] = (*count, now)
         peer.reported_upstreams = set(counts)
 
-    async def _housekeeping(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
             await pacing.pause(TICK_S)
             now = clocks.monotonic()
             self._registry.tick(now)
             self._authority.tick(now)
-            if now - self._slowness_at >= SLOWNESS_INTERVAL_S:
-                self._slowness_at = now
+            if now - self._slowness_updated_at >= SLOWNESS_INTERVAL_S:
+                self._slowness_updated_at = now
                 ratios = self._speed_table.ratios(now)
                 for target in self._target_table.by_id.values():
                     target.slowness = ratios.get(
@@ -285,7 +285,7 @@
             )
             self._budget.set_vms(len(self._peers.by_node) + 1)
 
-    async def _lead(self) -> None:
+    async def _run_leader_duties(self) -> None:
         while True:
             is_leader = self._leader_role.is_leader
             await pacing.pause(TICK_S / 2 if is_leader else TICK_S)
@@ -328,7 +328,7 @@
             services=len(config.services_by_name),
         )
 
-    def note_bad_config(self, error: errors.SwiftstileError) -> None:
+    def reject_config(self, error: errors.SwiftstileError) -> None:
         """Records that a configuration is invalid; the old one stays active."""
         self._handler.is_config_unread = True
         self.meters.refusals.add("bad-config")
--- a/src/swiftstile/gateway/follow.py
+++ b/src/swiftstile/gateway/follow.py
@@ -114,11 +114,11 @@
         self._outage = outage or outage_lib.Outage()
         self._announces_changes = announces_changes
         # When the newest row of this table arrived.
-        self._row_at = float("-inf")
+        self._newest_row_at = float("-inf")
         self._started = clocks.monotonic()
         self._freshness = freshness.Freshness(name)
         # Cancels the step in progress.
-        self._limit: asyncio.Timeout | None = None
+        self._step_timeout: asyncio.Timeout | None = None
         # Versions at which rows were removed, by key, oldest first.
         self._removed: dict[str, int] = {}
         # `_removed` has all rows that were removed after this version.
@@ -136,7 +136,7 @@
             try:
                 is_done = await self._step_unless_overtaken()
             except errors.PlatformError as error:
-                self._note_failure(error)
+                self._record_failure(error)
                 await self._outage.pause(pause_s * random.uniform(0.7, 1.3))
                 pause_s = min(pause_s * 2, self._max_backoff_s())
                 continue
@@ -155,22 +155,22 @@
         answer may take seconds to arrive, as it contains each version that was
         missed, and would compete with newer rows for bandwidth.
         """
-        self._limit = limit = asyncio.timeout(None)
+        self._step_timeout = timeout = asyncio.timeout(None)
         try:
-            async with limit:
+            async with timeout:
                 await self._step()
         except TimeoutError:
-            if not limit.expired():
+            if not timeout.expired():
                 raise
             return False
         finally:
-            self._limit = None
+            self._step_timeout = None
         return True
 
     def _cancel_step(self) -> None:
-        if self._limit is not None:
-            self._limit.reschedule(asyncio.get_running_loop().time())
-            self._limit = None
+        if self._step_timeout is not None:
+            self._step_timeout.reschedule(asyncio.get_running_loop().time())
+            self._step_timeout = None
 
     async def _step(self) -> None:
         if not self.is_loaded:
@@ -191,9 +191,9 @@
             # A peer's rows arrived first. They include these, and the removal
             # of some of them.
             return
-        self._note_answer(asked_at)
+        self._record_answer(asked_at)
         self._merge_rows(changes.rows)
-        self._note_version(changes.version)
+        self._record_version(changes.version)
         if changes.rows:
             # Changes during the pause come with the next call.
             await asyncio.sleep(self._pause_after_change_s())
@@ -208,7 +208,7 @@
         self._replace_rows(snapshot)
         self._complete_until = clocks.monotonic()
 
-    def _note_answer(self, asked_at: float) -> None:
+    def _record_answer(self, asked_at: float) -> None:
         """Records that the store has returned all changes up to now.
 
         A long poll is answered as soon as there is a change. What an earlier
@@ -279,7 +279,7 @@
         """Records that part of the rows that a peer published has arrived."""
         self._freshness.record_progress(now)
 
-    def _note_version(self, version: int) -> None:
+    def _record_version(self, version: int) -> None:
         self.version = max(self.version, version)
         self._freshness.record_version(version, clocks.monotonic())
 
@@ -296,7 +296,9 @@
         """Whether peers rely on this VM's status, or may lack new rows."""
         if self._readers is not None and self._readers.is_large_domain(now):
             return True
-        return self._announces_changes and now - self._row_at <= ANNOUNCE_S
+        return (
+            self._announces_changes and now - self._newest_row_at <= ANNOUNCE_S
+        )
 
     def _record_peer_coverage(self, now: float) -> None:
         if not self._freshness.is_behind():
@@ -305,7 +307,7 @@
             self.contact_at = max(self.contact_at, now - age_s)
             self._complete_until = max(self._complete_until, now - age_s)
             self._freshness.record_peer_status(until=now + PEER_TRUST_S)
-        self._note_recovery(now)
+        self._record_recovery(now)
 
     def accept(self, snapshot: interfaces.Snapshot, is_whole: bool) -> None:
         """Applies rows from a peer, unless newer ones are known.
@@ -322,7 +324,7 @@
             self._replace_rows(snapshot)
         else:
             self._merge_rows(snapshot.rows)
-            self._note_version(snapshot.version)
+            self._record_version(snapshot.version)
 
     @property
     def newest_change(self) -> int:
@@ -371,7 +373,7 @@
             for key in self.rows
             if key not in present
         ]
-        self._note_version(snapshot.version)
+        self._record_version(snapshot.version)
         self._merge_rows(snapshot.rows + removed)
         if not self.is_loaded:
             self.is_loaded = True
@@ -385,7 +387,7 @@
                 continue
             if change.version > self.row_version:
                 self.row_version = change.version
-                self._row_at = clocks.monotonic()
+                self._newest_row_at = clocks.monotonic()
             if change.value is None:
                 self._remember_removed(change)
                 if known is None:
@@ -407,8 +409,8 @@
                 self._remembers_since, self._removed.pop(oldest)
             )
 
-    def _note_failure(self, error: errors.PlatformError) -> None:
-        self._outage.note_failure(self.name)
+    def _record_failure(self, error: errors.PlatformError) -> None:
+        self._outage.record_failure(self.name)
         if self.failing_since is None:
             self.failing_since = clocks.monotonic()
             logs.logger.warning("table lost", table=self.name, error=str(error))
@@ -416,11 +418,11 @@
     def _record_contact(self, sent: float) -> None:
         self.contact_at = sent
         self.answered_at = clocks.monotonic()
-        self._note_recovery(self.answered_at)
+        self._record_recovery(self.answered_at)
         self._freshness.record_answer(self.answered_at, self._watch_s())
 
-    def _note_recovery(self, now: float) -> None:
-        self._outage.note_answer(self.name)
+    def _record_recovery(self, now: float) -> None:
+        self._outage.record_answer(self.name)
         if self.failing_since is not None:
             logs.logger.info(
                 "table regained",
--- a/src/swiftstile/gateway/gossip.py
+++ b/src/swiftstile/gateway/gossip.py
@@ -126,13 +126,13 @@
         self.topology = dissemination_lib.Topology(me, self.by_node)
         self._full_mesh = dissemination_lib.FullMesh(me, self.topology)
         self._via_readers = dissemination_lib.ViaReaders(me, self.topology)
-        self._domain = domain_reports.DomainReports(self.topology)
+        self._domain_reports = domain_reports.DomainReports(self.topology)
         self._own_run = reports.short_run(me.incarnation)
         self._tick_at = 0.0
         self._discard_until = 0.0
-        self._near_at = self._far_at = self._urgent_at = 0.0
-        self._near_sent: tuple = ()
-        self._far_sent: tuple = ()
+        self._near_sent_at = self._far_sent_at = self._urgent_sent_at = 0.0
+        self._last_near_content: tuple = ()
+        self._last_urgent_state: tuple = ()
 
     def apply(
         self, row: reports.NodeRow | None, node: model.NodeId, now: float
@@ -250,7 +250,7 @@
 
     def _tick_s(self) -> float:
         """Returns the time until the next check whether a report is due."""
-        if self._domain.is_large:
+        if self._domain_reports.is_large:
             return LARGE_DOMAIN_TICK_S
         return min(
             max(NEAR_INTERVAL_S, self._near_interval_s() / 2), URGENT_INTERVAL_S
@@ -276,7 +276,7 @@
 
     def send_now(self, report: reports.Report) -> None:
         """Sends a report to all peers at once, as at shutdown."""
-        self._near_at = self._far_at = self._urgent_at = 0.0
+        self._near_sent_at = self._far_sent_at = self._urgent_sent_at = 0.0
         self._send(report)
 
     def _is_full_report_due(self, now: float) -> bool:
@@ -287,7 +287,9 @@
         """
         if not self.dissemination.uses_readers:
             return True
-        return now - self._near_at >= self._near_interval_s() - _TIMER_SLACK_S
+        return (
+            now - self._near_sent_at >= self._near_interval_s() - _TIMER_SLACK_S
+        )
 
     def _send(self, report: reports.Report, is_full: bool = True) -> None:
         now = clocks.monotonic()
@@ -308,28 +310,28 @@
             *_urgent_state(report),
         )
         interval_s = HEARTBEAT_INTERVAL_S
-        if content != self._near_sent:
+        if content != self._last_near_content:
             interval_s = self._near_interval_s()
-        if now - self._near_at >= interval_s - _TIMER_SLACK_S:
-            self._near_at, self._near_sent = now, content
+        if now - self._near_sent_at >= interval_s - _TIMER_SLACK_S:
+            self._near_sent_at, self._last_near_content = now, content
             self._send_to_near(report, now)
 
     def _send_far_if_due(self, report: reports.Report, now: float) -> None:
         state = _urgent_state(report)
-        if now - self._urgent_at < URGENT_INTERVAL_S - _TIMER_SLACK_S:
+        if now - self._urgent_sent_at < URGENT_INTERVAL_S - _TIMER_SLACK_S:
             return
         dissemination = self.dissemination
-        if now - self._far_at >= FAR_INTERVAL_S - _TIMER_SLACK_S:
-            self._far_at = now
+        if now - self._far_sent_at >= FAR_INTERVAL_S - _TIMER_SLACK_S:
+            self._far_sent_at = now
             recipients = dissemination.periodic_recipients(report)
-        elif state != self._far_sent:
+        elif state != self._last_urgent_state:
             recipients = dissemination.urgent_recipients(report)
         elif report.holds:
             # Only the leader waits for holds.
             recipients = dissemination.far_leaders()
         else:
             return
-        self._urgent_at, self._far_sent = now, state
+        self._urgent_sent_at, self._last_urgent_state = now, state
         self._send_to_far(dissemination.trim(report), now, recipients)
 
     @property
@@ -344,14 +346,14 @@
         self._sequence = report.sequence
         measured = self._with_measures(report, self._near_measure_pace, now)
         data = self._encoder.encode(measured)
-        for peer in self._domain.recipients(report, now):
+        for peer in self._domain_reports.recipients(report, now):
             self._send_to(peer, data, now)
-        if report.is_reader and self._domain.is_large:
+        if report.is_reader and self._domain_reports.is_large:
             self._send_batches(now)
 
     def _send_batches(self, now: float) -> None:
         """Forwards the reports of this domain since the last batch."""
-        for batch in self._domain.take_batches(now):
+        for batch in self._domain_reports.take_batches(now):
             for peer in self.topology.near:
                 if not peer.row.is_retired or peer.is_live(now):
                     self._transport.sendto(_BATCH + batch, _address(peer))
@@ -434,19 +436,21 @@
             return
         peer.record_direct_report(report, now, receives_us)
         if peer.row.domain == self.me.domain:
-            self._domain.add_to_batch(report.run, report.sequence, data, now)
+            self._domain_reports.add_to_batch(
+                report.run, report.sequence, data, now
+            )
         self._on_report(peer, now)
 
     def _receive_batch(self, data: bytes, sender, now: float) -> None:
         try:
-            for entry in self._domain.entries(data):
+            for entry in self._domain_reports.entries(data):
                 self._receive_entry(entry, now)
         except msgspec.MsgspecError as error:
             self._note_malformed(error, sender)
 
     def _receive_entry(self, entry: domain_reports.Entry, now: float) -> None:
         if entry.run == self._own_run:
-            self._domain.record_echo(now)
+            self._domain_reports.record_echo(now)
             return
         peer = self._by_run.get(entry.run)
         if peer is None:
--- a/src/swiftstile/gateway/outage.py
+++ b/src/swiftstile/gateway/outage.py
@@ -23,11 +23,11 @@
         self._failing: dict[str, None] = {}
         self._answered = signals.Signal()
 
-    def note_failure(self, table: str) -> None:
+    def record_failure(self, table: str) -> None:
         """Records that a call for a table failed."""
         self._failing.setdefault(table)
 
-    def note_answer(self, table: str) -> None:
+    def record_answer(self, table: str) -> None:
         """Records that a call succeeded, or peers publish a table again."""
         if table in self._failing:
             del self._failing[table]
--- a/src/swiftstile/gateway/registry.py
+++ b/src/swiftstile/gateway/registry.py
@@ -28,16 +28,17 @@
 DEPARTED_RETENTION_S = 20.0
 
 
-class _Missing(msgspec.Struct):
+class _ExpiredRegistration(msgspec.Struct):
     """A registration that expired and may be renewed.
 
     Attributes:
         until: Deadline for its renewal.
-        news_since: Earliest time at which the upstream may have left.
+        earliest_departure_at: Earliest time at which the upstream may have
+            left.
     """
 
     until: float
-    news_since: float
+    earliest_departure_at: float
 
 
 class Registry:
@@ -68,20 +69,22 @@
         self._services: frozenset[ids.ServiceName] | None = None
         # Registrations for services that aren't configured, by id.
         self._unconfigured: dict[model.UpstreamId, bytes] = {}
-        self._missing: dict[model.UpstreamId, _Missing] = {}
+        self._expired_registrations: dict[
+            model.UpstreamId, _ExpiredRegistration
+        ] = {}
         self.follower: follow.TableFollower | None = None
 
     def apply(self, changes: list[interfaces.Change]) -> None:
         """Applies changed rows."""
         now = clocks.monotonic()
-        news_since = self.follower.earliest_change_at
+        earliest_departure_at = self.follower.earliest_change_at
         for change in changes:
             upstream_id = model.UpstreamId(change.key)
             self._unconfigured.pop(upstream_id, None)
             if change.value is None:
-                self._note_missing(upstream_id, now, news_since)
+                self._record_missing(upstream_id, now, earliest_departure_at)
             else:
-                self._put(upstream_id, change.value, now, news_since)
+                self._put(upstream_id, change.value, now, earliest_departure_at)
         self._on_change()
 
     def set_services(self, services: frozenset[ids.ServiceName]) -> None:
@@ -112,24 +115,28 @@
         self._on_change()
 
     def _put(
-        self, upstream_id, value: bytes, now: float, news_since: float
+        self,
+        upstream_id,
+        value: bytes,
+        now: float,
+        earliest_departure_at: float,
     ) -> None:
         try:
             upstream = self._decode(upstream_id, value)
         except errors.SwiftstileError as error:
             self._reject(upstream_id, "malformed", str(error))
-            self._note_missing(upstream_id, now, news_since)
+            self._record_missing(upstream_id, now, earliest_departure_at)
             return
         if self._services is None or upstream.service not in self._services:
             self._unconfigured[upstream_id] = value
             if self._services is not None:
                 self._reject(upstream_id, "unknown-service", upstream.service)
-                self._note_missing(upstream_id, now, news_since)
+                self._record_missing(upstream_id, now, earliest_departure_at)
             return
-        self._missing.pop(upstream_id, None)
+        self._expired_registrations.pop(upstream_id, None)
         known = self._target_table.by_id.get(upstream_id)
         before = None if known is None else known.leaving_since
-        target = self._target_table.put(upstream, now, news_since)
+        target = self._target_table.put(upstream, now, earliest_departure_at)
         if known is None or (before is None) != (target.leaving_since is None):
             logs.logger.info(
                 "upstream registered",
@@ -149,8 +156,11 @@
             detail=detail,
         )
 
-    def _note_missing(
-        self, upstream_id: model.UpstreamId, now: float, news_since: float
+    def _record_missing(
+        self,
+        upstream_id: model.UpstreamId,
+        now: float,
+        earliest_departure_at: float,
     ) -> None:
         target = self._target_table.by_id.get(upstream_id)
         if target is None:
@@ -160,29 +170,34 @@
             # The call that returned this change is the first to succeed.
             until = now + REREGISTRATION_GRACE_S
         if now < until:
-            self._missing[upstream_id] = _Missing(until, news_since)
+            self._expired_registrations[upstream_id] = _ExpiredRegistration(
+                until, earliest_departure_at
+            )
             # Other targets are preferred while the upstream may have left.
             target.note_shed(now, until - now)
             return
-        self._remove(upstream_id, now, news_since)
+        self._remove(upstream_id, now, earliest_departure_at)
 
     def _remove(
-        self, upstream_id: model.UpstreamId, now: float, news_since: float
+        self,
+        upstream_id: model.UpstreamId,
+        now: float,
+        earliest_departure_at: float,
     ) -> None:
-        self._missing.pop(upstream_id, None)
-        self._target_table.mark_gone(upstream_id, now, news_since)
+        self._expired_registrations.pop(upstream_id, None)
+        self._target_table.mark_gone(upstream_id, now, earliest_departure_at)
         logs.logger.info("upstream gone", upstream=upstream_id)
 
     def tick(self, now: float) -> None:
         """Removes targets that weren't renewed in time, and old departures."""
         overdue = {
             name: missing
-            for name, missing in self._missing.items()
+            for name, missing in self._expired_registrations.items()
             if now > missing.until
         }
         for upstream_id, missing in overdue.items():
             # The platform's time limit for an upstream that left began at the
             # removal, not at the end of this wait.
-            self._remove(upstream_id, now, missing.news_since)
+            self._remove(upstream_id, now, missing.earliest_departure_at)
         if self._target_table.sweep(now, DEPARTED_RETENTION_S) or overdue:
             self._on_change()
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -401,6 +401,6 @@
         try:
             config = self._adapters.decode_config(change.value)
         except errors.SwiftstileError as error:
-            self._daemon.note_bad_config(error)
+            self._daemon.reject_config(error)
             return
         self._daemon.apply_config(config)
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -221,7 +221,7 @@
         try:
             asyncio.run(self.follower._step())
         except errors.PlatformError as error:
-            self.follower._note_failure(error)
+            self.follower._record_failure(error)
         else:
             self.follower._record_contact(sent)
 
