--- a/src/swiftstile/gateway/gossip.py
+++ b/src/swiftstile/gateway/gossip.py
@@ -34,8 +34,9 @@
 # Interval of reports while nothing changes: three may be lost before a peer
 # counts as failed.
 HEARTBEAT_INTERVAL_S = 0.25
-# Maximum rate of reports to the own domain, summed over its VMs: with many VMs
-# each reports less often, as each carries a smaller part of the requests.
+# Maximum number of reports a second that a VM sends to its own domain. With
+# many VMs each of them gets these less often, as each VM carries a smaller part
+# of the requests.
 MAX_NEAR_REPORTS_PER_S = 100
 # Minimum interval between reports to other domains; while keys move each report
 # matters to all domains.
--- a/tests/integration/test_gateway_many.py
+++ b/tests/integration/test_gateway_many.py
@@ -7,7 +7,7 @@
 from tests.integration import users_standins
 
 # Time for starting two dozen processes, and one round of calls that must all
-# succeed at each of them: over 30 s beside two simulations and another such
+# succeed at each of them: over 30 s beside two bench runs and another such
 # test, 12 s alone.
 _START_S = 120
 # Eight in each of three domains: more than read the store independently, and
--- a/tests/integration/test_narrow_links.py
+++ b/tests/integration/test_narrow_links.py
@@ -106,7 +106,7 @@
     used to ask for changes and to limit the whole answer to 0.5 s, so a large
     change of its table on a narrow link delayed moves, and slots had no owner
     for longer. This test failed before the fix; it wasn't observed in a
-    simulation.
+    bench run.
     """
 
     async def scenario():
--- a/tests/unit/test_gateway_readers.py
+++ b/tests/unit/test_gateway_readers.py
@@ -236,7 +236,8 @@
 
 def test_two_of_four_vms_read_the_gateways_own_table():
     # Observed on armor-encheres: calls to the store cost 0.032 of the worth of
-    # a quiet day, half of them for the key maps, which each of 12 VMs followed.
+    # a steady day, half of them for the key maps, which each of 12 VMs
+    # followed.
     def follows(me: str) -> bool:
         others = [f"vm-{i}" for i in range(1, 5) if f"vm-{i}" != me]
         peers = gossip.Peers(builders.node_row(me), lambda *_: None)
--- a/tests/unit/test_gateway_report_sizes.py
+++ b/tests/unit/test_gateway_report_sizes.py
@@ -5,8 +5,8 @@
 datagram. They couldn't decode the truncated report, and the sender didn't
 notice: it counted as failed while it served, its leadership, renewals and
 counts expired, and keys had no owner. These tests failed before the fix. It
-wasn't observed in a simulation; the largest deployment simulated has 89 VMs and
-464 upstreams.
+wasn't observed in a bench run; the largest deployment on the bench has 89 VMs
+and 464 upstreams.
 """
 
 import pytest
