--- a/src/swiftstile/gateway/registry.py
+++ b/src/swiftstile/gateway/registry.py
@@ -28,8 +28,8 @@
 DEPARTED_RETENTION_S = 20.0
 
 
-class _ExpiredRegistration(msgspec.Struct):
-    """A registration that expired and may be renewed.
+class _MissingRegistration(msgspec.Struct):
+    """A missing registration that may be renewed.
 
     Attributes:
         until: Deadline for its renewal.
@@ -69,9 +69,7 @@
         self._services: frozenset[ids.ServiceName] | None = None
         # Registrations for services that aren't configured, by id.
         self._unconfigured: dict[model.UpstreamId, bytes] = {}
-        self._expired_registrations: dict[
-            model.UpstreamId, _ExpiredRegistration
-        ] = {}
+        self._missing_by_id: dict[model.UpstreamId, _MissingRegistration] = {}
         self.follower: follow.TableFollower | None = None
 
     def apply(self, changes: list[interfaces.Change]) -> None:
@@ -133,7 +131,7 @@
                 self._reject(upstream_id, "unknown-service", upstream.service)
                 self._record_missing(upstream_id, now, earliest_departure_at)
             return
-        self._expired_registrations.pop(upstream_id, None)
+        self._missing_by_id.pop(upstream_id, None)
         known = self._target_table.by_id.get(upstream_id)
         before = None if known is None else known.leaving_since
         target = self._target_table.put(upstream, now, earliest_departure_at)
@@ -170,7 +168,7 @@
             # The call that returned this change is the first to succeed.
             until = now + REREGISTRATION_GRACE_S
         if now < until:
-            self._expired_registrations[upstream_id] = _ExpiredRegistration(
+            self._missing_by_id[upstream_id] = _MissingRegistration(
                 until, earliest_departure_at
             )
             # Other targets are preferred while the upstream may have left.
@@ -184,7 +182,7 @@
         now: float,
         earliest_departure_at: float,
     ) -> None:
-        self._expired_registrations.pop(upstream_id, None)
+        self._missing_by_id.pop(upstream_id, None)
         self._target_table.mark_gone(upstream_id, now, earliest_departure_at)
         logs.logger.info("upstream gone", upstream=upstream_id)
 
@@ -192,7 +190,7 @@
         """Removes targets that weren't renewed in time, and old departures."""
         overdue = {
             name: missing
-            for name, missing in self._expired_registrations.items()
+            for name, missing in self._missing_by_id.items()
             if now > missing.until
         }
         for upstream_id, missing in overdue.items():
