--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -14,8 +14,8 @@
 costs more (`domain_search.py`).
 
 Designed for a load of two thirds to nine tenths of the upstreams' capacity,
-with upstreams at half and at one and a half times the mean speed, which don't
-answer requests that they can't queue.
+with some upstreams at half and some at one and a half times the mean speed,
+which leave requests that they can't queue without an answer.
 """
 
 import asyncio
@@ -45,8 +45,8 @@
 __all__ = ["PermitClient"]
 
 # A permit request without a reply is sent again after this fraction of the
-# route's objective, but not before the minimum, ten round trips between failure
-# domains. One large body occupies a 10 Mbit/s link for 50 ms.
+# route's objective, but not before the minimum, ten round trips between the
+# users' failure domains. One large body occupies a 10 Mbit/s link for 50 ms.
 REQUEST_RETRY_FRACTION, MIN_REQUEST_RETRY_S = 0.08, 0.025
 # The arbiter counts as unreachable after this many sends without a reply. Low,
 # because the caller's request waits meanwhile.
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -1,8 +1,8 @@
 """Tests the cost of a VM's periodic work at sites of 12, 80 and 200 VMs.
 
 The tests count interpreter instructions instead of time. They guard against
-periodic work that repeats unchanged results: with it, an idle site of 195 VMs
-used more processor time than allowed.
+periodic work that recomputes unchanged results: with it, a site of 195 VMs used
+more processor time than allowed on a day of steady load.
 """
 
 import asyncio
