--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -292,7 +292,7 @@
     async def _await_decision(
         self, number, pending, waiter, target, arbiter
     ) -> permit_messages.PermitReply | None:
-        pause_s = WAITING_RETRY_S
+        interval_s = WAITING_RETRY_S
         while True:
             if not await self._request_until_replied(
                 number, pending, waiter, target, arbiter
@@ -301,7 +301,7 @@
                 self._meters.permits.add("arbiter-silent")
                 logs.logger.info("arbiter silent", peer_node=arbiter.row.node)
                 return None
-            end = clocks.monotonic() + pause_s
+            end = clocks.monotonic() + interval_s
             while not pending.is_final and clocks.monotonic() < end:
                 await pending.wait_for_reply(WAITING_RETRY_S)
                 if target is None:
@@ -310,7 +310,7 @@
                     return None
             if pending.is_final:
                 return pending.reply
-            pause_s = min(2 * pause_s, MAX_WAITING_RETRY_S)
+            interval_s = min(2 * interval_s, MAX_WAITING_RETRY_S)
 
     async def _request_until_replied(
         self, number, pending, waiter, target, arbiter
@@ -355,14 +355,14 @@
     def _send_release(
         self,
         number: int,
-        pause_s: float = 0.0,
+        penalty_s: float = 0.0,
         slowdown: float | None = None,
     ) -> None:
         """Reports that a request ended, or no longer waits.
 
         Args:
             number: Number of the permit request.
-            pause_s: Remaining penalty of its upstream, in seconds.
+            penalty_s: Remaining penalty of its upstream, in seconds.
             slowdown: Current over usual work time there, if known.
         """
         arbiter = self._arbiter_by_number.pop(number)
@@ -374,7 +374,7 @@
         message = permit_messages.PermitRelease(
             run,
             list(ended),
-            clocks.milliseconds(pause_s),
+            clocks.milliseconds(penalty_s),
             None if slowdown is None else round(100 * slowdown),
         )
         self._peers.send_permit(arbiter, self._encoder.encode(message))
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -31,7 +31,7 @@
 )
 
 
-def _play(**changes) -> load_player.Result:
+def _simulate(**changes) -> load_player.Result:
     load = load_player.dataclasses.replace(_LOAD, **changes)
     return load_player.Player(load).play()
 
@@ -45,15 +45,15 @@
 
 @pytest.mark.parametrize("seed", range(1, 4))
 def test_all_vms_together_stay_within_the_limit_of_a_cold_upstream(seed):
-    result = _play(cold_per_s=_PER_S, seed=seed)
+    result = _simulate(cold_per_s=_PER_S, seed=seed)
     assert 0 < _max_rate_at_a_cold_upstream(result) <= _PER_S
     # Without the limit the same load exceeds the bound.
-    assert _max_rate_at_a_cold_upstream(_play(seed=seed)) > _ALLOWED
+    assert _max_rate_at_a_cold_upstream(_simulate(seed=seed)) > _ALLOWED
 
 
 def test_most_requests_are_in_time_despite_the_limit():
     # Two thirds of the upstreams are warm and can take the whole load.
-    result = _play(cold_per_s=_PER_S, per_s=150.0)
+    result = _simulate(cold_per_s=_PER_S, per_s=150.0)
     assert result.share_in_time > 0.95
 
 
@@ -71,7 +71,9 @@
     return made
 
 
-def _cold(now: float = 0.0) -> tuple[targets.TargetTable, targets.Target]:
+def _cold_upstream(
+    now: float = 0.0,
+) -> tuple[targets.TargetTable, targets.Target]:
     table = builders.book(builders.upstream("u-1", cold_s=_COLD_S), now=now)
     return table, table.by_id["u-1"]
 
@@ -83,7 +85,7 @@
 
 
 def test_one_vm_of_the_domain_sends_until_the_upstream_is_warm():
-    table, target = _cold()
+    table, target = _cold_upstream()
     assert len(_senders(target, table)) == 1
     away = _limits(table, "vm-away", domain=builders.AWAY)
     assert away.is_blocked(target, 0.1)
@@ -93,11 +95,11 @@
 
 def _max_sends_in_a_second(vms: int, per_s: float) -> int:
     """Returns the sends of VMs that each consider themselves the sender."""
-    table, _ = _cold()
+    table, _ = _cold_upstream()
     sends = []
     for number in range(vms):
         # Each has its own state of the upstream and starts 1 ms later.
-        _, target = _cold()
+        _, target = _cold_upstream()
         peers = gossip.Peers(builders.node_row(), lambda *_: None)
         limits = coldstart.ColdLimits(table, peers, lambda: True)
         service = builders.service(cold_per_s=per_s)
@@ -132,7 +134,7 @@
 
 def test_a_vm_that_is_not_registered_sends_nothing():
     # It knows no other VM yet, and would select itself as the sender.
-    table, target = _cold()
+    table, target = _cold_upstream()
     assert not any(
         _limits(table, name, is_registered=False).may_send(target, 0.1)
         for name in _NODES
@@ -140,7 +142,7 @@
 
 
 def test_a_service_without_a_rate_has_no_limit():
-    table, target = _cold()
+    table, target = _cold_upstream()
     limits = _limits(table, "vm-1")
     limits.set_services({builders.LOOKUPS: builders.service()})
     assert all(limits.may_send(target, 0.1) for _ in range(100))
@@ -149,7 +151,7 @@
 
 
 def test_an_upstream_that_reports_cold_again_is_limited_again():
-    table, target = _cold()
+    table, target = _cold_upstream()
     limits = _limits(table, "vm-1")
     assert not limits.is_limited(target, 10.0)
     table.put(builders.upstream("u-1", cold_s=2.0), 10.0)
@@ -174,7 +176,7 @@
     """A cold upstream that owns the key of each request, as one VM sees it."""
 
     def __init__(self, is_sender: bool):
-        self.table, self.target = _cold()
+        self.table, self.target = _cold_upstream()
         sender = _senders(self.target, self.table)[0]
         others = [name for name in _NODES if name != sender]
         limits = _limits(self.table, sender if is_sender else others[0])
