--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -14,8 +14,8 @@
 costs more (`domain_search.py`).
 
 Designed for a load of two thirds to nine tenths of the upstreams' capacity,
-with upstreams at half and at one and a half times the mean speed, which don't
-answer requests that they can't queue.
+with some upstreams at half and some at one and a half times the mean speed,
+which leave requests that they can't queue without an answer.
 """
 
 import asyncio
@@ -45,8 +45,8 @@
 __all__ = ["PermitClient"]
 
 # A permit request without a reply is sent again after this fraction of the
-# route's objective, but not before the minimum, ten round trips between failure
-# domains. One large body occupies a 10 Mbit/s link for 50 ms.
+# route's objective, but not before the minimum, ten round trips between the
+# users' failure domains. One large body occupies a 10 Mbit/s link for 50 ms.
 REQUEST_RETRY_FRACTION, MIN_REQUEST_RETRY_S = 0.08, 0.025
 # The arbiter counts as unreachable after this many sends without a reply. Low,
 # because the caller's request waits meanwhile.
@@ -292,7 +292,7 @@
     async def _await_decision(
         self, number, pending, waiter, target, arbiter
     ) -> permit_messages.PermitReply | None:
-        pause_s = WAITING_RETRY_S
+        interval_s = WAITING_RETRY_S
         while True:
             if not await self._request_until_replied(
                 number, pending, waiter, target, arbiter
@@ -301,7 +301,7 @@
                 self._meters.permits.add("arbiter-silent")
                 logs.logger.info("arbiter silent", peer_node=arbiter.row.node)
                 return None
-            end = clocks.monotonic() + pause_s
+            end = clocks.monotonic() + interval_s
             while not pending.is_final and clocks.monotonic() < end:
                 await pending.wait_for_reply(WAITING_RETRY_S)
                 if target is None:
@@ -310,7 +310,7 @@
                     return None
             if pending.is_final:
                 return pending.reply
-            pause_s = min(2 * pause_s, MAX_WAITING_RETRY_S)
+            interval_s = min(2 * interval_s, MAX_WAITING_RETRY_S)
 
     async def _request_until_replied(
         self, number, pending, waiter, target, arbiter
@@ -355,14 +355,14 @@
     def _send_release(
         self,
         number: int,
-        pause_s: float = 0.0,
+        penalty_s: float = 0.0,
         slowdown: float | None = None,
     ) -> None:
         """Reports that a request ended, or no longer waits.
 
         Args:
             number: Number of the permit request.
-            pause_s: Remaining penalty of its upstream, in seconds.
+            penalty_s: Remaining penalty of its upstream, in seconds.
             slowdown: Current over usual work time there, if known.
         """
         arbiter = self._arbiter_by_number.pop(number)
@@ -374,7 +374,7 @@
         message = permit_messages.PermitRelease(
             run,
             list(ended),
-            clocks.milliseconds(pause_s),
+            clocks.milliseconds(penalty_s),
             None if slowdown is None else round(100 * slowdown),
         )
         self._peers.send_permit(arbiter, self._encoder.encode(message))
