--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -227,7 +227,8 @@
     """Assigns slots of targets to the requests of one VM.
 
     Attributes:
-        vms: Number of VMs that send to the same targets, including this one.
+        vm_count: Number of VMs that send to the same targets, including this
+            one.
     """
 
     def __init__(
--- a/src/swiftstile/gateway/exchange.py
+++ b/src/swiftstile/gateway/exchange.py
@@ -36,7 +36,8 @@
         body: The body; None if it is too long to buffer.
         stream: Chunks of the body if `body` is None. It can be read once.
         length: Length of a streamed body, if known.
-        end: Deadline after which a response is useless, on the monotonic clock.
+        deadline: Time after which a response is useless, on the monotonic
+            clock.
         is_idempotent: Whether it may run more than once.
         first_part: Start of a streamed body that was read before sending.
         caller: Identity or address of the caller.
--- a/tests/integration/test_crashing_requests.py
+++ b/tests/integration/test_crashing_requests.py
@@ -17,11 +17,11 @@
 # Time within which all VMs learn of a crash: the platform's minimum bound.
 _STABLE_WINDOW_S = 3.0
 _CRASHES = 3
-_MOST_LATER = 3
+_MAX_LATER = 3
 # Crashes after which a request is rejected whatever other requests were there.
-_SURE_AFTER = 5
+_CERTAIN_AFTER = 5
 _CALLERS = 5
-_AGAIN_S = 0.4
+_ATTEMPT_INTERVAL_S = 0.4
 _ORDINARY_PER_S = 25
 
 
@@ -46,10 +46,12 @@
         connector = aiohttp.TCPConnector(local_addr=(self._address, 0))
         async with aiohttp.ClientSession(connector=connector) as session:
             while True:
-                await self._try(session)
-                await asyncio.sleep(_AGAIN_S * self._random.uniform(0.5, 1.5))
+                await self._attempt(session)
+                await asyncio.sleep(
+                    _ATTEMPT_INTERVAL_S * self._random.uniform(0.5, 1.5)
+                )
 
-    async def _try(self, session: aiohttp.ClientSession) -> None:
+    async def _attempt(self, session: aiohttp.ClientSession) -> None:
         running = [one for one in self._site.gateways if one.is_running]
         front = self._random.choice(running).front
         headers = {
@@ -71,7 +73,7 @@
             self.reasons.append("")
 
 
-async def _suffer(site: gateways.Site, kind: str, seconds: float, disturb):
+async def _run_callers(site: gateways.Site, kind: str, seconds: float, disturb):
     """Runs callers that crash servers beside ordinary ones."""
     crashers = [_Crasher(site, number, kind) for number in range(_CALLERS)]
     site.world.crashing_paths = {one.path for one in crashers}
@@ -88,9 +90,7 @@
     return crashers
 
 
-def _arrivals_after_the_bound(
-    site: gateways.Site, end: float
-) -> dict[str, int]:
+def _crashes_after_limit(site: gateways.Site, end: float) -> dict[str, int]:
     """Returns crashes after the time limit, by path.
 
     Contains only requests whose time limit has passed.
@@ -98,19 +98,21 @@
     later = {}
     for path, times in site.world.crashes_by_path.items():
         if len(times) >= _CRASHES:
-            bound = times[_CRASHES - 1] + _STABLE_WINDOW_S
-            if bound < end:
-                later[path] = sum(at > bound for at in times)
+            limit = times[_CRASHES - 1] + _STABLE_WINDOW_S
+            if limit < end:
+                later[path] = sum(at > limit for at in times)
     return later
 
 
 def _check(site: gateways.Site, crashers, end: float) -> None:
-    later = _arrivals_after_the_bound(site, end)
+    later = _crashes_after_limit(site, end)
     assert later, "no request crashed three servers"
-    assert max(later.values()) <= _MOST_LATER, site.world.crashes_by_path
+    assert max(later.values()) <= _MAX_LATER, site.world.crashes_by_path
     for one in crashers:
         # A request that was never alone at a crash may be sent until its fifth.
-        times = site.world.crashes_by_path.get(one.path, ())[_SURE_AFTER - 1 :]
+        times = site.world.crashes_by_path.get(one.path, ())[
+            _CERTAIN_AFTER - 1 :
+        ]
         if times and times[0] + _STABLE_WINDOW_S < end:
             assert one.reasons[-1] == "crashes-upstreams", one.reasons
     assert any("crashes-upstreams" in one.reasons for one in crashers)
@@ -118,9 +120,9 @@
         assert b"crashes-upstreams" not in outcome.body
 
 
-def _play(tmp_path, kind: str, seconds: float, disturb) -> None:
+def _run_site(tmp_path, kind: str, seconds: float, disturb) -> None:
     async def scenario(site):
-        crashers = await _suffer(site, kind, seconds, disturb)
+        crashers = await _run_callers(site, kind, seconds, disturb)
         _check(site, crashers, asyncio.get_running_loop().time())
 
     asyncio.run(gateways.Site(tmp_path, 3, seed=1).play(scenario))
@@ -134,20 +136,20 @@
             await server.start_again(1.0)
 
 
-async def _leader_killed(site: gateways.Site) -> None:
+async def _kill_leader(site: gateways.Site) -> None:
     await _unrelated_crashes(site)
     await site.gateways[0].end(signal.SIGKILL)
 
 
-async def _one_starts_in_the_middle(site: gateways.Site) -> None:
+async def _restart_one_vm(site: gateways.Site) -> None:
     await site.gateways[2].end(signal.SIGKILL)
     await _unrelated_crashes(site)
     await site.gateways[2].start()
 
 
 def test_owners_are_protected_from_crashing_requests(tmp_path):
-    _play(tmp_path, "read", 18.0, _leader_killed)
+    _run_site(tmp_path, "read", 18.0, _kill_leader)
 
 
 def test_restarted_vm_learns_of_crashing_requests(tmp_path):
-    _play(tmp_path, "write", 14.0, _one_starts_in_the_middle)
+    _run_site(tmp_path, "write", 14.0, _restart_one_vm)
--- a/tests/integration/test_gateway_callers.py
+++ b/tests/integration/test_gateway_callers.py
@@ -15,38 +15,38 @@
 _SLOW_S = 0.05
 
 
-class _Scripted(caller_requests.Responder):
+class _ScriptedResponder(caller_requests.Responder):
     """Responds as given by the path, `/NAME/DELAY_MS/BYTES`.
 
     Requests for `/x...` may not run concurrently with others.
 
     Attributes:
-        begun: Paths in the order in which their handling started.
+        started: Paths in the order in which their handling started.
         cancelled: Paths whose handling was cancelled.
         arrivals: Times of arrival by path.
     """
 
     def __init__(self):
-        self.begun: list[str] = []
+        self.started: list[str] = []
         self.cancelled: list[str] = []
         self.arrivals: dict[str, float] = {}
         self.gates: dict[str, asyncio.Event] = {}
-        self.at_once = 0
-        self.most_at_once = 0
+        self.concurrent = 0
+        self.max_concurrent = 0
 
     async def respond(self, incoming):
         path = incoming.request.path
-        self.begun.append(path)
+        self.started.append(path)
         self.arrivals[path] = incoming.arrived
-        self.at_once += 1
-        self.most_at_once = max(self.at_once, self.most_at_once)
+        self.concurrent += 1
+        self.max_concurrent = max(self.concurrent, self.max_concurrent)
         try:
             return await self._answer(incoming, path)
         except asyncio.CancelledError:
             self.cancelled.append(path)
             raise
         finally:
-            self.at_once -= 1
+            self.concurrent -= 1
 
     async def _answer(self, incoming, path):
         _, name, delay_ms, size = path.split("/")
@@ -94,13 +94,13 @@
         body = (await self._reader.readexactly(length)).decode()
         return status, body, "connection: close" in head
 
-    async def has_ended(self) -> bool:
+    async def is_closed(self) -> bool:
         return await self._reader.read() == b""
 
 
 def _run(scenario) -> None:
     async def main():
-        responder = _Scripted()
+        responder = _ScriptedResponder()
         connections: set = set()
         loop = asyncio.get_running_loop()
         listener = await loop.create_server(
@@ -138,11 +138,11 @@
         gate = _gate(responder, "/slow/0/0")
         paths = ["/slow/0/0", "/a/0/0", "/b/0/0"]
         caller.send(*paths)
-        await _until(lambda: responder.begun == paths)
+        await _until(lambda: responder.started == paths)
         gate.set()
         for path in paths:
-            status, body, ends = await caller.answer()
-            assert (status, body, ends) == (200, path + "0", False)
+            status, body, closes = await caller.answer()
+            assert (status, body, closes) == (200, path + "0", False)
 
     _run(scenario)
 
@@ -151,14 +151,14 @@
     async def scenario(responder, caller):
         gate = _gate(responder, "/x1/0/0")
         caller.send("/x1/0/0", "/a/0/0", "/x2/0/0", "/b/0/0")
-        await _until(lambda: responder.begun == ["/x1/0/0"])
+        await _until(lambda: responder.started == ["/x1/0/0"])
         # A request that may overlap doesn't start beside one that may not.
         await asyncio.sleep(0)
-        assert responder.begun == ["/x1/0/0"]
+        assert responder.started == ["/x1/0/0"]
         gate.set()
         for path in ("/x1/0/0", "/a/0/0", "/x2/0/0", "/b/0/0"):
             assert (await caller.answer())[1].startswith(path)
-        assert responder.most_at_once == 1
+        assert responder.max_concurrent == 1
 
     _run(scenario)
 
@@ -172,7 +172,7 @@
         caller.send("/a/0/0")
         assert (await caller.answer())[1] == "/p/20/0100000"
         assert (await caller.answer())[1] == "/a/0/00"
-        assert responder.most_at_once == 1
+        assert responder.max_concurrent == 1
 
     _run(scenario)
 
@@ -182,8 +182,8 @@
         caller.send("/a/20/0", extra="Connection: close\r\n")
         caller.send("/b/0/0")
         assert await caller.answer() == (200, "/a/20/00", True)
-        assert await caller.has_ended()
-        assert responder.begun == ["/a/20/0"]
+        assert await caller.is_closed()
+        assert responder.started == ["/a/20/0"]
 
     _run(scenario)
 
@@ -192,16 +192,16 @@
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
         caller.send("/slow/0/0", "/a/0/0")
-        await _until(lambda: len(responder.begun) == 2)
+        await _until(lambda: len(responder.started) == 2)
         responder.is_leaving = True
         caller.send("/b/0/0", "/c/0/0")
         await asyncio.sleep(_SLOW_S)
         gate.set()
         assert await caller.answer() == (200, "/slow/0/00", False)
         assert await caller.answer() == (200, "/a/0/00", True)
-        assert await caller.has_ended()
+        assert await caller.is_closed()
         # Requests behind the closing response were not handled.
-        assert responder.begun == ["/slow/0/0", "/a/0/0"]
+        assert responder.started == ["/slow/0/0", "/a/0/0"]
 
     _run(scenario)
 
@@ -220,7 +220,7 @@
     async def scenario(responder, caller):
         gate = _gate(responder, "/slow/0/0")
         caller.send("/slow/0/0", "/long/0/0", "/b/0/0")
-        await _until(lambda: len(responder.begun) == 3)
+        await _until(lambda: len(responder.started) == 3)
         await asyncio.sleep(_SLOW_S)
         gate.set()
         assert (await caller.answer())[1] == "/slow/0/00"
@@ -234,7 +234,7 @@
     async def scenario(responder, caller):
         paths = [f"/a{i}/5000/0" for i in range(3)]
         caller.send(*paths)
-        await _until(lambda: len(responder.begun) == 3)
+        await _until(lambda: len(responder.started) == 3)
         caller.writer.transport.abort()
         await _until(lambda: sorted(responder.cancelled) == paths)
 
@@ -247,8 +247,8 @@
         caller.send(*paths)
         for path in paths:
             assert (await caller.answer())[1] == path + "0"
-        assert responder.begun == paths
-        assert 1 < responder.most_at_once <= callers.MAX_CONCURRENT_REQUESTS
+        assert responder.started == paths
+        assert 1 < responder.max_concurrent <= callers.MAX_CONCURRENT_REQUESTS
 
     _run(scenario)
 
@@ -259,12 +259,12 @@
         size = callers.MAX_FINISHED_BYTES
         paths = [f"/a{i}/0/{size}" for i in range(4)]
         caller.send("/slow/0/0", paths[0])
-        await _until(lambda: len(responder.begun) == 2)
+        await _until(lambda: len(responder.started) == 2)
         await asyncio.sleep(_SLOW_S)
         caller.send(*paths[1:])
         await asyncio.sleep(_SLOW_S)
         # One response fills the buffer, so that no other request is started.
-        assert responder.begun == ["/slow/0/0", paths[0]]
+        assert responder.started == ["/slow/0/0", paths[0]]
         gate.set()
         assert (await caller.answer())[1] == "/slow/0/00"
         for path in paths:
@@ -300,13 +300,13 @@
 def test_malformed_request_is_answered_after_earlier_ones():
     async def scenario(responder, caller):
         caller.send("/a/20/0")
-        await _until(lambda: responder.begun == ["/a/20/0"])
+        await _until(lambda: responder.started == ["/a/20/0"])
         caller.writer.write(b"no request\r\n\r\n")
         caller.send("/b/0/0")
         assert await caller.answer() == (200, "/a/20/00", False)
         assert await caller.answer() == (400, "malformed", True)
-        assert await caller.has_ended()
-        assert responder.begun == ["/a/20/0"]
+        assert await caller.is_closed()
+        assert responder.started == ["/a/20/0"]
 
     _run(scenario)
 
--- a/tests/unit/test_gateway_crash_check.py
+++ b/tests/unit/test_gateway_crash_check.py
@@ -34,7 +34,7 @@
         self.released += 1
 
 
-class _Crashes:
+class _CrashGuard:
     """Rejects every request."""
 
     def __init__(self):
@@ -44,7 +44,7 @@
         raise outcomes.CrashingRequestError("a cause", step="look for suspects")
 
 
-class _Sender:
+class _Client:
 
     def __init__(self):
         self.sent = 0
@@ -54,45 +54,47 @@
         raise outcomes.UnknownOutcomeError("cut", step="send")
 
 
-def _play(crashes: _Crashes, permits: _Permits, is_probe: bool) -> _Sender:
-    sender = _Sender()
-    made = types.SimpleNamespace(
+def _run_handler(
+    crash_guard: _CrashGuard, permits: _Permits, is_probe: bool
+) -> _Client:
+    client = _Client()
+    handler = types.SimpleNamespace(
         _permits=permits,
-        _client=sender,
-        _crashes=crashes,
+        _client=client,
+        _crashes=crash_guard,
         _record_send=lambda *_: None,
         _update_target=lambda *_: None,
         _may_retry=lambda *_: False,
         _final_error=lambda error, *_: error,
     )
 
-    async def is_ordinary(*_) -> bool:
+    async def may_resend(*_) -> bool:
         return True
 
-    made._check_for_crash = is_ordinary
+    handler._check_for_crash = may_resend
     call = types.SimpleNamespace(digest=lambda: b"d" * 16, is_probe=is_probe)
     waiter = builders.waiter(clocks.monotonic(), None)
     run = handler_lib.RequestHandler._send_with_retries(
-        made, call, waiter, None
+        handler, call, waiter, None
     )
     with pytest.raises(outcomes.GatewayError):
         asyncio.run(run)
-    return sender
+    return client
 
 
 def test_request_identified_as_crashing_while_waiting_is_not_sent():
-    crashes = _Crashes()
+    crash_guard = _CrashGuard()
 
-    def hear() -> None:
-        crashes.has_suspects = True
+    def receive_report() -> None:
+        crash_guard.has_suspects = True
 
-    permits = _Permits(hear)
-    assert _play(crashes, permits, is_probe=False).sent == 0
+    permits = _Permits(receive_report)
+    assert _run_handler(crash_guard, permits, is_probe=False).sent == 0
     assert permits.released == 1
 
 
 def test_probe_is_sent():
-    crashes = _Crashes()
-    crashes.has_suspects = True
+    crash_guard = _CrashGuard()
+    crash_guard.has_suspects = True
     permits = _Permits(lambda: None)
-    assert _play(crashes, permits, is_probe=True).sent == 1
+    assert _run_handler(crash_guard, permits, is_probe=True).sent == 1
--- a/tests/unit/test_gateway_suspects.py
+++ b/tests/unit/test_gateway_suspects.py
@@ -26,11 +26,11 @@
     return fingerprint.digest(**(fields | changes))
 
 
-def _crash(number: int) -> causes.CrashId:
+def _crash_id(number: int) -> causes.CrashId:
     return causes.crash_id(model.UpstreamId(f"u-{number}"), 7)
 
 
-def _suspect_table(crashes: dict[str, list[int]]) -> suspects.SuspectTable:
+def _make_table(crashes: dict[str, list[int]]) -> suspects.SuspectTable:
     """Returns suspects, given the crash numbers of each request."""
     table = suspects.SuspectTable()
     order = sorted({one for numbers in crashes.values() for one in numbers})
@@ -38,7 +38,7 @@
         for sent_s, (name, numbers) in enumerate(crashes.items(), 1):
             if number in numbers:
                 table.record_crash(
-                    _digest(name), _crash(number), sent_s, _NOW + number
+                    _digest(name), _crash_id(number), sent_s, _NOW + number
                 )
     return table
 
@@ -72,19 +72,19 @@
     [(0, _PASS), (1, _PASS), (2, _NO_RETRY), (3, _REJECT), (4, _REJECT)],
 )
 def test_only_suspect_of_crashes_is_their_cause(count, verdict):
-    table = _suspect_table({"bad": list(range(count))})
+    table = _make_table({"bad": list(range(count))})
     assert _verdict(table, "bad") is verdict
 
 
 def test_crash_reported_repeatedly_counts_once():
-    table = _suspect_table({"bad": [1]})
+    table = _make_table({"bad": [1]})
     for _ in range(5):
-        table.record_crash(_digest("bad"), _crash(1), 0.1, _NOW)
+        table.record_crash(_digest("bad"), _crash_id(1), 0.1, _NOW)
     assert _verdict(table, "bad") is _PASS
 
 
 def test_response_clears_a_suspect():
-    table = _suspect_table({"good": [0, 1]})
+    table = _make_table({"good": [0, 1]})
     assert table.record_response(_digest("good"), _NOW + 10)
     assert _verdict(table, "good") is _PASS
     assert table.crashes(_digest("good")) == 0
@@ -92,7 +92,7 @@
 
 
 def test_last_sent_of_two_simultaneous_suspects_is_the_cause():
-    table = _suspect_table({"bad": [0, 1, 2], "good": [0, 1, 2]})
+    table = _make_table({"bad": [0, 1, 2], "good": [0, 1, 2]})
     assert _verdict(table, "bad") is _REJECT
     assert _verdict(table, "good") is _NO_RETRY
 
@@ -103,7 +103,7 @@
         for place, name in enumerate(("one", "other")):
             sent_s = 0.1 if number % 2 == place else 0.2
             table.record_crash(
-                _digest(name), _crash(number), sent_s, _NOW + number
+                _digest(name), _crash_id(number), sent_s, _NOW + number
             )
         if number == 2:
             assert _verdict(table, "one") is _NO_RETRY
@@ -114,25 +114,25 @@
 
 
 def test_crashes_explained_by_a_cause_do_not_count_for_others():
-    table = _suspect_table({"bad": [0, 1, 2, 3, 4], "good": [0, 1, 2]})
+    table = _make_table({"bad": [0, 1, 2, 3, 4], "good": [0, 1, 2]})
     assert _verdict(table, "bad") is _REJECT
     assert _verdict(table, "good") is not _REJECT
 
 
 def test_bystander_of_several_causes_is_not_a_cause():
     bad = {"bad-1": [0, 3, 4], "bad-2": [1, 5, 6], "bad-3": [2, 7, 8]}
-    table = _suspect_table(bad | {"good": [0, 1, 2]})
+    table = _make_table(bad | {"good": [0, 1, 2]})
     for name in bad:
         assert _verdict(table, name) is _REJECT
     assert _verdict(table, "good") is not _REJECT
 
 
 def test_two_causes_that_share_a_crash_are_both_found():
-    table = _suspect_table({"bad-1": [0, 1, 2], "bad-2": [2, 3, 4]})
+    table = _make_table({"bad-1": [0, 1, 2], "bad-2": [2, 3, 4]})
     assert _verdict(table, "bad-1") is _REJECT
     # The first one explains one of its three crashes.
     assert _verdict(table, "bad-2") is _NO_RETRY
-    table.record_crash(_digest("bad-2"), _crash(5), 0.1, _NOW + 5)
+    table.record_crash(_digest("bad-2"), _crash_id(5), 0.1, _NOW + 5)
     assert _verdict(table, "bad-2") is _REJECT
 
 
@@ -140,7 +140,7 @@
     others = {f"other-{n}": [0, 1, 2, 3, 4] for n in range(4)}
     last = {"last": [n + 100 for n in range(2)]}
     crashes = others | last
-    table = _suspect_table(crashes | {"bad": [0, 1, 2, 3]})
+    table = _make_table(crashes | {"bad": [0, 1, 2, 3]})
     assert table.identified_causes() == [_digest("other-0")]
     assert _verdict(table, "bad") is _NO_RETRY
 
@@ -149,14 +149,14 @@
     table = suspects.SuspectTable()
     table.record_response(_digest("good"), _NOW)
     for number in range(4):
-        table.record_crash(_digest("good"), _crash(number), 0.1, _NOW + number)
+        table.record_crash(
+            _digest("good"), _crash_id(number), 0.1, _NOW + number
+        )
     assert table.crashes(_digest("good")) == 0
 
 
 def test_response_at_any_vm_clears_a_suspect_at_all_vms():
-    answered, other = suspects.SuspectTable(), _suspect_table(
-        {"good": [0, 1, 2]}
-    )
+    answered, other = suspects.SuspectTable(), _make_table({"good": [0, 1, 2]})
     answered.record_response(_digest("good"), _NOW - 50)
     answered.receive(other.report(_NOW + 3), _NOW + 3)
     other.receive(answered.report(_NOW + 3.5), _NOW + 3.5)
@@ -164,7 +164,7 @@
 
 
 def test_cause_is_rejected_only_after_the_contradiction_period():
-    table = _suspect_table({"bad": [0, 1, 2]})
+    table = _make_table({"bad": [0, 1, 2]})
     soon = _NOW + 2 + suspects.CONTRADICTION_PERIOD_S
     assert _verdict(table, "bad", soon - 0.1) is _NO_RETRY
     assert _verdict(table, "bad", soon + 0.1) is _REJECT
@@ -178,7 +178,7 @@
 
 
 def test_one_vm_probes_after_quarantine_at_most_once_a_minute():
-    table, bad = _suspect_table({"bad": [0, 1, 2]}), _digest("bad")
+    table, bad = _make_table({"bad": [0, 1, 2]}), _digest("bad")
     at = _NOW + 2 + suspects.FIRST_QUARANTINE_S
     assert table.verdict(bad, at - 1, is_prober=True) is _REJECT
     assert table.verdict(bad, at + 1, is_prober=False) is _REJECT
@@ -190,21 +190,21 @@
 
 
 def test_crash_during_a_probe_extends_the_quarantine():
-    table, bad = _suspect_table({"bad": [0, 1, 2]}), _digest("bad")
+    table, bad = _make_table({"bad": [0, 1, 2]}), _digest("bad")
     at = _NOW + 3 + suspects.FIRST_QUARANTINE_S
     assert table.verdict(bad, at, is_prober=True) is _PROBE
-    table.record_crash(bad, _crash(50), 0.1, at)
+    table.record_crash(bad, _crash_id(50), 0.1, at)
     later = at + suspects.QUARANTINE_S
     assert table.verdict(bad, later - 1, is_prober=True) is _REJECT
     assert table.verdict(bad, later + 1, is_prober=True) is _PROBE
 
 
 def test_flood_of_suspects_is_bounded_and_does_not_evict_a_cause():
-    table = _suspect_table({"bad": [0, 1, 2]})
+    table = _make_table({"bad": [0, 1, 2]})
     for number in range(5000):
         name = _digest(f"flood-{number}")
         table.record_crash(
-            name, _crash(100 + number), 0.1, _NOW + 5 + number / 1000
+            name, _crash_id(100 + number), 0.1, _NOW + 5 + number / 1000
         )
     assert len(table) <= suspects.MAX_SUSPECTS + 1
     assert _verdict(table, "bad") is _REJECT
@@ -218,12 +218,12 @@
 
 def test_report_size_is_bounded():
     names = [f"bad-{number}" for number in range(40)]
-    table = _suspect_table({name: list(range(12)) for name in names})
+    table = _make_table({name: list(range(12)) for name in names})
     assert len(msgspec.msgpack.encode(table.report(_NOW + 12))) < 1500
 
 
 def test_repeated_and_late_reports_change_nothing():
-    first, second = _suspect_table({"bad": [0, 1]}), suspects.SuspectTable()
+    first, second = _make_table({"bad": [0, 1]}), suspects.SuspectTable()
     reported = first.report(_NOW + 5)
     for at in (5, 6, 7):
         second.receive(reported, _NOW + at)
@@ -237,7 +237,7 @@
 
 
 def test_suspects_of_one_crash_are_reported_only_while_recent():
-    table = _suspect_table({"good": [0], "bad": [0, 1]})
+    table = _make_table({"good": [0], "bad": [0, 1]})
     reported = {one.digest for one in table.report(_NOW + 2)}
     assert reported == {_digest("good"), _digest("bad")}
     reported = {
@@ -253,7 +253,7 @@
 
 def test_vm_that_starts_later_receives_all_suspects_in_rotation():
     names = [f"bad-{number}" for number in range(12)]
-    table = _suspect_table(
+    table = _make_table(
         {name: [3 * i, 3 * i + 1, 3 * i + 2] for i, name in enumerate(names)}
     )
     late = suspects.SuspectTable()
@@ -269,7 +269,7 @@
     tables = [suspects.SuspectTable() for _ in range(vms)]
     for number in range(3):
         tables[(number * 37) % vms].record_crash(
-            _digest("bad"), _crash(number), 0.1, _NOW
+            _digest("bad"), _crash_id(number), 0.1, _NOW
         )
     at = _NOW
     while at < _NOW + 3.0:
