--- a/tests/integration/test_narrow_links.py
+++ b/tests/integration/test_narrow_links.py
@@ -6,7 +6,7 @@
 refused some VMs; those on links of 5 Mbit/s retried the store and peers and
 kept their old configuration.
 
-The cause were timeouts for whole answers, of the store and of peers: 0.7 s for
+The cause was timeouts for whole answers, of the store and of peers: 0.7 s for
 a call to the store after a failure and 0.5 s for a request to a peer, while the
 answers take 0.72 and 0.54 s on such a link without other traffic. Small tables
 were fetched from peers 608 times and this one never; VMs of domains whose
