--- a/src/swiftstile/daemons/coordinator.py
+++ b/src/swiftstile/daemons/coordinator.py
@@ -99,13 +99,13 @@
         match message:
             case messages.Ping():
                 return self._pong()
-            case messages.AskPromise():
+            case messages.PromiseRequest():
                 return self._promise(message)
             case messages.Resigned():
                 return self._resigned(message)
-            case messages.Locate():
+            case messages.LocateRequest():
                 return self._locate(message)
-            case messages.Watch():
+            case messages.WatchRequest():
                 return await self._watch(message)
         return messages.Refused(f"can't answer {type(message).__name__}")
 
@@ -117,7 +117,7 @@
             self._leaving,
         )
 
-    def _promise(self, ask: messages.AskPromise) -> messages.Message:
+    def _promise(self, ask: messages.PromiseRequest) -> messages.Message:
         if ask.candidate != self._me.incarnation:
             return messages.Refused("meant for another run of this process")
         duration = min(ask.duration_s, self._settings.coordinator.promise_s)
@@ -132,22 +132,22 @@
             )
         )
         known = keeper.known.epoch if keeper and keeper.known else ask.epoch
-        return messages.Promised(granted, known)
+        return messages.PromiseReply(granted, known)
 
     def _resigned(self, message: messages.Resigned) -> messages.Message:
         if message.candidate != self._me.incarnation:
             return messages.Refused("meant for another run of this process")
         self._book.release(message.service, message.epoch)
-        return messages.Promised(False, message.epoch)
+        return messages.PromiseReply(False, message.epoch)
 
-    def _locate(self, ask: messages.Locate) -> messages.Located:
+    def _locate(self, ask: messages.LocateRequest) -> messages.LocateReply:
         keeper = self._keepers.get(ask.service)
         if keeper is None or keeper.known is None:
-            return messages.Located(self._me.vm, False, ids.Epoch(0))
+            return messages.LocateReply(self._me.vm, False, ids.Epoch(0))
         is_holder = keeper.active is not None
-        return messages.Located(self._me.vm, is_holder, keeper.known.epoch)
+        return messages.LocateReply(self._me.vm, is_holder, keeper.known.epoch)
 
-    async def _watch(self, watch: messages.Watch) -> messages.Message:
+    async def _watch(self, watch: messages.WatchRequest) -> messages.Message:
         keeper = self._keepers.get(watch.service)
         active = keeper.active if keeper else None
         if active is None or active.assignment is None:
--- a/src/swiftstile/gateway/relay.py
+++ b/src/swiftstile/gateway/relay.py
@@ -90,9 +90,9 @@
     async def handle(self, message: messages.Message) -> messages.Message:
         """See base class."""
         now = clocks.monotonic()
-        if isinstance(message, messages.AskPiece):
+        if isinstance(message, messages.ChunkRequest):
             return self._outgoing.piece(message.number, message.offset, now)
-        if not isinstance(message, messages.AskRows):
+        if not isinstance(message, messages.RowsRequest):
             return messages.Refused("expected ask-rows")
         follower = self._followers.get(message.table)
         if follower is None or not follower.is_loaded:
@@ -208,9 +208,9 @@
         self, question: _Question, follower: follow.TableFollower
     ) -> messages.Rows:
         link = self._calls.to(question.address)
-        message = messages.AskRows(follower.name, follower.version)
+        message = messages.RowsRequest(follower.name, follower.version)
         # Tried once: another peer may be quicker than one that is silent.
-        first = await link.call(message, messages.Piece, TIMEOUT_S)
+        first = await link.call(message, messages.Chunk, TIMEOUT_S)
         incoming = transfers.IncomingRows(first)
         while not incoming.is_whole:
             # The store would not be quicker than what is already coming.
@@ -224,18 +224,18 @@
         link: links.Link,
         question: _Question,
         incoming: transfers.IncomingRows,
-    ) -> messages.Piece:
-        message = messages.AskPiece(incoming.number, incoming.received)
+    ) -> messages.Chunk:
+        message = messages.ChunkRequest(incoming.number, incoming.received)
         timeout_s = TIMEOUT_S
         for _ in range(PIECE_TRIES - 1):
             try:
-                return await link.call(message, messages.Piece, timeout_s)
+                return await link.call(message, messages.Chunk, timeout_s)
             except errors.PeerTimeoutError as error:
                 # What came before it is kept.
                 logs.logger.info("piece not relayed", error=str(error))
                 question.is_late = True
                 timeout_s *= 2
-        return await link.call(message, messages.Piece, timeout_s)
+        return await link.call(message, messages.Chunk, timeout_s)
 
 
 def _may_be_quicker(follower: follow.TableFollower, now: float) -> bool:
--- a/src/swiftstile/gateway/transfers.py
+++ b/src/swiftstile/gateway/transfers.py
@@ -99,7 +99,7 @@
         span: Span,
         make_rows: collections.abc.Callable[[], messages.Rows],
         now: float,
-    ) -> messages.Piece:
+    ) -> messages.Chunk:
         """Returns the first piece of an answer.
 
         Args:
@@ -113,7 +113,7 @@
             number = self._keep(span, _encode(make_rows()), now)
         return self.piece(number, 0, now)
 
-    def piece(self, number: int, offset: int, now: float) -> messages.Piece:
+    def piece(self, number: int, offset: int, now: float) -> messages.Chunk:
         """Returns a piece of an answer.
 
         Raises:
@@ -126,7 +126,7 @@
             )
         answer.used_at = now
         data = answer.data[offset : offset + PIECE_BYTES]
-        return messages.Piece(number, len(answer.data), data)
+        return messages.Chunk(number, len(answer.data), data)
 
     def _keep(self, span, data: bytes, now: float) -> int:
         self._number += 1
@@ -162,7 +162,7 @@
         size: Bytes in all.
     """
 
-    def __init__(self, first: messages.Piece):
+    def __init__(self, first: messages.Chunk):
         if first.size > MOST_BYTES:
             raise errors.ControlMessageError(
                 f"{first.size} bytes, at most {MOST_BYTES}", step="fetch rows"
@@ -182,7 +182,7 @@
         """Whether all pieces are here."""
         return len(self._data) == self.size
 
-    def add(self, piece: messages.Piece) -> None:
+    def add(self, piece: messages.Chunk) -> None:
         """Takes in the next piece.
 
         Raises:
--- a/src/swiftstile/ownership/coordination.py
+++ b/src/swiftstile/ownership/coordination.py
@@ -107,7 +107,9 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def watch(self, request: messages.Watch) -> messages.WatchReply:
+    async def watch(
+        self, request: messages.WatchRequest
+    ) -> messages.WatchReply:
         """Answers a router, as soon as there is a newer assignment."""
         received_at = clocks.monotonic()
         self._custody.note_watch(request)
--- a/src/swiftstile/ownership/custody.py
+++ b/src/swiftstile/ownership/custody.py
@@ -75,10 +75,10 @@
         del servers
         return True
 
-    def note_watch(self, watch: messages.Watch) -> None:
+    def note_watch(self, watch: messages.WatchRequest) -> None:
         """Notes what a router says of itself."""
 
-    def extend_routes(self, watch: messages.Watch) -> float:
+    def extend_routes(self, watch: messages.WatchRequest) -> float:
         """Extends a router's lease.
 
         Returns:
@@ -203,19 +203,19 @@
         lease = self._settings.promise_s if released else 0.0
         return lease + CLOCK_ERROR_S
 
-    def note_watch(self, watch: messages.Watch) -> None:
+    def note_watch(self, watch: messages.WatchRequest) -> None:
         """See base class."""
         self._router(watch).oldest_in_flight = watch.oldest_in_flight
         self._changed.set()
 
-    def extend_routes(self, watch: messages.Watch) -> float:
+    def extend_routes(self, watch: messages.WatchRequest) -> float:
         """See base class."""
         until = self._holder.validity.until()
         router = self._router(watch)
         router.lease_until = max(router.lease_until, until)
         return until
 
-    def _router(self, watch: messages.Watch) -> _Router:
+    def _router(self, watch: messages.WatchRequest) -> _Router:
         router = self._by_router.get(watch.router)
         if router is None:
             router = _Router(0.0, watch.oldest_in_flight)
--- a/src/swiftstile/ownership/holder.py
+++ b/src/swiftstile/ownership/holder.py
@@ -110,7 +110,7 @@
             self.service, self.lease.epoch, candidate.incarnation
         )
         try:
-            await self._call(candidate, message, messages.Promised)
+            await self._call(candidate, message, messages.PromiseReply)
         except errors.SwiftstileError:
             # It finds the released row when it reads the table next.
             return
@@ -130,7 +130,7 @@
 
     async def _ask(self, candidate: leases.Candidate) -> bool:
         duration = self._settings.promise_s
-        message = messages.AskPromise(
+        message = messages.PromiseRequest(
             self.service,
             self.lease.epoch,
             self.lease.holder.vm,
@@ -139,7 +139,7 @@
         )
         asked_at = clocks.monotonic()
         try:
-            answer = await self._call(candidate, message, messages.Promised)
+            answer = await self._call(candidate, message, messages.PromiseReply)
         except errors.SwiftstileError:
             return False
         if answer.epoch > self.lease.epoch:
--- a/src/swiftstile/peers/messages.py
+++ b/src/swiftstile/peers/messages.py
@@ -9,23 +9,23 @@
 
 __all__ = [
     "CODEC",
-    "AskPiece",
-    "AskPromise",
-    "AskRows",
-    "Locate",
-    "Located",
+    "Chunk",
+    "ChunkRequest",
+    "LocateReply",
+    "LocateRequest",
     "Message",
     "NotHolder",
-    "Piece",
     "Ping",
     "Pong",
-    "Promised",
+    "PromiseReply",
+    "PromiseRequest",
     "Refused",
     "Resigned",
     "Row",
     "Rows",
-    "Watch",
+    "RowsRequest",
     "WatchReply",
+    "WatchRequest",
 ]
 
 
@@ -51,7 +51,7 @@
     leaving: bool = False
 
 
-class AskPromise(msgspec.Struct, tag="ask-promise", frozen=True):
+class PromiseRequest(msgspec.Struct, tag="ask-promise", frozen=True):
     """A holder asks a candidate not to take over for a time."""
 
     service: ids.ServiceId
@@ -61,7 +61,7 @@
     duration_s: float
 
 
-class Promised(msgspec.Struct, tag="promised", frozen=True):
+class PromiseReply(msgspec.Struct, tag="promised", frozen=True):
     """A candidate's answer."""
 
     granted: bool
@@ -76,13 +76,13 @@
     candidate: ids.Incarnation
 
 
-class Locate(msgspec.Struct, tag="locate", frozen=True):
+class LocateRequest(msgspec.Struct, tag="locate", frozen=True):
     """Asks who coordinates a service."""
 
     service: ids.ServiceId
 
 
-class Located(msgspec.Struct, tag="located", frozen=True):
+class LocateReply(msgspec.Struct, tag="located", frozen=True):
     """Whether the answerer coordinates, and in which epoch."""
 
     vm: ids.VmId
@@ -90,7 +90,7 @@
     epoch: ids.Epoch
 
 
-class Watch(msgspec.Struct, tag="watch", frozen=True):
+class WatchRequest(msgspec.Struct, tag="watch", frozen=True):
     """A router asks for what changed, and waits for it.
 
     Attributes:
@@ -132,7 +132,7 @@
     """The answerer doesn't coordinate that service."""
 
 
-class AskRows(msgspec.Struct, tag="ask-rows", frozen=True):
+class RowsRequest(msgspec.Struct, tag="ask-rows", frozen=True):
     """Asks for the rows of a table, if the answerer knows newer ones.
 
     Attributes:
@@ -166,7 +166,7 @@
     is_whole: bool
 
 
-class AskPiece(msgspec.Struct, tag="ask-piece", frozen=True):
+class ChunkRequest(msgspec.Struct, tag="ask-piece", frozen=True):
     """Asks for more of an answer that is too long for one message.
 
     Attributes:
@@ -178,8 +178,8 @@
     offset: int
 
 
-class Piece(msgspec.Struct, tag="piece", frozen=True):
-    """A part of an answer to `AskRows`: of `Rows`, encoded and compressed.
+class Chunk(msgspec.Struct, tag="piece", frozen=True):
+    """A part of an answer to `RowsRequest`: of `Rows`, encoded and compressed.
 
     Attributes:
         number: The answerer's number for the whole answer.
@@ -201,18 +201,18 @@
 Message = (
     Ping
     | Pong
-    | AskPromise
-    | Promised
+    | PromiseRequest
+    | PromiseReply
     | Resigned
-    | Locate
-    | Located
-    | Watch
+    | LocateRequest
+    | LocateReply
+    | WatchRequest
     | WatchReply
     | NotHolder
-    | AskRows
+    | RowsRequest
     | Rows
-    | AskPiece
-    | Piece
+    | ChunkRequest
+    | Chunk
     | Refused
 )
 
--- a/src/swiftstile/routing/owners.py
+++ b/src/swiftstile/routing/owners.py
@@ -171,7 +171,7 @@
                 await self._follow(located)
             await asyncio.sleep(_LOCATE_RETRY_S)
 
-    async def _locate(self) -> messages.Located | None:
+    async def _locate(self) -> messages.LocateReply | None:
         """Asks all VMs of the organisation which one coordinates.
 
         Only a holder's own word counts, and the first one is enough: VMs that
@@ -196,17 +196,17 @@
                 ask.cancel()
         return None
 
-    async def _ask(self, address: str) -> messages.Located | None:
+    async def _ask(self, address: str) -> messages.LocateReply | None:
         try:
             return await self._peers.to(address).call(
-                messages.Locate(self._service),
-                messages.Located,
+                messages.LocateRequest(self._service),
+                messages.LocateReply,
                 _LOCATE_TIMEOUT_S,
             )
         except errors.SwiftstileError:
             return None
 
-    async def _follow(self, located: messages.Located) -> None:
+    async def _follow(self, located: messages.LocateReply) -> None:
         vm = self._directory.by_id.get(located.vm)
         if vm is None:
             return
@@ -223,7 +223,7 @@
         # The coordinator waits to hear that older requests have ended; a
         # question that says so at once saves a whole wait.
         await table.settle(_SETTLE_S)
-        request = messages.Watch(
+        request = messages.WatchRequest(
             self._service,
             self._vm,
             self._router,
@@ -246,7 +246,7 @@
         table.extend_lease(asked_at + reply.route_lease_s)
 
     async def _ask_for_changes(
-        self, link: links.Link, request: messages.Watch
+        self, link: links.Link, request: messages.WatchRequest
     ) -> messages.WatchReply:
         try:
             reply = await link.call(
--- a/tests/integration/test_links.py
+++ b/tests/integration/test_links.py
@@ -57,7 +57,7 @@
 
 
 async def _ask_rows(link: links.Link, timeout_s: float) -> messages.Rows:
-    question = messages.AskRows("op", 0)
+    question = messages.RowsRequest("op", 0)
     return await link.call(question, messages.Rows, timeout_s)
 
 
--- a/tests/unit/test_gateway_readers.py
+++ b/tests/unit/test_gateway_readers.py
@@ -146,7 +146,7 @@
         async with asyncio.timeout(2):
             while led.version < 9:
                 await asyncio.sleep(0.01)
-        assert asked == [messages.AskRows(_TABLE, 2)]
+        assert asked == [messages.RowsRequest(_TABLE, 2)]
         assert led.rows["x"].value == b"2"
         client.note(peer, 100.2)
         await asyncio.sleep(0.01)
@@ -294,7 +294,7 @@
     offsets = [
         question.offset
         for question in link.asked
-        if isinstance(question, messages.AskPiece)
+        if isinstance(question, messages.ChunkRequest)
     ]
     assert led.version == 9
     step = transfers.PIECE_BYTES
--- a/tests/unit/test_gateway_rows_dying.py
+++ b/tests/unit/test_gateway_rows_dying.py
@@ -126,13 +126,13 @@
         running = asyncio.create_task(asking.run())
         await _until(lambda: follower.version == 7)
         (dead, _), *_ = links.asked
-        pieces = links.asked.count((dead, messages.AskPiece))
+        pieces = links.asked.count((dead, messages.ChunkRequest))
         # The dead peer hasn't been given up yet.
         assert pieces <= relay.PIECE_TRIES - 1
         # Its question ends with the answer of the other.
         follower.failing_since = None
         await _until(lambda: not asking._asking)
-        assert links.asked.count((dead, messages.AskPiece)) == pieces
+        assert links.asked.count((dead, messages.ChunkRequest)) == pieces
         running.cancel()
 
     asyncio.run(scenario())
--- a/tests/unit/test_gateway_rows_guards.py
+++ b/tests/unit/test_gateway_rows_guards.py
@@ -38,7 +38,7 @@
 
 
 def _ask(server: relay.RowRelay, version: int) -> messages.Rows:
-    question = messages.AskRows("operations", version)
+    question = messages.RowsRequest("operations", version)
     first = asyncio.run(server.handle(question))
     return transfers.IncomingRows(first).rows()
 
@@ -101,7 +101,7 @@
     value = json.dumps({"resources": routes}).encode()
     assert len(value) > 250_000
     server = _relay([_follower("operations", 3, ("config", value, 2))])
-    first = asyncio.run(server.handle(messages.AskRows("operations", 1)))
+    first = asyncio.run(server.handle(messages.RowsRequest("operations", 1)))
     assert first.size <= 65536
 
 
--- a/tests/unit/test_gateway_rows_racing.py
+++ b/tests/unit/test_gateway_rows_racing.py
@@ -251,7 +251,7 @@
     async def scenario():
         server = _server(500, 30_000)
         for version in range(100, 280):
-            await server.handle(messages.AskRows(_TABLE, version))
+            await server.handle(messages.RowsRequest(_TABLE, version))
 
     asyncio.run(scenario())
     assert len(encoded) <= 2
@@ -263,7 +263,7 @@
         server = _server(500, 96_000)
         incoming = [
             transfers.IncomingRows(
-                await server.handle(messages.AskRows(_TABLE, version))
+                await server.handle(messages.RowsRequest(_TABLE, version))
             )
             for version in range(100, 200)
         ]
@@ -271,7 +271,7 @@
         for one in incoming:
             try:
                 while not one.is_whole:
-                    question = messages.AskPiece(one.number, one.received)
+                    question = messages.ChunkRequest(one.number, one.received)
                     one.add(await server.handle(question))
             except errors.ControlMessageError:
                 lost += 1
--- a/tests/unit/test_holder.py
+++ b/tests/unit/test_holder.py
@@ -67,7 +67,7 @@
         return self
 
     async def call(self, message, expected, timeout_s):
-        return messages.Promised(True, ids.Epoch(1))
+        return messages.PromiseReply(True, ids.Epoch(1))
 
 
 class _Scout:
--- a/tests/unit/test_owners.py
+++ b/tests/unit/test_owners.py
@@ -72,8 +72,8 @@
         self._whole_s = whole_s
 
     async def call(self, message, expected, timeout_s):
-        if isinstance(message, messages.Locate):
-            return messages.Located(ids.VmId("vm-1"), True, ids.Epoch(1))
+        if isinstance(message, messages.LocateRequest):
+            return messages.LocateReply(ids.VmId("vm-1"), True, ids.Epoch(1))
         self.limits.append(timeout_s)
         is_known = message.version == self.assignment.version
         takes_s = message.wait_s if is_known else self._whole_s
