--- a/src/swiftstile/gateway/relay.py
+++ b/src/swiftstile/gateway/relay.py
@@ -74,7 +74,7 @@
         self,
         followers: dict[str, follow.TableFollower],
         peers: gossip.Peers,
-        calls: links.Links,
+        calls: links.LinkPool,
         seeds: list[str],
         meters: metrics.Meters,
     ):
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -273,7 +273,7 @@
         row_relay = relay.RowRelay(
             followers,
             self._peers,
-            links.Links(self._meters),
+            links.LinkPool(self._meters),
             _seed_addresses(self._settings.vm),
             self._meters,
         )
--- a/src/swiftstile/ownership/holder.py
+++ b/src/swiftstile/ownership/holder.py
@@ -50,7 +50,7 @@
         row_version: int,
         taken_at: float,
         table: base.Table,
-        peers: links.Links,
+        peers: links.LinkPool,
         scout: scouts.Scout,
         settings: settings_lib.CoordinatorSettings,
     ):
--- a/src/swiftstile/ownership/scouts.py
+++ b/src/swiftstile/ownership/scouts.py
@@ -24,7 +24,7 @@
         self,
         me: leases.Candidate,
         directory: vms.VmDirectory,
-        peers: links.Links,
+        peers: links.LinkPool,
         timeout_s: float,
     ):
         self._me = me
--- a/src/swiftstile/peers/links.py
+++ b/src/swiftstile/peers/links.py
@@ -11,12 +11,12 @@
 from swiftstile import metrics
 from swiftstile.peers import messages
 
-__all__ = ["ControlHandler", "ControlServer", "Link", "Links"]
+__all__ = ["ControlHandler", "ControlServer", "Link", "LinkPool"]
 
 # pynng's name for a request that is never sent again by itself.
-_NEVER = -1
+_NO_RESEND = -1
 _MAX_MESSAGE_BYTES = 4 << 20
-_MAX_PARALLEL_HANDSHAKES_MS = 200
+_MAX_RECONNECT_MS = 200
 
 T = typing.TypeVar("T")
 
@@ -37,7 +37,7 @@
         self._meters = meters
         # For the next call; others only end what was begun on them.
         self._connection: _Connection | None = None
-        self._open: set[_Connection] = set()
+        self._open_connections: set[_Connection] = set()
         # All that didn't end yet, those that were given up included.
         self._exchanges: set[asyncio.Task[bytes]] = set()
 
@@ -57,14 +57,14 @@
                 peer would take.
         """
         step = f"call {type(message).__name__}"
-        question = messages.CODEC.encode(message)
-        if len(question) > _MAX_MESSAGE_BYTES:
+        request = messages.CODEC.encode(message)
+        if len(request) > _MAX_MESSAGE_BYTES:
             self._meters.control_messages.add("too-large")
             raise errors.ControlMessageError(
-                _too_large(question), step=step, peer=self._address
+                _too_large(request), step=step, peer=self._address
             )
         try:
-            data = await self._ask(question, timeout_s)
+            data = await self._request(request, timeout_s)
         except (TimeoutError, pynng.NNGException) as error:
             raise errors.PeerTimeoutError(
                 repr(error), step=step, peer=self._address
@@ -76,8 +76,8 @@
             )
         return answer
 
-    async def _ask(self, data: bytes, timeout_s: float) -> bytes:
-        connection = self._connected()
+    async def _request(self, data: bytes, timeout_s: float) -> bytes:
+        connection = self._current_connection()
         connection.calls += 1
         try:
             return await self._exchange_within(connection, data, timeout_s)
@@ -96,7 +96,7 @@
         # cancel that pynng doesn't heed would keep the caller for good.
         exchange = asyncio.create_task(self._exchange(connection, data))
         self._exchanges.add(exchange)
-        exchange.add_done_callback(self._end)
+        exchange.add_done_callback(self._on_exchange_done)
         try:
             done, _ = await asyncio.wait({exchange}, timeout=timeout_s)
             if not done:
@@ -105,22 +105,22 @@
         finally:
             exchange.cancel()
 
-    def _end(self, exchange: asyncio.Task[bytes]) -> None:
+    def _on_exchange_done(self, exchange: asyncio.Task[bytes]) -> None:
         self._exchanges.discard(exchange)
         if not exchange.cancelled():
             # Of one that was given up nobody asks; it needn't be logged.
             exchange.exception()
 
-    def _connected(self) -> _Connection:
+    def _current_connection(self) -> _Connection:
         if self._connection is None:
             self._connection = _Connection(self._dial())
-            self._open.add(self._connection)
+            self._open_connections.add(self._connection)
         return self._connection
 
     def _close_unused(self, connection: _Connection) -> None:
         if connection is not self._connection and not connection.calls:
             _close_quietly(connection.socket)
-            self._open.discard(connection)
+            self._open_connections.discard(connection)
 
     async def _exchange(self, connection: _Connection, data: bytes) -> bytes:
         self._meters.control_bytes.add("peer-sent", len(data))
@@ -135,22 +135,22 @@
         return answer
 
     def _dial(self) -> pynng.Req0:
-        socket = pynng.Req0(resend_time=_NEVER)
+        socket = pynng.Req0(resend_time=_NO_RESEND)
         socket.recv_max_size = _MAX_MESSAGE_BYTES
         socket.reconnect_time_min = 50
-        socket.reconnect_time_max = _MAX_PARALLEL_HANDSHAKES_MS
+        socket.reconnect_time_max = _MAX_RECONNECT_MS
         socket.dial(f"tcp://{self._address}", block=False)
         return socket
 
     def close(self) -> None:
         """Closes all connections; the next call opens another."""
-        for connection in self._open:
+        for connection in self._open_connections:
             _close_quietly(connection.socket)
-        self._open.clear()
+        self._open_connections.clear()
         self._connection = None
 
 
-class Links:
+class LinkPool:
     """All links of a process, by address."""
 
     def __init__(self, meters: metrics.Meters):
@@ -191,12 +191,12 @@
         address: str,
         handler: ControlHandler,
         meters: metrics.Meters,
-        parallel: int,
+        max_parallel: int,
     ):
         self._address = address
         self._handler = handler
         self._meters = meters
-        self._parallel = parallel
+        self._max_parallel = max_parallel
 
     async def run(self) -> None:
         """Serves until cancelled.
@@ -213,7 +213,7 @@
                     repr(error), step="listen for peers", peer=self._address
                 ) from error
             async with asyncio.TaskGroup() as group:
-                for _ in range(self._parallel):
+                for _ in range(self._max_parallel):
                     group.create_task(self._serve(socket))
 
     async def _serve(self, socket: pynng.Rep0) -> None:
--- a/src/swiftstile/routing/owners.py
+++ b/src/swiftstile/routing/owners.py
@@ -146,7 +146,7 @@
         router: ids.Incarnation,
         table: OwnerTable,
         directory: vms.VmDirectory,
-        peers: links.Links,
+        peers: links.LinkPool,
         wait_s: float,
         timeout_s: float,
     ):
--- a/src/swiftstile/wiring.py
+++ b/src/swiftstile/wiring.py
@@ -72,7 +72,7 @@
         directory = self._directory()
         book = leases.PromiseBook()
         bundles = self._bundle_watch()
-        peers = links.Links(self._meters)
+        peers = links.LinkPool(self._meters)
         scout = scouts.Scout(me, directory, peers, settings.call_timeout_s)
         control = upstream_http.HttpUpstreamControl(
             settings.call_timeout_s, self._meters
@@ -143,7 +143,7 @@
         vm = self._settings.vm
         telemetry.expose(self._meters)
         directory = self._directory()
-        peers = links.Links(self._meters)
+        peers = links.LinkPool(self._meters)
         table = routes.RouteTable()
         forwarder = forwarding.Forwarder(self._meters)
         incarnation = ids.new_incarnation(vm.id)
--- a/tests/integration/test_links.py
+++ b/tests/integration/test_links.py
@@ -42,7 +42,7 @@
     answerer = _Answerer(size)
     server = links.ControlServer(address, answerer, meters, _PARALLEL)
     serving = asyncio.create_task(server.run())
-    calls = links.Links(meters)
+    calls = links.LinkPool(meters)
     try:
         async with narrow_link.NarrowLink(address) as narrow:
             yield answerer, calls.to(narrow.address), narrow
--- a/tests/integration/test_narrow_links.py
+++ b/tests/integration/test_narrow_links.py
@@ -160,7 +160,7 @@
     led = _follower()
     led.accept(interfaces.Snapshot([], 1), True)
     led.is_loaded = True
-    calls = links.Links(meters)
+    calls = links.LinkPool(meters)
     client = relay.RowRelay({_TABLE: led}, _peers(), calls, [], meters)
     try:
         async with narrow_link.NarrowLink(address) as link:
--- a/tests/integration/test_shared_links.py
+++ b/tests/integration/test_shared_links.py
@@ -71,7 +71,7 @@
         control = links.ControlServer(address, handler, meters, relay.PARALLEL)
         serving = asyncio.create_task(control.run())
         led = {name: _follower(name, 2, 1) for name in _NAMES}
-        calls = links.Links(meters)
+        calls = links.LinkPool(meters)
         client = relay.RowRelay(led, _peers(), calls, [], meters)
         row = builders.node_row("vm-10", address=address)
         words = {name: reports.TableWord(9, 0.1) for name in _NAMES}
@@ -114,7 +114,7 @@
             vms = []
             for _ in range(30):
                 led = _follower("operations", 2, 1)
-                calls = links.Links(meters)
+                calls = links.LinkPool(meters)
                 client = relay.RowRelay(
                     {"operations": led}, _peers(), calls, [], meters
                 )
