--- a/src/swiftstile/bundles/commands.py
+++ b/src/swiftstile/bundles/commands.py
@@ -13,11 +13,11 @@
 from swiftstile.bundles import model
 from swiftstile.bundles import records
 from swiftstile.provider import base
-from swiftstile.provider import settle
+from swiftstile.provider import retries
 
 __all__ = ["BundleCommands"]
 
-_SETTLE_S = 20.0
+_RETRY_TIMEOUT_S = 20.0
 
 
 class BundleCommands:
@@ -80,14 +80,14 @@
             )
         self._expect_state(record, records.BundleState.APPROVED, "roll")
         writes = [
-            self._restate(record_row, record, records.BundleState.IN_FORCE)
+            self._state_write(record_row, record, records.BundleState.IN_FORCE)
         ]
         if head.in_force:
             old, old_row = await self._record(
                 organisation, head.in_force, "roll"
             )
             superseded = records.BundleState.SUPERSEDED
-            writes.append(self._restate(old_row, old, superseded))
+            writes.append(self._state_write(old_row, old, superseded))
         changed = msgspec.structs.replace(
             head, in_force=version, digest=record.digest
         )
@@ -116,7 +116,7 @@
                 step="retire",
                 peer=str(organisation),
             )
-        writes = [self._restate(row, record, records.BundleState.RETIRED)]
+        writes = [self._state_write(row, record, records.BundleState.RETIRED)]
         await self._commit(
             organisation, head, head, row_version, writes, "retire", version
         )
@@ -143,7 +143,7 @@
                 step=step,
             )
 
-    def _restate(self, row, record, state) -> base.Write:
+    def _state_write(self, row, record, state) -> base.Write:
         changed = msgspec.structs.replace(record, state=state)
         return base.Write(row.key, row.version, codec.to_json(changed))
 
@@ -168,8 +168,8 @@
         audit_key = records.audit_key(organisation, number)
         audit = base.Write(audit_key, base.ABSENT, codec.to_json(entry))
         try:
-            await settle.settled_transact(
-                self._table, [head_write, *writes, audit], _SETTLE_S
+            await retries.transact_with_retries(
+                self._table, [head_write, *writes, audit], _RETRY_TIMEOUT_S
             )
         except errors.ConflictError as error:
             winner, _ = await self._head(organisation)
--- a/src/swiftstile/bundles/model.py
+++ b/src/swiftstile/bundles/model.py
@@ -128,12 +128,12 @@
             faults += found
         elif kind == "service" and _NAME.fullmatch(name):
             spec, found = ini.to_section(ServiceSpec, section, parser[section])
-            faults += found + (_limits(section, spec) if spec else [])
+            faults += found + (_out_of_range(section, spec) if spec else [])
             services[ids.ServiceName(name)] = spec
         else:
             problem = "unknown section; known: [bundle], [service NAME]"
             faults.append(ini.Fault(section, "", problem))
-    faults += _whole(parser, head, services)
+    faults += _missing_parts(parser, head, services)
     if faults:
         raise errors.BundleError(
             "; ".join(map(str, faults)), step="check bundle", peer=source
@@ -146,7 +146,7 @@
     return ids.Digest(hashlib.sha256(codec.to_json(bundle)).hexdigest())
 
 
-def _whole(parser, head, services) -> list[ini.Fault]:
+def _missing_parts(parser, head, services) -> list[ini.Fault]:
     faults = []
     if not parser.has_section("bundle"):
         faults.append(ini.Fault("bundle", "", "section missing"))
@@ -158,7 +158,7 @@
     return faults
 
 
-def _limits(section: str, spec: ServiceSpec) -> list[ini.Fault]:
+def _out_of_range(section: str, spec: ServiceSpec) -> list[ini.Fault]:
     ranges = {
         "slots": (1, 10_000),
         "connections": (1, 100_000),
--- a/src/swiftstile/bundles/watch.py
+++ b/src/swiftstile/bundles/watch.py
@@ -56,9 +56,9 @@
             for organisation in self._organisations:
                 await self._refresh(organisation)
         except errors.SwiftstileError as error:
-            self._note_reachable(False, error)
+            self._set_reachable(False, error)
         else:
-            self._note_reachable(True)
+            self._set_reachable(True)
 
     async def _refresh(self, organisation) -> None:
         head = await self._source.head(organisation)
@@ -76,7 +76,7 @@
         )
         self.changes.on_next(change)
 
-    def _note_reachable(self, reachable: bool, error=None) -> None:
+    def _set_reachable(self, reachable: bool, error=None) -> None:
         if reachable != self.reachable.value:
             text = "reachable" if reachable else "unreachable"
             logs.logger.info(f"platform {text}", error=str(error or ""))
--- a/src/swiftstile/ownership/coordination.py
+++ b/src/swiftstile/ownership/coordination.py
@@ -21,7 +21,7 @@
 from swiftstile.ownership import slices
 from swiftstile.peers import messages
 from swiftstile.provider import base
-from swiftstile.provider import settle
+from swiftstile.provider import retries
 
 __all__ = ["Coordination"]
 
@@ -371,7 +371,9 @@
             writes = await self._store.writes(wanted, self._row_version, change)
             async with self._holder.table_lock:
                 guarded = [self._holder.check_write(), *writes]
-                await settle.settled_transact(self._table, guarded, math.inf)
+                await retries.transact_with_retries(
+                    self._table, guarded, math.inf
+                )
         except errors.PlatformUnavailableError:
             self._put_off_writes()
             self._call_off()
--- a/src/swiftstile/ownership/holder.py
+++ b/src/swiftstile/ownership/holder.py
@@ -15,7 +15,7 @@
 from swiftstile.peers import links
 from swiftstile.peers import messages
 from swiftstile.provider import base
-from swiftstile.provider import settle
+from swiftstile.provider import retries
 
 __all__ = ["Holder", "LeaseLostError"]
 
@@ -225,7 +225,7 @@
                 self.row_version,
                 codec.to_json(lease),
             )
-            await settle.settled_transact(self._table, [write], settle_s)
+            await retries.transact_with_retries(self._table, [write], settle_s)
             self.lease = lease
             self.row_version += 1
         self.validity.note_confirmed(sent_at)
--- a/src/swiftstile/ownership/keeper.py
+++ b/src/swiftstile/ownership/keeper.py
@@ -15,7 +15,7 @@
 from swiftstile.ownership import leases
 from swiftstile.ownership import scouts
 from swiftstile.provider import base
-from swiftstile.provider import settle
+from swiftstile.provider import retries
 
 __all__ = ["LeaseKeeper", "rank"]
 
@@ -175,7 +175,7 @@
         if not self._book.begin_take_over(self._service, sent_at):
             return
         try:
-            await settle.settled_transact(self._table, [write], math.inf)
+            await retries.transact_with_retries(self._table, [write], math.inf)
         except errors.ConflictError:
             self._book.end_take_over(self._service)
             return
--- a/src/swiftstile/provider/http.py
+++ b/src/swiftstile/provider/http.py
@@ -14,12 +14,12 @@
 __all__ = ["HttpObjectStore", "HttpTable", "HttpVmList", "TransactBody"]
 
 _CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.InvalidURL)
-_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
+_TRANSPORT_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 # No request goes on for longer, whatever its size.
-_LONGEST_S = 60.0
+_TOTAL_TIMEOUT_S = 60.0
 # An upload may be as slow as a tenth of the narrowest link. What the system
 # took from us isn't sent yet, so silence says nothing before the answer.
-_LEAST_UPLOAD_BYTES_PER_S = 62_500
+_MIN_UPLOAD_BYTES_PER_S = 62_500
 
 
 class WriteBody(msgspec.Struct):
@@ -66,10 +66,10 @@
     async def request(self, method, path, step, **options):
         """Returns (status, body); raises PlatformUnavailableError."""
         sent = len(options.get("data", b""))
-        begins_s = self._timeout_s + sent / _LEAST_UPLOAD_BYTES_PER_S
+        first_byte_timeout_s = self._timeout_s + sent / _MIN_UPLOAD_BYTES_PER_S
         try:
-            async with asyncio.timeout(begins_s):
-                response = await self._opened().request(
+            async with asyncio.timeout(first_byte_timeout_s):
+                response = await self._open_session().request(
                     method, self._url + path, **options
                 )
             async with response:
@@ -79,15 +79,15 @@
                 self._meters.count_http("platform", response, sent)
                 self.etag = response.headers.get("ETag")
                 return response.status, body
-        except _ERRORS as error:
+        except _TRANSPORT_ERRORS as error:
             raise errors.PlatformUnavailableError(
                 repr(error), step=step, peer=self._url
             ) from error
 
-    def _opened(self) -> aiohttp.ClientSession:
+    def _open_session(self) -> aiohttp.ClientSession:
         # Opened late: a session belongs to the loop that is running.
         if self._session is None:
-            timeout = aiohttp.ClientTimeout(total=_LONGEST_S)
+            timeout = aiohttp.ClientTimeout(total=_TOTAL_TIMEOUT_S)
             self._session = aiohttp.ClientSession(
                 timeout=timeout,
                 skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding"),
--- a/src/swiftstile/provider/settle.py
+++ b/src/swiftstile/provider/retries.py
@@ -7,14 +7,14 @@
 from swiftstile import ids
 from swiftstile.provider import base
 
-__all__ = ["settled_transact"]
+__all__ = ["transact_with_retries"]
 
-_FIRST_WAIT_S = 0.05
-_LONGEST_WAIT_S = 2.0
+_INITIAL_BACKOFF_S = 0.05
+_MAX_BACKOFF_S = 2.0
 
 
-async def settled_transact(
-    table: base.Table, writes: list[base.Write], deadline_s: float
+async def transact_with_retries(
+    table: base.Table, writes: list[base.Write], timeout_s: float
 ) -> None:
     """Does all writes or none, and knows which.
 
@@ -24,31 +24,31 @@
     Args:
         table: The table.
         writes: The parts of the transaction.
-        deadline_s: How long to try, in seconds.
+        timeout_s: How long to try, in seconds.
 
     Raises:
         ConflictError: An expected version didn't hold; nothing was done.
         PlatformUnavailableError: Nothing was done, and none will be.
-        OutcomeUnknownError: Still not settled after `deadline_s`.
+        OutcomeUnknownError: Still not settled after `timeout_s`.
     """
     attempt = ids.new_attempt_id()
     loop = asyncio.get_running_loop()
-    end = loop.time() + deadline_s
-    wait = _FIRST_WAIT_S
-    uncertain = False
+    end = loop.time() + timeout_s
+    backoff_s = _INITIAL_BACKOFF_S
+    may_be_applied = False
     while True:
         try:
             return await table.transact(writes, attempt)
         except errors.OutcomeUnknownError:
-            uncertain = True
-            if loop.time() + wait > end:
+            may_be_applied = True
+            if loop.time() + backoff_s > end:
                 raise
         except errors.PlatformUnavailableError as error:
-            if not uncertain:
+            if not may_be_applied:
                 raise
-            if loop.time() + wait > end:
+            if loop.time() + backoff_s > end:
                 raise errors.OutcomeUnknownError(
                     "not settled", step=error.step, peer=error.peer
                 ) from error
-        await asyncio.sleep(wait * random.uniform(0.5, 1.0))
-        wait = min(wait * 2, _LONGEST_WAIT_S)
+        await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
+        backoff_s = min(backoff_s * 2, _MAX_BACKOFF_S)
