--- a/src/swiftstile/commandline/daemons.py
+++ b/src/swiftstile/commandline/daemons.py
@@ -84,7 +84,7 @@
         runner = None
         if inspect_address:
             runner = await inspection_page.start(
-                inspect_address, daemon, telemetry.page
+                inspect_address, daemon, telemetry.render
             )
         try:
             await daemon.run(stopping)
--- a/src/swiftstile/metrics.py
+++ b/src/swiftstile/metrics.py
@@ -8,14 +8,14 @@
 
 import aiohttp
 
-__all__ = ["Counts", "Durations", "Meters"]
+__all__ = ["MAX_BUFFERED", "Durations", "LabelledCounter", "Meters"]
 
 # Durations that are kept until there is an instrument for them: the first
 # seconds of a process, at a few hundred requests/s.
-MOST_EARLY = 2000
+MAX_BUFFERED = 2000
 
 
-class Counts:
+class LabelledCounter:
     """Plain counters for the hot path, read when they are scraped.
 
     An addition to a dict costs a tenth of one to an instrument, which counts
@@ -46,23 +46,23 @@
     """
 
     def __init__(self):
-        self._early: collections.deque[float] = collections.deque(
-            maxlen=MOST_EARLY
+        self._buffered: collections.deque[float] = collections.deque(
+            maxlen=MAX_BUFFERED
         )
         self._record: collections.abc.Callable[[float], None] | None = None
 
     def record(self, seconds: float) -> None:
         """Takes in one request."""
         if self._record is None:
-            self._early.append(seconds)
+            self._buffered.append(seconds)
         else:
             self._record(seconds)
 
     def bind(self, record: collections.abc.Callable[[float], None]) -> None:
         """Hands all durations to an instrument, those of before included."""
         self._record = record
-        while self._early:
-            record(self._early.popleft())
+        while self._buffered:
+            record(self._buffered.popleft())
 
 
 class Meters:
@@ -70,15 +70,15 @@
 
     def __init__(self):
         self.durations = Durations()
-        self.requests = Counts()
-        self.refusals = Counts()
-        self.sends = Counts()
-        self.control_bytes = Counts()
-        self.control_messages = Counts()
-        self.ownership = Counts()
-        self.permits = Counts()
-        self.crashes = Counts()
-        self.rows = Counts()
+        self.requests = LabelledCounter()
+        self.refusals = LabelledCounter()
+        self.sends = LabelledCounter()
+        self.control_bytes = LabelledCounter()
+        self.control_messages = LabelledCounter()
+        self.ownership = LabelledCounter()
+        self.permits = LabelledCounter()
+        self.crashes = LabelledCounter()
+        self.rows = LabelledCounter()
 
     def count_http(
         self, kind: str, response: aiohttp.ClientResponse, sent: int
@@ -104,5 +104,5 @@
         return {
             name: counts.by_label()
             for name, counts in vars(self).items()
-            if isinstance(counts, Counts)
+            if isinstance(counts, LabelledCounter)
         }
--- a/src/swiftstile/telemetry.py
+++ b/src/swiftstile/telemetry.py
@@ -11,13 +11,13 @@
 
 from swiftstile import metrics
 
-__all__ = ["expose", "page"]
+__all__ = ["expose", "render"]
 
 _LATENCY_BUCKETS_S = [
     0.001, 0.002, 0.003, 0.005, 0.008, 0.012, 0.02, 0.05, 0.1, 0.5, 1, 2, 5,
 ]  # fmt: skip
 
-_DESCRIPTIONS = {
+_INSTRUMENTS = {
     "requests": ("swiftstile.requests", "{request}", "outcome"),
     "refusals": ("swiftstile.refusals", "{request}", "reason"),
     "sends": ("swiftstile.upstream.sends", "{send}", "result"),
@@ -34,7 +34,7 @@
     """Binds the counters of a process to instruments."""
     reader = prometheus.PrometheusMetricReader()
     meter = sdk.MeterProvider(metric_readers=[reader]).get_meter("swiftstile")
-    for name, (metric, unit, label) in _DESCRIPTIONS.items():
+    for name, (metric, unit, label) in _INSTRUMENTS.items():
         counts = getattr(meters, name)
         meter.create_observable_counter(
             metric, [_observer(counts, label)], unit=unit
@@ -47,12 +47,12 @@
     meters.durations.bind(latency.record)
 
 
-def page() -> bytes:
+def render() -> bytes:
     """Returns all metrics of this process, as Prometheus reads them."""
     return prometheus_client.generate_latest()
 
 
-def _observer(counts: metrics.Counts, label: str):
+def _observer(counts: metrics.LabelledCounter, label: str):
     def observe(_options):
         for value, amount in counts.by_label().items():
             yield otel.Observation(amount, {label: value})
--- a/tests/unit/test_telemetry.py
+++ b/tests/unit/test_telemetry.py
@@ -13,7 +13,7 @@
     meters.durations.record(0.004)
     telemetry.expose(meters)
     meters.durations.record(0.3)
-    page = telemetry.page().decode()
+    page = telemetry.render().decode()
     assert "swiftstile_requests_total{" in page
     assert 'outcome="answered"' in page
     assert "swiftstile_request_duration_seconds_count" in page
@@ -27,21 +27,21 @@
 
 def test_early_durations_are_bounded():
     durations = metrics.Durations()
-    for number in range(2 * metrics.MOST_EARLY):
+    for number in range(2 * metrics.MAX_BUFFERED):
         durations.record(number)
     seen = []
     durations.bind(seen.append)
-    assert len(seen) == metrics.MOST_EARLY
-    assert seen[-1] == 2 * metrics.MOST_EARLY - 1
+    assert len(seen) == metrics.MAX_BUFFERED
+    assert seen[-1] == 2 * metrics.MAX_BUFFERED - 1
 
 
 def test_every_counter_of_a_process_shows():
     counters = {
         name
         for name, value in vars(metrics.Meters()).items()
-        if isinstance(value, metrics.Counts)
+        if isinstance(value, metrics.LabelledCounter)
     }
-    assert counters == set(telemetry._DESCRIPTIONS)
+    assert counters == set(telemetry._INSTRUMENTS)
 
 
 def test_a_gateway_starts_without_loading_telemetry():
