--- a/src/swiftstile/cli.py
+++ b/src/swiftstile/cli.py
@@ -8,7 +8,7 @@
 from swiftstile import errors
 from swiftstile.commandline import bundles
 from swiftstile.commandline import daemons
-from swiftstile.commandline import looks
+from swiftstile.commandline import diagnostics
 from swiftstile.commandline import shared
 
 __all__ = ["main"]
@@ -55,7 +55,7 @@
         "--version", action="version", version=swiftstile.__version__
     )
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
-    for group in (daemons, bundles, looks):
+    for group in (daemons, bundles, diagnostics):
         group.add(commands)
     return parser
 
--- a/src/swiftstile/commandline/daemons.py
+++ b/src/swiftstile/commandline/daemons.py
@@ -12,7 +12,7 @@
 from swiftstile import telemetry
 from swiftstile import wiring
 from swiftstile.commandline import shared
-from swiftstile.daemons import inspection_page
+from swiftstile.daemons import inspection_server
 from swiftstile.gateway import settings as gateway_settings
 
 __all__ = ["add"]
@@ -83,7 +83,7 @@
         daemon = getattr(parts, role)()
         runner = None
         if inspect_address:
-            runner = await inspection_page.start(
+            runner = await inspection_server.start(
                 inspect_address, daemon, telemetry.render
             )
         try:
--- a/src/swiftstile/commandline/looks.py
+++ b/src/swiftstile/commandline/diagnostics.py
@@ -17,11 +17,11 @@
 
 def add(commands) -> None:
     """Adds the commands."""
-    _add_looks(commands)
+    _add_status_and_audit(commands)
     _add_explain(commands)
 
 
-def _add_looks(commands) -> None:
+def _add_status_and_audit(commands) -> None:
     status = commands.add_parser(
         "status", help="show the state of this VM's daemons, or of others"
     )
@@ -51,7 +51,7 @@
 
 
 def _add_explain(commands) -> None:
-    text = "tell the story of one request from log files of any VMs"
+    text = "tell the trace of one request from log files of any VMs"
     command = commands.add_parser("explain", help=text, description=text)
     command.add_argument("request", help="the caller's id of the attempt")
     command.add_argument("file", type=pathlib.Path, nargs="+", help="a log")
@@ -60,8 +60,8 @@
 
 
 def _explain(args) -> int:
-    story = explain.find(args.request, args.file)
-    return shared.print_result(args, story, explain.render(story))
+    trace = explain.find(args.request, args.file)
+    return shared.print_result(args, trace, explain.render(trace))
 
 
 def _audit(args) -> int:
--- a/src/swiftstile/daemons/inspection_page.py
+++ b/src/swiftstile/daemons/inspection_server.py
@@ -14,18 +14,18 @@
 async def start(
     address: str,
     daemon: inspection.Inspectable,
-    page: collections.abc.Callable[[], bytes],
+    render_metrics: collections.abc.Callable[[], bytes],
 ) -> web.AppRunner:
     """Serves `/metrics`, `/status` and `/health`.
 
     Args:
         address: `host:port` to listen at.
         daemon: Whose status it is.
-        page: Returns the metrics.
+        render_metrics: Returns the metrics.
     """
 
     async def metrics(_request: web.Request) -> web.Response:
-        body = page()
+        body = render_metrics()
         return web.Response(body=body, content_type="text/plain")
 
     async def status(_request: web.Request) -> web.Response:
--- a/src/swiftstile/explain.py
+++ b/src/swiftstile/explain.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the log lines of any VMs.
+"""The trace of one request, from the log lines of any VMs.
 
 Lines of the request come in order of time. Before them stand the changes that
 were in force when it came: the newest of each kind at the same VM, with how
@@ -13,11 +13,11 @@
 
 from swiftstile import errors
 
-__all__ = ["Change", "Story", "find", "render"]
+__all__ = ["Change", "RequestTrace", "find", "render"]
 
 # Changes of state that decide what becomes of requests, and the field that
 # tells several of a kind apart.
-_CHANGES = {
+_CHANGE_EVENTS = {
     "configuration in force": "",
     "table lost": "table",
     "table regained": "table",
@@ -32,8 +32,8 @@
     "moves wait for the store": "service",
     "release unanswered": "upstream",
 }
-_DROPPED = "lines dropped"
-_SHOWN_APART = ("id", "vm", "at_ms", "event", "time", "level")
+_DROPPED_EVENT = "lines dropped"
+_OMITTED_FIELDS = ("id", "vm", "at_ms", "event", "time", "level")
 
 
 class Change(msgspec.Struct):
@@ -45,7 +45,7 @@
     fields: dict[str, object]
 
 
-class Story(msgspec.Struct):
+class RequestTrace(msgspec.Struct):
     """What is known of one request.
 
     Attributes:
@@ -61,8 +61,8 @@
     dropped: int
 
 
-def find(request_id: str, files: list[pathlib.Path]) -> Story:
-    """Returns the story of a request.
+def find(request_id: str, files: list[pathlib.Path]) -> RequestTrace:
+    """Returns the trace of a request.
 
     Args:
         request_id: The caller's id of the attempt.
@@ -71,14 +71,14 @@
     Raises:
         LogError: A file can't be read, or no line has that id.
     """
-    decisions, states, dropped = [], [], 0
+    decisions, changes, dropped = [], [], 0
     for line in _lines(files):
         if line.get("id") == request_id:
             decisions.append(line)
-        elif line.get("event") == _DROPPED:
+        elif line.get("event") == _DROPPED_EVENT:
             dropped += int(line.get("count", 0))
-        elif line.get("event") in _CHANGES:
-            states.append(line)
+        elif line.get("event") in _CHANGE_EVENTS:
+            changes.append(line)
     if not decisions:
         raise errors.LogError(
             f"no line of {request_id}; {dropped} lines were dropped",
@@ -86,7 +86,9 @@
             peer=", ".join(map(str, files)),
         )
     decisions.sort(key=lambda line: line.get("at_ms", 0))
-    return Story(request_id, decisions, _in_force(decisions, states), dropped)
+    return RequestTrace(
+        request_id, decisions, _in_force(decisions, changes), dropped
+    )
 
 
 def _lines(files) -> collections.abc.Iterator[dict[str, object]]:
@@ -106,21 +108,23 @@
                 yield line
 
 
-def _in_force(decisions, states) -> list[Change]:
+def _in_force(decisions, changes) -> list[Change]:
     """Returns the newest change of each kind before the request came."""
     first = decisions[0]
-    came_ms = first.get("at_ms", 0) - first.get("waited_ms", 0)
+    arrived_ms = first.get("at_ms", 0) - first.get("waited_ms", 0)
     vms = {line.get("vm") for line in decisions}
     upstreams = {line.get("upstream") for line in decisions}
     newest: dict[tuple, Change] = {}
-    for line in states:
-        age_s = (came_ms - _at_ms(line)) / 1000
+    for line in changes:
+        age_s = (arrived_ms - _at_ms(line)) / 1000
         event = line["event"]
-        detail = line.get(_CHANGES[event], "")
-        is_other = event.startswith("upstream") and detail not in upstreams
+        detail = line.get(_CHANGE_EVENTS[event], "")
+        is_other_upstream = (
+            event.startswith("upstream") and detail not in upstreams
+        )
         # Key maps are written by the leader alone, and count for all VMs.
-        is_here = line.get("vm") in vms or event == "key map written"
-        if age_s < 0 or is_other or not is_here:
+        is_relevant_vm = line.get("vm") in vms or event == "key map written"
+        if age_s < 0 or is_other_upstream or not is_relevant_vm:
             continue
         key = (line.get("vm"), event, detail)
         known = newest.get(key)
@@ -141,27 +145,27 @@
 
 
 def _fields(line) -> dict[str, object]:
-    return {k: v for k, v in line.items() if k not in _SHOWN_APART}
+    return {k: v for k, v in line.items() if k not in _OMITTED_FIELDS}
 
 
-def render(story: Story) -> str:
-    """Returns a story as text."""
-    lines = [f"request {story.id}", "in force when it came:"]
-    for change in story.changes:
+def render(trace: RequestTrace) -> str:
+    """Returns a trace as text."""
+    lines = [f"request {trace.id}", "in force when it came:"]
+    for change in trace.changes:
         lines.append(
             f"  {change.age_s:9.3f} s before  {change.vm}  {change.event}"
             f"  {_text(change.fields)}"
         )
     lines.append("decisions:")
-    came_ms = story.decisions[0].get("at_ms", 0)
-    for line in story.decisions:
-        after_ms = line.get("at_ms", 0) - came_ms
+    arrived_ms = trace.decisions[0].get("at_ms", 0)
+    for line in trace.decisions:
+        after_ms = line.get("at_ms", 0) - arrived_ms
         lines.append(
             f"  {after_ms:+9d} ms  {line.get('vm', '')}  {line.get('event')}"
             f"  {_text(_fields(line))}"
         )
-    if story.dropped:
-        lines.append(f"{story.dropped} lines were dropped in these files")
+    if trace.dropped:
+        lines.append(f"{trace.dropped} lines were dropped in these files")
     return "\n".join(lines)
 
 
--- a/tests/integration/test_gateway_stories.py
+++ b/tests/integration/test_gateway_stories.py
@@ -31,10 +31,10 @@
     return holders[0]
 
 
-async def _story(site, attempt: str, last_event: str) -> explain.Story:
+async def _trace(site, attempt: str, last_event: str) -> explain.RequestTrace:
     """Returns what the logs of all VMs say, once they say how it ended."""
     files = [gateway.log for gateway in site.gateways]
-    found: list[explain.Story] = []
+    found: list[explain.RequestTrace] = []
 
     async def is_written() -> bool:
         try:
@@ -58,8 +58,8 @@
         outcomes = await asyncio.gather(*calls)
         refused = [one for one in outcomes if one.status == 503]
         assert refused
-        story = await _story(site, refused[0].attempt, "refused")
-        last = story.decisions[-1]
+        trace = await _trace(site, refused[0].attempt, "refused")
+        last = trace.decisions[-1]
         # The one server that may serve this key, and that its slots were taken.
         assert last["upstream"] == slow.name
         assert last["occupied"] >= slow.slots
@@ -87,9 +87,9 @@
         await site.world.by_id[run.server].stop()
         outcome = await call
         assert outcome.status in (502, 504)
-        story = await _story(site, outcome.attempt, "failed")
-        sent = [d for d in story.decisions if d["event"] == "sent"]
-        last = story.decisions[-1]
+        trace = await _trace(site, outcome.attempt, "failed")
+        sent = [d for d in trace.decisions if d["event"] == "sent"]
+        last = trace.decisions[-1]
         # One send, to the server that crashed, which answered nothing.
         assert [one["upstream"] for one in sent] == [run.server]
         assert (last["upstream"], last["status"]) == (
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -25,7 +25,7 @@
 
 
 # 2026-12-02T20:00:30 in milliseconds since the epoch.
-_CAME_MS = 1_796_241_630_000
+_ARRIVED_MS = 1_796_241_630_000
 
 
 def _decision(after_ms: int, event: str, vm: str = "vm-1", **fields) -> dict:
@@ -33,7 +33,7 @@
         "id": "a1",
         "event": event,
         "vm": vm,
-        "at_ms": _CAME_MS + after_ms,
+        "at_ms": _ARRIVED_MS + after_ms,
     } | fields
 
 
@@ -61,17 +61,17 @@
 
 
 def test_decisions_come_in_order_and_only_what_was_in_force(files):
-    story = explain.find("a1", files)
-    assert [line["event"] for line in story.decisions] == ["sent", "failed"]
-    shown = {(c.event, c.fields.get("version")) for c in story.changes}
+    trace = explain.find("a1", files)
+    assert [line["event"] for line in trace.decisions] == ["sent", "failed"]
+    shown = {(c.event, c.fields.get("version")) for c in trace.changes}
     assert ("configuration in force", 4) in shown
     assert ("configuration in force", 3) not in shown
     assert ("configuration in force", 5) not in shown
     assert ("key map written", 77) in shown
-    gone = [c for c in story.changes if c.event == "upstream gone"]
+    gone = [c for c in trace.changes if c.event == "upstream gone"]
     assert [c.fields["upstream"] for c in gone] == ["u-1"]
     assert gone[0].age_s == pytest.approx(5.0)
-    assert story.dropped == 4
+    assert trace.dropped == 4
 
 
 def test_an_unknown_request_is_said_with_what_was_dropped(files):
@@ -93,7 +93,7 @@
     assert cli.main(["explain", "zz", *names]) == shared.EXIT_FAILED
 
 
-def _story(lines, name: str, is_well: bool) -> None:
+def _write_trace(lines, name: str, is_well: bool) -> None:
     story = decisions.Story(lines)
     story.note(decisions.RequestDecision(id=name, event="sent"))
     story.note(decisions.RequestDecision(id=name, event="answered"))
@@ -109,8 +109,8 @@
     reading, writing = os.pipe()
     lines = decisions.BoundedLines(writing, most_per_s=10)
     for number in range(20):
-        _story(lines, f"good-{number}", True)
-    _story(lines, "bad", False)
+        _write_trace(lines, f"good-{number}", True)
+    _write_trace(lines, "bad", False)
     lines.flush()
     written = _written(reading)
     names = [line["id"] for line in written if "id" in line]
@@ -124,7 +124,7 @@
     os.set_blocking(writing, False)
     lines = decisions.BoundedLines(writing, most_per_s=10**9)
     for number in range(30_000):
-        _story(lines, f"r-{number}", False)
+        _write_trace(lines, f"r-{number}", False)
         if number % 100 == 0:
             lines.flush()
     # What is kept while nobody reads is bounded, and the rest is counted.
