--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -89,7 +89,7 @@
     async def run(self) -> None:
         """Ends permits of which nothing is heard any more, until cancelled."""
         while True:
-            await pacing.pause(_SWEEP_S)
+            await pacing.sleep_aligned(_SWEEP_S)
             now = clocks.monotonic()
             lapsed = [
                 name
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -263,7 +263,7 @@
 
     async def _housekeeping(self) -> None:
         while True:
-            await pacing.pause(TICK_S)
+            await pacing.sleep_aligned(TICK_S)
             now = clocks.monotonic()
             self._registry.tick(now)
             self._authority.tick(now)
@@ -280,7 +280,7 @@
     async def _lead(self) -> None:
         while True:
             leads = self._leads.is_leader
-            await pacing.pause(TICK_S / 2 if leads else TICK_S)
+            await pacing.sleep_aligned(TICK_S / 2 if leads else TICK_S)
             if self._is_leaving:
                 continue
             await self._leads.tick()
--- a/src/swiftstile/gateway/decisions.py
+++ b/src/swiftstile/gateway/decisions.py
@@ -149,7 +149,7 @@
         os.set_blocking(self._fd, False)
         try:
             while True:
-                await pacing.pause(FLUSH_INTERVAL_S)
+                await pacing.sleep_aligned(FLUSH_INTERVAL_S)
                 self.flush()
         finally:
             self.flush()
--- a/src/swiftstile/gateway/follow.py
+++ b/src/swiftstile/gateway/follow.py
@@ -131,7 +131,7 @@
             sent = clocks.monotonic()
             if self.is_led(sent):
                 self._note_led(sent)
-                await pacing.pause(LED_PAUSE_S)
+                await pacing.sleep_aligned(LED_PAUSE_S)
                 continue
             try:
                 is_done = await self._step_unless_overtaken()
--- a/src/swiftstile/gateway/front.py
+++ b/src/swiftstile/gateway/front.py
@@ -88,7 +88,7 @@
     async def enforce_limits(self) -> None:
         """Closes connections that are idle or slow beyond the limits."""
         while True:
-            await pacing.pause(_SWEEP_INTERVAL_S)
+            await pacing.sleep_aligned(_SWEEP_INTERVAL_S)
             config = self._handler.config
             limits = model.Limits() if config is None else config.limits
             now = clocks.monotonic()
--- a/src/swiftstile/gateway/gossip.py
+++ b/src/swiftstile/gateway/gossip.py
@@ -221,7 +221,7 @@
                 self._send(
                     make_report(self.next_sequence(), is_whole), is_whole
                 )
-                await pacing.pause(self._tick_s())
+                await pacing.sleep_aligned(self._tick_s())
         finally:
             self._transport.close()
 
--- a/src/swiftstile/gateway/membership.py
+++ b/src/swiftstile/gateway/membership.py
@@ -69,7 +69,7 @@
     async def run(self) -> None:
         """Registers this VM whenever it isn't, until cancelled."""
         while True:
-            await pacing.pause(_TICK_S)
+            await pacing.sleep_aligned(_TICK_S)
             if not self._follower.is_loaded or self.is_registered:
                 continue
             if not await self._write(self._key, self._peers.me):
--- a/src/swiftstile/gateway/relay.py
+++ b/src/swiftstile/gateway/relay.py
@@ -137,7 +137,7 @@
     async def run(self) -> None:
         """Asks whenever the store is silent, until cancelled."""
         while True:
-            await pacing.pause(INTERVAL_S)
+            await pacing.sleep_aligned(INTERVAL_S)
             now = clocks.monotonic()
             # Each on its own: a large table doesn't hold up the others.
             for follower in self._followers.values():
--- a/src/swiftstile/pacing.py
+++ b/src/swiftstile/pacing.py
@@ -10,15 +10,15 @@
 import math
 import weakref
 
-__all__ = ["TICK_S", "Ticks", "pause", "ticks"]
+__all__ = ["TICK_S", "TickScheduler", "scheduler", "sleep_aligned"]
 
 # Between two moments at which pauses may end.
 TICK_S = 0.05
 # Part of a tick by which a timer may fire early.
-_EARLY = 0.1
+_TIMER_SLACK = 0.1
 
 
-class Ticks:
+class TickScheduler:
     """Ends pauses at the ticks of one event loop.
 
     There is a timer only while somebody pauses.
@@ -30,7 +30,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop):
         # The loop holds this object by its timers, and must not be kept alive.
         self._loop = weakref.ref(loop)
-        self._started = loop.time()
+        self._started_at = loop.time()
         self._futures_by_tick: dict[int, list[asyncio.Future[None]]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._timer_tick = 0
@@ -42,19 +42,19 @@
             seconds: Length of the pause. It ends at the next tick at the
                 earliest.
         """
-        passed = self._passed()
-        earliest = math.floor(passed + _EARLY) + 1
-        return self._at(max(earliest, round(passed + seconds / TICK_S)))
+        elapsed = self._elapsed_ticks()
+        earliest = math.floor(elapsed + _TIMER_SLACK) + 1
+        return self._at(max(earliest, round(elapsed + seconds / TICK_S)))
 
     def next_multiple(self, seconds: float) -> asyncio.Future[None]:
         """Returns a future that is done at the next multiple of a period."""
         period = max(1, round(seconds / TICK_S))
-        periods = math.floor((self._passed() + _EARLY) / period)
+        periods = math.floor((self._elapsed_ticks() + _TIMER_SLACK) / period)
         return self._at((periods + 1) * period)
 
-    def _passed(self) -> float:
+    def _elapsed_ticks(self) -> float:
         """Returns the ticks since the start, and a part of the next one."""
-        return (self._loop().time() - self._started) / TICK_S
+        return (self._loop().time() - self._started_at) / TICK_S
 
     def _at(self, tick: int) -> asyncio.Future[None]:
         loop = self._loop()
@@ -68,12 +68,14 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_tick = tick
-        due = self._started + tick * TICK_S
+        due = self._started_at + tick * TICK_S
         self._timer = loop.call_at(due, self._fire)
 
     def _fire(self) -> None:
         """Ends all pauses that are due, and waits for the next ones."""
-        now = max(self._timer_tick, math.floor(self._passed() + _EARLY))
+        now = max(
+            self._timer_tick, math.floor(self._elapsed_ticks() + _TIMER_SLACK)
+        )
         for tick in sorted(self._futures_by_tick):
             if tick > now:
                 break
@@ -85,21 +87,21 @@
             self._set_timer(self._loop(), min(self._futures_by_tick))
 
 
-_ticks_by_loop: weakref.WeakKeyDictionary[asyncio.AbstractEventLoop, Ticks] = (
-    weakref.WeakKeyDictionary()
-)
+_scheduler_by_loop: weakref.WeakKeyDictionary[
+    asyncio.AbstractEventLoop, TickScheduler
+] = weakref.WeakKeyDictionary()
 
 
-def ticks() -> Ticks:
+def scheduler() -> TickScheduler:
     """Returns the ticks of the running event loop."""
     loop = asyncio.get_running_loop()
-    found = _ticks_by_loop.get(loop)
+    found = _scheduler_by_loop.get(loop)
     if found is None:
-        found = _ticks_by_loop[loop] = Ticks(loop)
+        found = _scheduler_by_loop[loop] = TickScheduler(loop)
     return found
 
 
-async def pause(seconds: float) -> None:
+async def sleep_aligned(seconds: float) -> None:
     """Pauses until the next round of periodic work with this period.
 
     Rounds of one period fall on the same moments, and those of a longer period
@@ -108,4 +110,4 @@
     if seconds < TICK_S:
         await asyncio.sleep(seconds)
     else:
-        await ticks().next_multiple(seconds)
+        await scheduler().next_multiple(seconds)
--- a/src/swiftstile/progress.py
+++ b/src/swiftstile/progress.py
@@ -14,44 +14,49 @@
 
 # Silence is waited for in so many parts. A process that stands still finds the
 # time of one part over, and may find bytes in its socket in the next.
-_WAITS = 4
+_WAITS_PER_TIMEOUT = 4
 # Fewer bytes than this count as silence, unless they are the last: less than
 # any packet holds of a body that has more to come.
-LEAST_BYTES = 512
+MIN_PROGRESS_BYTES = 512
 
 
-async def read_body(content: aiohttp.StreamReader, silent_s: float) -> bytes:
+async def read_body(
+    content: aiohttp.StreamReader, stall_timeout_s: float
+) -> bytes:
     """Reads a body to its end, as long as bytes keep coming.
 
     Args:
         content: The body.
-        silent_s: Longest wait for the next `LEAST_BYTES`, in seconds.
+        stall_timeout_s: Longest wait for the next `MIN_PROGRESS_BYTES`, in
+            seconds.
 
     Raises:
         TimeoutError: Less came for that long; says how much had come.
         aiohttp.ClientError: The connection broke.
     """
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     while not content.at_eof():
-        if not await _read_more(content, pieces, silent_s / _WAITS):
-            received = sum(map(len, pieces))
+        if not await _read_more(
+            content, chunks, stall_timeout_s / _WAITS_PER_TIMEOUT
+        ):
+            received = sum(map(len, chunks))
             raise TimeoutError(
-                f"silent for {silent_s:g} s after {received} bytes"
+                f"silent for {stall_timeout_s:g} s after {received} bytes"
             )
-    return b"".join(pieces)
+    return b"".join(chunks)
 
 
 async def _read_more(
-    content: aiohttp.StreamReader, pieces: list[bytes], wait_s: float
+    content: aiohttp.StreamReader, chunks: list[bytes], wait_s: float
 ) -> bool:
     """Returns whether enough bytes came within all waits."""
     size = 0
-    for _ in range(_WAITS):
+    for _ in range(_WAITS_PER_TIMEOUT):
         try:
             async with asyncio.timeout(wait_s):
-                while size < LEAST_BYTES and not content.at_eof():
-                    pieces.append(await content.readany())
-                    size += len(pieces[-1])
+                while size < MIN_PROGRESS_BYTES and not content.at_eof():
+                    chunks.append(await content.readany())
+                    size += len(chunks[-1])
                 return True
         except TimeoutError:
             # The next wait finds what came while the process stood still.
--- a/src/swiftstile/signals.py
+++ b/src/swiftstile/signals.py
@@ -22,7 +22,7 @@
 
     async def wait(self, seconds: float) -> None:
         """Waits for the next waking, for about some seconds at most."""
-        future = pacing.ticks().after(seconds)
+        future = pacing.scheduler().after(seconds)
         self._waiting.add(future)
         try:
             await future
--- a/tests/integration/test_standing_still.py
+++ b/tests/integration/test_stalled_process.py
@@ -10,7 +10,7 @@
 
 from swiftstile import progress
 
-_SILENT_S = 0.2
+_STALL_TIMEOUT_S = 0.2
 
 
 def test_bytes_that_came_while_the_process_stood_still_count():
@@ -36,7 +36,7 @@
             session.get(url) as answer,
         ):
             loop.call_later(0.22, time.sleep, 0.3)
-            body = await progress.read_body(answer.content, _SILENT_S)
+            body = await progress.read_body(answer.content, _STALL_TIMEOUT_S)
         assert len(body) == 20_000
 
     sender = threading.Thread(target=send, daemon=True)
--- a/tests/unit/test_pacing.py
+++ b/tests/unit/test_pacing.py
@@ -18,7 +18,7 @@
     async def run(self, period_s: float, first_s: float) -> None:
         await asyncio.sleep(first_s)
         while True:
-            await pacing.pause(period_s)
+            await pacing.sleep_aligned(period_s)
             self.rounds += 1
             now = asyncio.get_running_loop().time()
             if not self.moments or now - self.moments[-1] > 0.02:
@@ -53,7 +53,7 @@
         ended = []
 
         async def one():
-            await pacing.pause(0.1)
+            await pacing.sleep_aligned(0.1)
             ended.append(asyncio.get_running_loop().time())
 
         await asyncio.gather(*(one() for _ in range(20)))
@@ -65,10 +65,10 @@
 
 def test_a_later_shorter_pause_doesnt_wait_for_a_longer_one():
     async def scenario():
-        long = pacing.ticks().after(30)
+        long = pacing.scheduler().after(30)
         await asyncio.sleep(0)
         async with asyncio.timeout(1):
-            await pacing.pause(0.1)
+            await pacing.sleep_aligned(0.1)
         assert not long.done()
         long.cancel()
 
@@ -78,9 +78,9 @@
 def test_a_wait_of_some_length_isnt_cut_short():
     async def scenario():
         loop = asyncio.get_running_loop()
-        await pacing.pause(0.1)
+        await pacing.sleep_aligned(0.1)
         began = loop.time()
-        await pacing.ticks().after(0.4)
+        await pacing.scheduler().after(0.4)
         return loop.time() - began
 
     assert asyncio.run(scenario()) > 0.3
@@ -88,8 +88,8 @@
 
 def test_a_cancelled_pause_holds_up_no_other():
     async def scenario():
-        given_up = asyncio.create_task(pacing.pause(0.1))
-        kept = asyncio.create_task(pacing.pause(0.1))
+        given_up = asyncio.create_task(pacing.sleep_aligned(0.1))
+        kept = asyncio.create_task(pacing.sleep_aligned(0.1))
         await asyncio.sleep(0)
         given_up.cancel()
         async with asyncio.timeout(1):
@@ -102,9 +102,9 @@
 def test_a_pause_below_a_tick_keeps_its_length():
     async def scenario():
         loop = asyncio.get_running_loop()
-        await pacing.pause(0.1)
+        await pacing.sleep_aligned(0.1)
         began = loop.time()
-        await pacing.pause(0.01)
+        await pacing.sleep_aligned(0.01)
         return loop.time() - began
 
     assert asyncio.run(scenario()) < pacing.TICK_S * 0.9
@@ -112,7 +112,7 @@
 
 def test_each_event_loop_has_its_own_ticks():
     async def scenario():
-        await pacing.pause(0.05)
-        return pacing.ticks()
+        await pacing.sleep_aligned(0.05)
+        return pacing.scheduler()
 
     assert asyncio.run(scenario()) is not asyncio.run(scenario())
