--- a/src/swiftstile/daemons/coordinator.py
+++ b/src/swiftstile/daemons/coordinator.py
@@ -28,19 +28,19 @@
         me: leases.Candidate,
         bundles: bundle_watch.BundleWatch,
         directory: vms.VmDirectory,
-        book: leases.PromiseBook,
+        promises: leases.PromiseBook,
         meters: metrics.Meters,
-        make_keeper,
+        make_elector,
     ):
         self._settings = settings
         self._me = me
         self._bundles = bundles
         self._directory = directory
-        self._book = book
+        self._promises = promises
         self._meters = meters
-        self._make_keeper = make_keeper
+        self._make_elector = make_elector
         self._leaving = False
-        self._keepers: dict[ids.ServiceId, keeper_lib.LeaseKeeper] = {}
+        self._electors: dict[ids.ServiceId, keeper_lib.LeaseKeeper] = {}
         self._tasks: dict[ids.ServiceId, asyncio.Task] = {}
 
     async def run(self, stopping: asyncio.Event) -> None:
@@ -74,8 +74,8 @@
 
     async def _leave(self) -> None:
         self._leaving = True
-        keepers = self._keepers.values()
-        await asyncio.gather(*(keeper.release() for keeper in keepers))
+        electors = self._electors.values()
+        await asyncio.gather(*(elector.release() for elector in electors))
         logs.logger.info("coordinator stopped")
 
     def _on_bundle(self, change: bundle_watch.BundleInForce) -> None:
@@ -88,11 +88,11 @@
         for service in set(self._tasks) - set(wanted):
             if service.organisation == organisation:
                 self._tasks.pop(service).cancel()
-                self._keepers.pop(service)
+                self._electors.pop(service)
         for service in set(wanted) - set(self._tasks):
-            keeper = self._make_keeper(service)
-            self._keepers[service] = keeper
-            self._tasks[service] = asyncio.create_task(keeper.run())
+            elector = self._make_elector(service)
+            self._electors[service] = elector
+            self._tasks[service] = asyncio.create_task(elector.run())
 
     async def handle(self, message: messages.Message) -> messages.Message:
         """See base class."""
@@ -121,35 +121,35 @@
         if ask.candidate != self._me.incarnation:
             return messages.Refused("meant for another run of this process")
         duration = min(ask.duration_s, self._settings.coordinator.promise_s)
-        keeper = self._keepers.get(ask.service)
-        if keeper is not None:
-            keeper.note_holder(ask.holder, ask.epoch)
+        elector = self._electors.get(ask.service)
+        if elector is not None:
+            elector.note_holder(ask.holder, ask.epoch)
         granted = (
             duration == ask.duration_s
             and not self._leaving
-            and self._book.promise(
+            and self._promises.promise(
                 ask.service, ask.epoch, clocks.monotonic(), duration
             )
         )
-        known = keeper.known.epoch if keeper and keeper.known else ask.epoch
+        known = elector.known.epoch if elector and elector.known else ask.epoch
         return messages.PromiseReply(granted, known)
 
     def _resigned(self, message: messages.Resigned) -> messages.Message:
         if message.candidate != self._me.incarnation:
             return messages.Refused("meant for another run of this process")
-        self._book.release(message.service, message.epoch)
+        self._promises.release(message.service, message.epoch)
         return messages.PromiseReply(False, message.epoch)
 
     def _locate(self, ask: messages.LocateRequest) -> messages.LocateReply:
-        keeper = self._keepers.get(ask.service)
-        if keeper is None or keeper.known is None:
+        elector = self._electors.get(ask.service)
+        if elector is None or elector.known is None:
             return messages.LocateReply(self._me.vm, False, ids.Epoch(0))
-        is_holder = keeper.active is not None
-        return messages.LocateReply(self._me.vm, is_holder, keeper.known.epoch)
+        is_holder = elector.active is not None
+        return messages.LocateReply(self._me.vm, is_holder, elector.known.epoch)
 
     async def _watch(self, watch: messages.WatchRequest) -> messages.Message:
-        keeper = self._keepers.get(watch.service)
-        active = keeper.active if keeper else None
+        elector = self._electors.get(watch.service)
+        active = elector.active if elector else None
         if active is None or active.assignment is None:
             return messages.NotHolder()
         return await active.watch(watch)
@@ -167,15 +167,15 @@
                 for name, entry in self._bundles.by_organisation.items()
             },
             "services": {
-                str(service): _service_status(keeper)
-                for service, keeper in self._keepers.items()
+                str(service): _service_status(elector)
+                for service, elector in self._electors.items()
             },
             "meters": self._meters.snapshot(),
         }
 
 
-def _service_status(keeper: keeper_lib.LeaseKeeper) -> dict[str, object]:
-    known, active = keeper.known, keeper.active
+def _service_status(elector: keeper_lib.LeaseKeeper) -> dict[str, object]:
+    known, active = elector.known, elector.active
     status: dict[str, object] = {
         "holder": known.holder.vm if known else None,
         "epoch": known.epoch if known else None,
--- a/src/swiftstile/daemons/router.py
+++ b/src/swiftstile/daemons/router.py
@@ -29,19 +29,19 @@
         directory: vms.VmDirectory,
         table: routes.RouteTable,
         forwarder: forwarding.Forwarder,
-        front: front_lib.Front,
+        frontend: front_lib.Front,
         meters: metrics.Meters,
-        make_watch,
+        make_watcher,
     ):
         self._settings = settings
         self._bundles = bundles
         self._directory = directory
         self._table = table
         self._forwarder = forwarder
-        self._front = front
+        self._frontend = frontend
         self._meters = meters
-        self._make_watch = make_watch
-        self._watches: dict[ids.ServiceId, owners.OwnerWatch] = {}
+        self._make_watcher = make_watcher
+        self._watchers: dict[ids.ServiceId, owners.OwnerWatch] = {}
         self._tasks: dict[ids.ServiceId, asyncio.Task] = {}
 
     async def run(self, stopping: asyncio.Event) -> None:
@@ -54,7 +54,7 @@
             asyncio.create_task(self._bundles.run()),
             asyncio.create_task(self._directory.run()),
         ]
-        await self._front.start()
+        await self._frontend.start()
         logs.logger.info("router started")
         stop = asyncio.create_task(stopping.wait())
         try:
@@ -65,7 +65,7 @@
                 if task.done():
                     task.result()
             logs.logger.info("router drains")
-            await self._front.drain()
+            await self._frontend.drain()
             logs.logger.info("router stopped")
         finally:
             for task in [stop, *tasks, *self._tasks.values()]:
@@ -90,13 +90,13 @@
         self._remove(service)
         if spec.ownership is model.Ownership.KEYED:
             table = owners.OwnerTable()
-            kind = (
+            route_class = (
                 routes.KeyedRoute if spec.checks_fence else routes.LeasedRoute
             )
-            route: routes.ServiceRoute = kind(spec, table)
-            watch = self._make_watch(service, spec, table)
-            self._watches[service] = watch
-            self._tasks[service] = asyncio.create_task(watch.run())
+            route: routes.ServiceRoute = route_class(spec, table)
+            watcher = self._make_watcher(service, spec, table)
+            self._watchers[service] = watcher
+            self._tasks[service] = asyncio.create_task(watcher.run())
         else:
             route = routes.SharedRoute(spec)
         self._sync_targets(route)
@@ -104,7 +104,7 @@
 
     def _remove(self, service: ids.ServiceId) -> None:
         self._table.by_service.pop(service, None)
-        self._watches.pop(service, None)
+        self._watchers.pop(service, None)
         if service in self._tasks:
             self._tasks.pop(service).cancel()
 
@@ -129,7 +129,7 @@
         return {
             "vm": self._settings.vm.id,
             "failure_domain": self._settings.vm.failure_domain,
-            "in_flight": self._front.in_flight,
+            "in_flight": self._frontend.in_flight,
             "platform_reachable": self._bundles.reachable.value,
             "bundles": {
                 name: entry.version
@@ -153,5 +153,5 @@
         }
         if isinstance(route, routes.KeyedRoute):
             status["assignment_version"] = route.owners.version
-            status["following"] = self._watches[service].holder
+            status["following"] = self._watchers[service].holder
         return status
--- a/src/swiftstile/gateway/settings.py
+++ b/src/swiftstile/gateway/settings.py
@@ -132,7 +132,7 @@
     """
     sections, faults = ini.to_sections(ini.read(path), _SECTIONS, _REQUIRED)
     faults += _bad_values(sections)
-    ini.raise_for(faults, path)
+    ini.raise_for_faults(faults, path)
     return GatewaySettings(**sections)
 
 
@@ -144,4 +144,4 @@
     ]
     checks = [(*where, settings_lib.split_address) for where in _ADDRESSES]
     checks += [("bounds", option, seconds) for option in _TIMES]
-    return faults + ini.bad_values(sections, checks)
+    return faults + ini.invalid_values(sections, checks)
--- a/src/swiftstile/ini.py
+++ b/src/swiftstile/ini.py
@@ -13,9 +13,9 @@
 
 __all__ = [
     "Fault",
-    "bad_values",
+    "invalid_values",
     "parse",
-    "raise_for",
+    "raise_for_faults",
     "read",
     "to_section",
     "to_sections",
@@ -100,7 +100,7 @@
     return sections, faults
 
 
-def bad_values(
+def invalid_values(
     sections: Mapping[str, msgspec.Struct | None],
     checks: Iterable[tuple[str, str, Callable[[str], object]]],
 ) -> list[Fault]:
@@ -122,7 +122,7 @@
     return faults
 
 
-def raise_for(faults: list[Fault], path: pathlib.Path) -> None:
+def raise_for_faults(faults: list[Fault], path: pathlib.Path) -> None:
     """Raises an error that names all faults of a settings file, if any.
 
     Raises:
@@ -158,7 +158,7 @@
     ]
     values: dict[str, object] = {}
     for name, field in fields.items():
-        if name in options and not _is_left_out(field, options[name]):
+        if name in options and not _is_unset(field, options[name]):
             _convert(field, section, options[name], values, faults)
         elif field.required:
             expected = _expected(field.type)
@@ -166,7 +166,7 @@
     return (None, faults) if faults else (kind(**values), [])
 
 
-def _is_left_out(field, text: str) -> bool:
+def _is_unset(field, text: str) -> bool:
     """Whether a number is empty, as templates leave what they don't know."""
     is_number = _base_type(field.type) in (int, float)
     return is_number and not field.required and not text.strip()
--- a/src/swiftstile/settings.py
+++ b/src/swiftstile/settings.py
@@ -137,10 +137,10 @@
     faults = [
         *_unknown_sections(parser),
         *faults,
-        *ini.bad_values(sections, addresses),
-        *_bad_times(sections),
+        *ini.invalid_values(sections, addresses),
+        *_invalid_durations(sections),
     ]
-    ini.raise_for(faults, path)
+    ini.raise_for_faults(faults, path)
     return Settings(**sections)
 
 
@@ -165,7 +165,7 @@
     ]
 
 
-def _bad_times(sections) -> list[ini.Fault]:
+def _invalid_durations(sections) -> list[ini.Fault]:
     faults = [
         ini.Fault(section, option, f"expected more than 0, got {value}")
         for section, entry in sections.items()
@@ -176,10 +176,12 @@
     control = sections.get("coordinator")
     if control is not None and not faults:
         # A lease must outlive two renewals of which the first gets no answer.
-        least = 2 * control.renew_interval_s + control.call_timeout_s
+        minimum_s = 2 * control.renew_interval_s + control.call_timeout_s
         faults += [
-            ini.Fault("coordinator", option, f"expected more than {least:g}")
+            ini.Fault(
+                "coordinator", option, f"expected more than {minimum_s:g}"
+            )
             for option in ("promise_s", "server_lease_s")
-            if getattr(control, option) <= least
+            if getattr(control, option) <= minimum_s
         ]
     return faults
--- a/src/swiftstile/wiring.py
+++ b/src/swiftstile/wiring.py
@@ -69,16 +69,18 @@
         vm = self._settings.vm
         telemetry.expose(self._meters)
         me = leases.Candidate(vm.id, ids.new_incarnation(vm.id))
-        directory = self._directory()
-        book = leases.PromiseBook()
+        vm_directory = self._directory()
+        promises = leases.PromiseBook()
         bundles = self._bundle_watch()
         peers = links.LinkPool(self._meters)
-        scout = scouts.Scout(me, directory, peers, settings.call_timeout_s)
+        selector = scouts.Scout(
+            me, vm_directory, peers, settings.call_timeout_s
+        )
         control = upstream_http.HttpUpstreamControl(
             settings.call_timeout_s, self._meters
         )
 
-        def make_keeper(service: ids.ServiceId) -> keeper.LeaseKeeper:
+        def make_elector(service: ids.ServiceId) -> keeper.LeaseKeeper:
             def build(lease, row_version, taken_at, released):
                 holder = holder_lib.Holder(
                     service,
@@ -87,14 +89,14 @@
                     taken_at,
                     self.table,
                     peers,
-                    scout,
+                    selector,
                     settings,
                 )
                 spec = bundles.by_organisation[
                     service.organisation
                 ].bundle.services[service.service]
                 changed = asyncio.Event()
-                kind = (
+                enforcer_class = (
                     custody.FencedCustody
                     if spec.checks_fence
                     else custody.RoutedCustody
@@ -102,8 +104,8 @@
                 work = coordination.Coordination(
                     holder,
                     spec,
-                    directory,
-                    kind(holder, control, settings, changed),
+                    vm_directory,
+                    enforcer_class(holder, control, settings, changed),
                     documents.AssignmentStore(
                         service, self.table, self.objects
                     ),
@@ -116,13 +118,13 @@
                 )
                 return holder, work
 
-            listed = directory.entry_vms(service.organisation)
+            listed = vm_directory.entry_vms(service.organisation)
             return keeper.LeaseKeeper(
                 service,
                 me,
                 self.table,
-                book,
-                scout,
+                promises,
+                selector,
                 build,
                 keeper.rank(service, me.vm, [entry.id for entry in listed]),
                 settings.outage_tolerance_s,
@@ -132,23 +134,23 @@
             self._settings,
             me,
             bundles,
-            directory,
-            book,
+            vm_directory,
+            promises,
             self._meters,
-            make_keeper,
+            make_elector,
         )
 
     def router(self) -> router.RouterDaemon:
         """Returns the router daemon."""
         vm = self._settings.vm
         telemetry.expose(self._meters)
-        directory = self._directory()
+        vm_directory = self._directory()
         peers = links.LinkPool(self._meters)
         table = routes.RouteTable()
         forwarder = forwarding.Forwarder(self._meters)
         incarnation = ids.new_incarnation(vm.id)
 
-        def make_watch(service, spec, owner_table) -> owners.OwnerWatch:
+        def make_watcher(service, spec, owner_table) -> owners.OwnerWatch:
             wait_s = (
                 _WATCH_WAIT_S if spec.checks_fence else _LEASED_WATCH_WAIT_S
             )
@@ -157,7 +159,7 @@
                 vm.id,
                 incarnation,
                 owner_table,
-                directory,
+                vm_directory,
                 peers,
                 wait_s,
                 wait_s + _WATCH_MARGIN_S,
@@ -166,7 +168,7 @@
         return router.RouterDaemon(
             self._settings,
             self._bundle_watch(),
-            directory,
+            vm_directory,
             table,
             forwarder,
             front.Front(
@@ -175,7 +177,7 @@
                 self._meters,
             ),
             self._meters,
-            make_watch,
+            make_watcher,
         )
 
     async def close(self) -> None:
