--- a/src/swiftstile/__init__.py
+++ b/src/swiftstile/__init__.py
@@ -1,3 +1,3 @@
-"""A router for servers that own keys exclusively."""
+"""Request router for servers with exclusive key ownership."""
 
 __version__ = "0.1.0"
--- a/src/swiftstile/__main__.py
+++ b/src/swiftstile/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as `python -m swiftstile`."""
+"""Entry point of `python -m swiftstile`."""
 
 import sys
 
--- a/src/swiftstile/bundles/__init__.py
+++ b/src/swiftstile/bundles/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned bundles: model, commands and queries."""
+"""Versioned configuration bundles: model, commands and queries."""
--- a/src/swiftstile/bundles/commands.py
+++ b/src/swiftstile/bundles/commands.py
@@ -1,7 +1,7 @@
 """Commands that change bundles: approve, roll, retire.
 
-Each is one transaction that changes the head, the version row and the audit
-trail together, so a change without its entry, or the reverse, can't exist.
+Each command is one transaction on the head, the version row and the audit
+trail, so that every change has an audit entry and every entry a change.
 """
 
 import msgspec
@@ -34,13 +34,13 @@
         """Stores a bundle as the next version.
 
         Raises:
-            ConflictError: Another operator changed the bundle meanwhile.
-            PlatformError: The platform didn't answer.
+            ConflictError: Another operator changed the bundle concurrently.
+            PlatformError: The platform didn't respond.
         """
         head, row_version = await self._head(bundle.organisation)
         digest = model.digest(bundle)
         name = records.object_name(digest)
-        # The body is stored first: a head never names a missing body.
+        # The body is stored first, so that no head refers to a missing body.
         await self._objects.put(name, codec.to_json(bundle))
         version = ids.BundleVersion(head.newest + 1)
         record = records.VersionRecord(
@@ -62,12 +62,12 @@
     async def roll(
         self, organisation: ids.OrganisationId, version: ids.BundleVersion
     ) -> None:
-        """Puts an approved version in force. Only a newer one can be rolled.
+        """Puts an approved version in force; it must be newer than the current.
 
         Raises:
             BundleError: The version is unknown, retired or not newer.
-            ConflictError: Another operator changed the bundle meanwhile.
-            PlatformError: The platform didn't answer.
+            ConflictError: Another operator changed the bundle concurrently.
+            PlatformError: The platform didn't respond.
         """
         head, row_version = await self._head(organisation)
         record, record_row = await self._record(organisation, version, "roll")
@@ -98,12 +98,12 @@
     async def retire(
         self, organisation: ids.OrganisationId, version: ids.BundleVersion
     ) -> None:
-        """Marks a version that isn't in force as never to be rolled.
+        """Excludes a version that isn't in force from being rolled.
 
         Raises:
             BundleError: The version is unknown, in force or retired.
-            ConflictError: Another operator changed the bundle meanwhile.
-            PlatformError: The platform didn't answer.
+            ConflictError: Another operator changed the bundle concurrently.
+            PlatformError: The platform didn't respond.
         """
         head, row_version = await self._head(organisation)
         record, row = await self._record(organisation, version, "retire")
--- a/src/swiftstile/bundles/model.py
+++ b/src/swiftstile/bundles/model.py
@@ -1,4 +1,4 @@
-"""What a bundle says: the services of one organisation and their rules."""
+"""Bundle model: the services of one organisation and their settings."""
 
 import enum
 import hashlib
@@ -25,16 +25,16 @@
 
 
 class Ownership(enum.Enum):
-    """How a service's requests find their server."""
+    """How requests of a service are assigned to servers."""
 
-    # Each key has one owner.
+    # Each key has exactly one owner.
     KEYED = "keyed"
-    # Any server will do.
+    # Any server may handle any request.
     SHARED = "shared"
 
 
 class Balancing(enum.Enum):
-    """How a server is chosen for a service not divided by key."""
+    """How a server of a shared service is selected."""
 
     RANDOM = "random"
     LEAST_OUTSTANDING = "least-outstanding"
@@ -42,34 +42,37 @@
 
 
 class KeySource(enum.Enum):
-    """Where a request carries its key."""
+    """Part of the request that holds the key."""
 
     HEADER = "header"
     PATH = "path"
 
 
 class ServiceSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """[service NAME]: one service.
+    """[service NAME]: settings of one service.
 
     Attributes:
-        upstream_group: Group of upstream VMs in the platform's VM list.
+        upstream_group: Name of the upstream group in the platform's VM list.
         ownership: Keyed or shared.
-        key_source: Header `Swiftstile-Key`, or first part of the path.
-        checks_fence: Whether the servers check who gives them an order.
-        slots: Requests that one server runs at the same time.
-        connections: Connections to one server, over all VMs.
-        slices_per_server: How finely keys are spread.
-        churn_budget: Largest share of the hash space that one round of
-            rebalancing moves, from 0 to 1.
-        imbalance_target: Load of the busiest server over the mean that is
-            good enough; nothing is moved below it.
-        protected_methods: HTTP methods that are not repeatable.
+        key_source: Header `Swiftstile-Key`, or first segment of the path.
+        checks_fence: Whether the servers check fences and hold the leases. If
+            not, the routers hold route leases.
+        slots: Most concurrent requests of one server.
+        connections: Most connections to one server, over all VMs.
+        slices_per_server: Number of slices of the hash space per server.
+        churn_budget: Largest share of the hash space that one rebalancing
+            round may move, from 0 to 1.
+        imbalance_target: Accepted ratio of the highest server load to the
+            mean; nothing is moved below it.
+        protected_methods: HTTP methods that aren't repeatable.
         max_body_bytes: Longest request body, in bytes.
-        deadline_ms: Deadline of a request that names none, in milliseconds.
-        max_deadline_ms: Longest deadline a request may name.
-        hold_ms: Longest wait for a key to get an owner, in milliseconds.
-        queue_limit: Requests that wait for a slot of one server on one VM.
-        balancing: Policy of a shared service.
+        deadline_ms: Default deadline of a request, in milliseconds.
+        max_deadline_ms: Longest deadline that a request may set.
+        hold_ms: Longest wait for a key to be assigned an owner, in
+            milliseconds.
+        queue_limit: Most requests that wait on one VM for a slot of one
+            server.
+        balancing: Load balancing policy of a shared service.
     """
 
     upstream_group: str
@@ -102,14 +105,14 @@
 
 
 def parse(text: str, source: str) -> Bundle:
-    """Reads a bundle from INI text.
+    """Parses a bundle.
 
     Args:
-        text: The whole file.
-        source: Name of the file, for errors.
+        text: The INI text.
+        source: File name, for error messages.
 
     Raises:
-        BundleError: Lists every fault.
+        BundleError: The bundle is invalid; the message lists all faults.
     """
     try:
         parser = ini.parse(text, source)
@@ -142,7 +145,7 @@
 
 
 def digest(bundle: Bundle) -> ids.Digest:
-    """Returns the name of a bundle's body in the object store."""
+    """Returns the digest that names a bundle in the object store."""
     return ids.Digest(hashlib.sha256(codec.to_json(bundle)).hexdigest())
 
 
@@ -154,7 +157,9 @@
         problem = "expected lower-case letters, digits and hyphens"
         faults.append(ini.Fault("bundle", "organisation", problem))
     if not services:
-        faults.append(ini.Fault("service NAME", "", "no service named"))
+        faults.append(
+            ini.Fault("service NAME", "", "expected at least one service")
+        )
     return faults
 
 
--- a/src/swiftstile/bundles/queries.py
+++ b/src/swiftstile/bundles/queries.py
@@ -1,4 +1,4 @@
-"""Queries on bundles and the audit trail; nothing here changes anything."""
+"""Read-only queries on bundles and the audit trail."""
 
 from swiftstile import codec
 from swiftstile import errors
@@ -11,7 +11,7 @@
 
 
 class BundleQueries:
-    """Reads bundles as the platform keeps them."""
+    """Reads bundles and audit entries from the platform."""
 
     def __init__(self, table: base.Table, objects: base.ObjectStore):
         self._table = table
@@ -20,7 +20,7 @@
     async def head(
         self, organisation: ids.OrganisationId
     ) -> records.BundleHead:
-        """Returns the head of an organisation; version 0 for none."""
+        """Returns the head of an organisation; version 0 if there is none."""
         row = await self._table.read(records.head_key(organisation))
         if row is None:
             return records.BundleHead()
@@ -30,14 +30,18 @@
         """Returns the bundle with a digest.
 
         Raises:
-            BundleError: The object store has no such body, or another one.
+            BundleError: The body is missing or doesn't match the digest.
         """
         data = await self._objects.get(records.object_name(digest))
         if data is None:
-            raise errors.BundleError("no such body", step="get", peer=digest)
+            raise errors.BundleError(
+                "no body with this digest", step="get", peer=digest
+            )
         bundle = codec.from_json(data, model.Bundle)
         if model.digest(bundle) != digest:
-            raise errors.BundleError("digest differs", step="get", peer=digest)
+            raise errors.BundleError(
+                "body doesn't match its digest", step="get", peer=digest
+            )
         return bundle
 
     async def versions(
--- a/src/swiftstile/bundles/records.py
+++ b/src/swiftstile/bundles/records.py
@@ -1,4 +1,4 @@
-"""Rows that keep the life cycle of bundles in the platform's table."""
+"""Rows of the platform's table that store the life cycle of bundles."""
 
 import enum
 
@@ -30,14 +30,14 @@
 
 
 class BundleHead(msgspec.Struct, frozen=True):
-    """Which version of an organisation's bundle is in force.
+    """Latest version of an organisation's bundle and the one in force.
 
     Attributes:
-        newest: Highest version approved.
+        newest: Highest approved version.
         in_force: Version in force; 0 for none.
-        digest: Body of the version in force; empty for none.
-        audit_count: Entries in the organisation's audit trail.
-        operator: Who changed this last.
+        digest: Digest of the version in force; empty for none.
+        audit_count: Number of entries in the organisation's audit trail.
+        operator: Operator who made the last change.
     """
 
     newest: ids.BundleVersion = ids.BundleVersion(0)
@@ -58,18 +58,18 @@
 
 
 class AuditEntry(msgspec.Struct, frozen=True):
-    """One change, or one attempt at it, and who made it.
+    """One change, or an attempt at one.
 
     Attributes:
         number: Position in the trail, from 1 without gaps.
         at_ms: Milliseconds since the Unix epoch, by the writer's clock.
-        actor: The operator or the VM.
-        action: What was done.
-        subject: To what.
-        outcome: `done`, or why not.
-        before: State before.
-        after: State after.
-        reason: Why.
+        actor: The operator or VM that made the change.
+        action: Kind of change.
+        subject: Object of the change.
+        outcome: `done`, or the cause of failure.
+        before: State before the change.
+        after: State after the change.
+        reason: Reason for the change.
     """
 
     number: int
@@ -96,7 +96,7 @@
 def version_key(
     organisation: ids.OrganisationId, version: ids.BundleVersion
 ) -> str:
-    """Returns the key of a version row; keys sort by version."""
+    """Returns the key of a version row; keys sort by version number."""
     return f"{version_prefix(organisation)}{version:010d}"
 
 
--- a/src/swiftstile/bundles/watch.py
+++ b/src/swiftstile/bundles/watch.py
@@ -1,4 +1,4 @@
-"""Follows the bundle in force, which never falls back to an older one."""
+"""Polls for the bundle in force; never reverts to an older version."""
 
 import asyncio
 
@@ -23,10 +23,11 @@
 
 
 class BundleWatch:
-    """Polls the heads of this VM's organisations.
+    """Polls the bundle heads of this VM's organisations.
 
     Attributes:
-        changes: Emits each `BundleInForce` as it comes into force here.
+        changes: Emits each `BundleInForce` when it takes effect on this VM.
+        reachable: Whether the platform responded to the last poll.
         by_organisation: The bundle in force, by organisation.
     """
 
@@ -63,7 +64,7 @@
     async def _refresh(self, organisation) -> None:
         head = await self._source.head(organisation)
         current = self.by_organisation.get(organisation)
-        # A lagging read may show an older head: versions here only grow.
+        # A stale read may return an older head, so older versions are ignored.
         if head.in_force <= (current.version if current else 0):
             return
         bundle = await self._source.body(head.digest)
--- a/src/swiftstile/cli.py
+++ b/src/swiftstile/cli.py
@@ -1,4 +1,4 @@
-"""The command line: daemons, bundles, and looks at a running system."""
+"""The command line: daemons, bundles and diagnostics."""
 
 import argparse
 import collections.abc
@@ -14,11 +14,11 @@
 __all__ = ["main"]
 
 _EPILOG = """exit status:
-  0  done
-  1  failed: the message says at which step and peer
-  2  the command line, a settings file or a bundle is wrong
-  3  conflict: another operator was first; nothing was changed
-  4  the platform doesn't answer, or its answer was lost
+  0  success
+  1  failure; the message names the step and the peer
+  2  invalid command line, settings file or bundle
+  3  conflict with another operator's change; nothing was changed
+  4  the platform is unreachable, or its response was lost
 """
 
 
@@ -47,7 +47,7 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="swiftstile",
-        description="A router for servers that own keys exclusively.",
+        description="Request router for servers with exclusive key ownership.",
         epilog=_EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
--- a/src/swiftstile/clocks.py
+++ b/src/swiftstile/clocks.py
@@ -1,21 +1,21 @@
-"""The clock that leases are measured on.
+"""Clocks for leases and timestamps.
 
-CLOCK_BOOTTIME goes on while a process is stopped and while the machine is
-suspended, so a holder that was paused finds its lease lapsed.
+Leases use CLOCK_BOOTTIME, which advances while a process is stopped and while
+the machine is suspended, so a holder that was paused sees its lease expired.
 """
 
 import time
 
 __all__ = ["DRIFT_MARGIN_S", "milliseconds", "monotonic", "wall_ms"]
 
-# Added to each wait for another machine's lease, for clocks that run at
-# slightly different rates: 1 part in 1,000 over the longest short lease,
+# Added to each wait for another machine's lease to expire, because clocks run
+# at slightly different rates: 1 part in 1,000 of the longest short lease,
 # rounded up.
 DRIFT_MARGIN_S = 0.02
 
 
 def monotonic() -> float:
-    """Returns seconds since boot, pauses and suspends included."""
+    """Returns seconds since boot, including time paused or suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -25,5 +25,5 @@
 
 
 def milliseconds(seconds: float) -> int:
-    """Returns a length of time in whole milliseconds, rounded towards zero."""
+    """Converts a duration to whole milliseconds, rounded towards zero."""
     return int(seconds * 1000)
--- a/src/swiftstile/codec.py
+++ b/src/swiftstile/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of typed messages and documents. MessagePack and JSON."""
+"""MessagePack encoding of messages and JSON encoding of documents."""
 
 import typing
 
@@ -15,7 +15,7 @@
     """Encodes one union of tagged structs as MessagePack.
 
     Attributes:
-        max_bytes: Longer messages are refused before they are decoded.
+        max_bytes: Longer messages are rejected before decoding.
     """
 
     def __init__(self, kind: typing.Any, max_bytes: int = 4 << 20):
@@ -24,14 +24,19 @@
         self._decoder = msgspec.msgpack.Decoder(kind)
 
     def encode(self, message: T) -> bytes:
-        """Returns the bytes of a message."""
+        """Encodes a message."""
         return self._encoder.encode(message)
 
     def decode(self, data: bytes, peer: str = "") -> T:
-        """Returns the message in `data`.
+        """Decodes a message.
+
+        Args:
+            data: The encoded message.
+            peer: The sender, for error messages.
 
         Raises:
-            ControlMessageError: The bytes are not one of the known messages.
+            ControlMessageError: The data is too long, malformed or of an
+                unknown type.
         """
         if len(data) > self.max_bytes:
             raise errors.ControlMessageError(
@@ -48,12 +53,12 @@
 
 
 def to_json(document: msgspec.Struct) -> bytes:
-    """Returns a document as JSON, for the platform's store."""
+    """Encodes a document as JSON, for the platform's store."""
     return msgspec.json.encode(document)
 
 
 def from_json(data: bytes, kind: type[T], peer: str = "") -> T:
-    """Returns the document in `data`.
+    """Decodes a JSON document.
 
     Raises:
         ControlMessageError: The document is malformed.
--- a/src/swiftstile/commandline/__init__.py
+++ b/src/swiftstile/commandline/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of the command line, by what they are for."""
+"""Commands of the command line interface."""
--- a/src/swiftstile/commandline/bundles.py
+++ b/src/swiftstile/commandline/bundles.py
@@ -1,4 +1,4 @@
-"""Commands on bundles: approve, roll, retire and look at them."""
+"""Commands that approve, roll, retire and show bundles."""
 
 import getpass
 import pathlib
@@ -13,19 +13,21 @@
 
 
 def add(commands) -> None:
-    """Adds the command `bundle` and its verbs."""
-    text = "approve, roll, retire and look at bundles"
+    """Adds the `bundle` command and its subcommands."""
+    text = "approve, roll, retire and show bundles"
     bundle = commands.add_parser("bundle", help=text, description=text)
     verbs = bundle.add_subparsers(required=True, metavar="VERB")
     approve = verbs.add_parser("approve", help="store a bundle as a version")
     approve.add_argument("file", type=pathlib.Path, help="an INI file")
     approve.add_argument(
-        "--dry-run", action="store_true", help="only check the file"
+        "--dry-run",
+        action="store_true",
+        help="check the file without storing it",
     )
     approve.set_defaults(run=_approve)
     for name, run, text in (
         ("roll", _roll, "put an approved version in force"),
-        ("retire", _retire, "mark a version as never to be rolled"),
+        ("retire", _retire, "exclude a version from being rolled"),
     ):
         verb = verbs.add_parser(name, help=text)
         verb.add_argument("organisation")
@@ -42,7 +44,7 @@
         verb.add_argument(
             "--operator",
             default=getpass.getuser(),
-            help="who acts, for the audit trail (default: login name)",
+            help="operator to record in the audit trail (default: login name)",
         )
 
 
@@ -51,7 +53,7 @@
         text = args.file.read_text()
     except (OSError, UnicodeDecodeError) as error:
         raise errors.BundleError(
-            f"can't be read: {error}", step="read bundle", peer=str(args.file)
+            f"can't read file: {error}", step="read bundle", peer=str(args.file)
         ) from error
     bundle = model.parse(text, str(args.file))
     if args.dry_run:
--- a/src/swiftstile/commandline/daemons.py
+++ b/src/swiftstile/commandline/daemons.py
@@ -1,4 +1,4 @@
-"""Commands that run a daemon, or check the settings of one."""
+"""Commands that run a daemon or check its settings."""
 
 import asyncio
 import pathlib
@@ -19,7 +19,7 @@
 
 
 def add(commands) -> None:
-    """Adds the commands."""
+    """Adds the daemon commands and the settings checks."""
     _add_daemons(commands)
     _add_check(commands)
 
@@ -27,7 +27,11 @@
 def _add_daemons(commands) -> None:
     for name, run, text in (
         ("router", _run_router, "route requests of callers to owners"),
-        ("coordinator", _run_coordinator, "take part in giving out ownership"),
+        (
+            "coordinator",
+            _run_coordinator,
+            "take part in the assignment of keys to owners",
+        ),
     ):
         command = commands.add_parser(name, help=text, description=text)
         shared.add_settings(command)
@@ -39,7 +43,7 @@
         ("check-settings", settings_lib.load, "router and coordinator"),
         ("check-gateway", gateway_settings.load, "gateway"),
     ):
-        text = f"check a settings file of {kind}, say all that is wrong"
+        text = f"check a settings file of {kind} and list all errors"
         command = commands.add_parser(name, help=text, description=text)
         command.add_argument("file", type=pathlib.Path, help="an INI file")
         command.set_defaults(run=_check_settings, load=load)
--- a/src/swiftstile/commandline/diagnostics.py
+++ b/src/swiftstile/commandline/diagnostics.py
@@ -1,4 +1,4 @@
-"""Commands that look at a running system, or at what it wrote."""
+"""Commands that inspect a running system, its audit trail or its logs."""
 
 import asyncio
 import pathlib
@@ -16,14 +16,14 @@
 
 
 def add(commands) -> None:
-    """Adds the commands."""
+    """Adds the commands `status`, `audit` and `explain`."""
     _add_status_and_audit(commands)
     _add_explain(commands)
 
 
 def _add_status_and_audit(commands) -> None:
     status = commands.add_parser(
-        "status", help="show the state of this VM's daemons, or of others"
+        "status", help="show the status of this VM's daemons, or of others"
     )
     status.add_argument("organisation")
     status.add_argument(
@@ -31,18 +31,18 @@
         action="append",
         default=[],
         metavar="HOST:PORT",
-        help="a daemon's metrics address; may be repeated (default: this"
-        " VM's own, from the settings)",
+        help="metrics address of a daemon; may be repeated (default: this"
+        " VM's daemons, from the settings)",
     )
     status.set_defaults(run=_status)
     audit = commands.add_parser("audit", help="print the audit trail")
     audit.add_argument("organisation")
-    audit.add_argument("--actor", help="only entries of one operator")
-    audit.add_argument("--action", help="only entries of one action")
+    audit.add_argument("--actor", help="show only entries of this operator")
+    audit.add_argument("--action", help="show only entries of this action")
     audit.add_argument(
         "--ownership",
         metavar="SERVICE",
-        help="changes of ownership of a service instead of bundles",
+        help="show ownership changes of this service instead of bundle changes",
     )
     audit.set_defaults(run=_audit)
     for command in (status, audit):
@@ -51,11 +51,11 @@
 
 
 def _add_explain(commands) -> None:
-    text = "tell the trace of one request from log files of any VMs"
+    text = "show the trace of one request from the log files of any VMs"
     command = commands.add_parser("explain", help=text, description=text)
-    command.add_argument("request", help="the caller's id of the attempt")
-    command.add_argument("file", type=pathlib.Path, nargs="+", help="a log")
-    command.add_argument("--json", action="store_true", help="for programs")
+    command.add_argument("request", help="id that the caller gave the attempt")
+    command.add_argument("file", type=pathlib.Path, nargs="+", help="log file")
+    command.add_argument("--json", action="store_true", help="print JSON")
     command.set_defaults(run=_explain)
 
 
@@ -143,7 +143,7 @@
 
 def _status_line(address: str, state: dict | None) -> str:
     if state is None:
-        return f"{address}  no answer"
+        return f"{address}  no response"
     platform = "reachable" if state["platform_reachable"] else "UNREACHABLE"
     lines = [
         f"{address}  {state['vm']} ({state['failure_domain']})"
--- a/src/swiftstile/commandline/shared.py
+++ b/src/swiftstile/commandline/shared.py
@@ -1,4 +1,4 @@
-"""What commands share: options, output, exit statuses, the platform."""
+"""Helpers of commands: options, output, exit statuses, platform access."""
 
 import asyncio
 import pathlib
@@ -28,25 +28,25 @@
 
 
 def add_settings(command) -> None:
-    """Adds the option that names the settings file."""
+    """Adds the option for the settings file."""
     command.add_argument(
         "--settings",
         type=pathlib.Path,
         required=True,
         metavar="FILE",
-        help="settings of this process (INI)",
+        help="settings file of this process (INI)",
     )
 
 
 def add_json(command) -> None:
-    """Adds the option for output that programs read."""
+    """Adds the option for JSON output."""
     command.add_argument(
-        "--json", action="store_true", help="print JSON for programs"
+        "--json", action="store_true", help="print JSON instead of text"
     )
 
 
 def with_platform(args, work) -> object:
-    """Runs `work(parts)` with the platform of the settings file."""
+    """Runs `work(parts)` with the components built from the settings file."""
     settings = settings_lib.load(args.settings)
 
     async def run():
@@ -60,7 +60,7 @@
 
 
 def print_result(args, document: object, text: str) -> int:
-    """Prints a document, or its text; returns the exit status."""
+    """Prints a document as JSON or as text, and returns the exit status."""
     if args.json:
         print(msgspec.json.encode(document).decode())
     else:
--- a/src/swiftstile/daemons/__init__.py
+++ b/src/swiftstile/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Thin programs around the library."""
+"""Daemons: the router, the coordinator and their status endpoints."""
--- a/src/swiftstile/daemons/coordinator.py
+++ b/src/swiftstile/daemons/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator daemon of an entry VM: control, never on the data path."""
+"""The coordinator daemon of an entry VM; not on the request path."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class CoordinatorDaemon(links.ControlHandler, inspection.Inspectable):
-    """Takes its share of coordinator leases and answers control messages."""
+    """Takes part in lease elections and handles control messages."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._tasks: dict[ids.ServiceId, asyncio.Task] = {}
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Works until `stopping` is set, then gives its leases up."""
+        """Runs until `stopping` is set, then releases its leases."""
         self._bundles.changes.subscribe(self._on_bundle)
         await self._directory.refresh()
         server = links.ControlServer(
@@ -107,7 +107,7 @@
                 return self._locate(message)
             case messages.WatchRequest():
                 return await self._watch(message)
-        return messages.Refused(f"can't answer {type(message).__name__}")
+        return messages.Refused(f"unexpected message {type(message).__name__}")
 
     def _pong(self) -> messages.Pong:
         return messages.Pong(
@@ -117,31 +117,33 @@
             self._leaving,
         )
 
-    def _promise(self, ask: messages.PromiseRequest) -> messages.Message:
-        if ask.candidate != self._me.incarnation:
-            return messages.Refused("meant for another run of this process")
-        duration = min(ask.duration_s, self._settings.coordinator.promise_s)
-        elector = self._electors.get(ask.service)
+    def _promise(self, request: messages.PromiseRequest) -> messages.Message:
+        if request.candidate != self._me.incarnation:
+            return messages.Refused("addressed to another run of this process")
+        duration = min(request.duration_s, self._settings.coordinator.promise_s)
+        elector = self._electors.get(request.service)
         if elector is not None:
-            elector.note_holder(ask.holder, ask.epoch)
+            elector.note_holder(request.holder, request.epoch)
         granted = (
-            duration == ask.duration_s
+            duration == request.duration_s
             and not self._leaving
             and self._promises.promise(
-                ask.service, ask.epoch, clocks.monotonic(), duration
+                request.service, request.epoch, clocks.monotonic(), duration
             )
         )
-        known = elector.known.epoch if elector and elector.known else ask.epoch
+        known = (
+            elector.known.epoch if elector and elector.known else request.epoch
+        )
         return messages.PromiseReply(granted, known)
 
     def _resigned(self, message: messages.Resigned) -> messages.Message:
         if message.candidate != self._me.incarnation:
-            return messages.Refused("meant for another run of this process")
+            return messages.Refused("addressed to another run of this process")
         self._promises.release(message.service, message.epoch)
         return messages.PromiseReply(False, message.epoch)
 
-    def _locate(self, ask: messages.LocateRequest) -> messages.LocateReply:
-        elector = self._electors.get(ask.service)
+    def _locate(self, request: messages.LocateRequest) -> messages.LocateReply:
+        elector = self._electors.get(request.service)
         if elector is None or elector.known is None:
             return messages.LocateReply(self._me.vm, False, ids.Epoch(0))
         is_holder = elector.active is not None
--- a/src/swiftstile/daemons/inspection.py
+++ b/src/swiftstile/daemons/inspection.py
@@ -1,4 +1,4 @@
-"""What a daemon tells of itself."""
+"""Interface for the status of a daemon."""
 
 import abc
 
@@ -6,8 +6,8 @@
 
 
 class Inspectable(abc.ABC):
-    """A daemon that can tell its state."""
+    """A daemon that reports its status."""
 
     @abc.abstractmethod
     def status(self) -> dict[str, object]:
-        """Returns the state, ready for JSON."""
+        """Returns the status as a JSON-compatible document."""
--- a/src/swiftstile/daemons/inspection_server.py
+++ b/src/swiftstile/daemons/inspection_server.py
@@ -1,4 +1,4 @@
-"""Serves metrics and status of a daemon over HTTP."""
+"""HTTP server for the metrics, status and health of a daemon."""
 
 import collections.abc
 
@@ -16,12 +16,12 @@
     daemon: inspection.Inspectable,
     render_metrics: collections.abc.Callable[[], bytes],
 ) -> web.AppRunner:
-    """Serves `/metrics`, `/status` and `/health`.
+    """Starts to serve `/metrics`, `/status` and `/health`.
 
     Args:
         address: `host:port` to listen at.
-        daemon: Whose status it is.
-        render_metrics: Returns the metrics.
+        daemon: The daemon whose status is served.
+        render_metrics: Returns the metrics in the Prometheus text format.
     """
 
     async def metrics(_request: web.Request) -> web.Response:
--- a/src/swiftstile/daemons/router.py
+++ b/src/swiftstile/daemons/router.py
@@ -1,4 +1,4 @@
-"""The router daemon of an entry VM: the request path."""
+"""The router daemon of an entry VM, which serves requests."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class RouterDaemon(inspection.Inspectable):
-    """Routes requests by the bundles in force."""
+    """Routes requests according to the bundles in force."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._tasks: dict[ids.ServiceId, asyncio.Task] = {}
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Routes until `stopping` is set, then finishes what is in flight."""
+        """Runs until `stopping` is set, then drains requests in flight."""
         self._bundles.changes.subscribe(self._on_bundle)
         self._directory.changes.subscribe(self._on_vms)
         await self._forwarder.open()
@@ -119,7 +119,7 @@
             {
                 server: vm.data_address
                 for server, vm in group.items()
-                # A keyed server goes on with what it owns until that has moved.
+                # A leaving keyed server keeps its slices until they have moved.
                 if is_keyed or vm.state is base.VmState.LIVE
             }
         )
--- a/src/swiftstile/errors.py
+++ b/src/swiftstile/errors.py
@@ -1,4 +1,4 @@
-"""The exception tree. Each error names the step and the peer it arose at."""
+"""Exception hierarchy. Each error names the failed step and the peer."""
 
 __all__ = [
     "BundleError",
@@ -17,11 +17,11 @@
 
 
 class SwiftstileError(Exception):
-    """Base of all errors of this package.
+    """Base class of all errors of this package.
 
     Attributes:
-        step: What was being done, as a short verb phrase.
-        peer: The other side: an address, an id or a file. May be empty.
+        step: The operation that failed, as a short verb phrase.
+        peer: The remote address, id or file concerned. May be empty.
     """
 
     def __init__(self, message: str, *, step: str, peer: str = ""):
@@ -35,23 +35,23 @@
 
 
 class SettingsError(SwiftstileError):
-    """Settings can't be used: a bad file, or an address that is taken."""
+    """Invalid settings, or a configured address that is already in use."""
 
 
 class BundleError(SwiftstileError):
-    """A bundle is malformed, or a command on it isn't allowed."""
+    """A bundle is malformed, or a command isn't allowed on it."""
 
 
 class PlatformError(SwiftstileError):
-    """The platform's service didn't do what was asked."""
+    """A service of the platform failed to perform a request."""
 
 
 class PlatformUnavailableError(PlatformError):
-    """The platform refused or couldn't be reached; nothing was changed."""
+    """The platform is unreachable or rejected the request; nothing changed."""
 
 
 class ConflictError(PlatformError):
-    """A condition of a write didn't hold; nothing was changed."""
+    """A precondition of a write failed; nothing was changed."""
 
 
 class OutcomeUnknownError(PlatformError):
@@ -59,20 +59,20 @@
 
 
 class ControlMessageError(SwiftstileError):
-    """A control message is malformed or came at the wrong time."""
+    """A control message is malformed or unexpected."""
 
 
 class LogError(SwiftstileError):
-    """A log can't be read, or says nothing of what was asked."""
+    """A log can't be read, or has no entry for the request."""
 
 
 class PeerUnavailableError(SwiftstileError):
-    """A peer couldn't be reached."""
+    """A peer is unreachable or timed out."""
 
 
 class PeerUnreachableError(PeerUnavailableError):
-    """No connection to a peer could be opened."""
+    """No connection to the peer could be opened."""
 
 
 class PeerTimeoutError(PeerUnavailableError):
-    """A peer didn't answer in time."""
+    """The peer didn't respond in time."""
--- a/src/swiftstile/explain.py
+++ b/src/swiftstile/explain.py
@@ -1,8 +1,8 @@
-"""The trace of one request, from the log lines of any VMs.
+"""Reconstructs the trace of one request from the logs of any VMs.
 
-Lines of the request come in order of time. Before them stand the changes that
-were in force when it came: the newest of each kind at the same VM, with how
-old they were. Lines that aren't ours are passed over.
+A trace lists the log entries of the request in order of time. The state changes
+in force when the request arrived precede them: the latest change of each kind
+on the same VM, with its age. Lines in another format are ignored.
 """
 
 import collections.abc
@@ -15,8 +15,8 @@
 
 __all__ = ["Change", "RequestTrace", "find", "render"]
 
-# Changes of state that decide what becomes of requests, and the field that
-# tells several of a kind apart.
+# Events of state changes that affect how requests are handled, each with the
+# field that distinguishes several changes of the same kind.
 _CHANGE_EVENTS = {
     "configuration in force": "",
     "table lost": "table",
@@ -37,7 +37,7 @@
 
 
 class Change(msgspec.Struct):
-    """A change of state, and how old it was when the request came."""
+    """A state change, and its age when the request arrived."""
 
     vm: str
     event: str
@@ -46,13 +46,13 @@
 
 
 class RequestTrace(msgspec.Struct):
-    """What is known of one request.
+    """The log entries and state changes that concern one request.
 
     Attributes:
-        id: Its id.
-        decisions: What was decided on it, in order of time.
-        changes: Changes in force when it came, oldest first.
-        dropped: Lines that its VMs dropped, in all files.
+        id: Id of the attempt.
+        decisions: Log entries of the request, in order of time.
+        changes: State changes in force when it arrived, oldest first.
+        dropped: Number of log lines that were dropped, over all files.
     """
 
     id: str
@@ -62,14 +62,14 @@
 
 
 def find(request_id: str, files: list[pathlib.Path]) -> RequestTrace:
-    """Returns the trace of a request.
+    """Builds the trace of a request.
 
     Args:
-        request_id: The caller's id of the attempt.
+        request_id: Id that the caller gave the attempt.
         files: Logs of any VMs.
 
     Raises:
-        LogError: A file can't be read, or no line has that id.
+        LogError: A file can't be read, or no entry has that id.
     """
     decisions, changes, dropped = [], [], 0
     for line in _lines(files):
@@ -81,7 +81,7 @@
             changes.append(line)
     if not decisions:
         raise errors.LogError(
-            f"no line of {request_id}; {dropped} lines were dropped",
+            f"no entry for request {request_id}; {dropped} lines were dropped",
             step="explain",
             peer=", ".join(map(str, files)),
         )
@@ -109,7 +109,7 @@
 
 
 def _in_force(decisions, changes) -> list[Change]:
-    """Returns the newest change of each kind before the request came."""
+    """Returns the latest change of each kind before the request arrived."""
     first = decisions[0]
     arrived_ms = first.get("at_ms", 0) - first.get("waited_ms", 0)
     vms = {line.get("vm") for line in decisions}
@@ -122,7 +122,7 @@
         is_other_upstream = (
             event.startswith("upstream") and detail not in upstreams
         )
-        # Key maps are written by the leader alone, and count for all VMs.
+        # Key maps are written by the leader only, but apply to all VMs.
         is_relevant_vm = line.get("vm") in vms or event == "key map written"
         if age_s < 0 or is_other_upstream or not is_relevant_vm:
             continue
@@ -139,7 +139,7 @@
     try:
         moment = datetime.datetime.fromisoformat(str(line.get("time")))
     except ValueError:
-        # A line without a readable time counts as older than all requests.
+        # An entry without a valid time is treated as older than any request.
         return 0.0
     return moment.timestamp() * 1000
 
@@ -149,8 +149,8 @@
 
 
 def render(trace: RequestTrace) -> str:
-    """Returns a trace as text."""
-    lines = [f"request {trace.id}", "in force when it came:"]
+    """Formats a trace as text."""
+    lines = [f"request {trace.id}", "in force when it arrived:"]
     for change in trace.changes:
         lines.append(
             f"  {change.age_s:9.3f} s before  {change.vm}  {change.event}"
--- a/src/swiftstile/hashing.py
+++ b/src/swiftstile/hashing.py
@@ -1,4 +1,4 @@
-"""Maps keys to positions in the 64-bit hash space."""
+"""Maps keys to positions in a 64-bit hash space."""
 
 import xxhash
 
@@ -6,14 +6,14 @@
 
 __all__ = ["HASH_SPACE", "key_hash", "text_hash"]
 
-# Number of positions; a position is in [0, HASH_SPACE).
+# Number of positions; positions lie in [0, HASH_SPACE).
 HASH_SPACE = 1 << 64
 
 
 def key_hash(
     organisation: ids.OrganisationId, service: ids.ServiceName, key: ids.Key
 ) -> ids.KeyHash:
-    """Returns the position of `key` among the keys of a service."""
+    """Returns the hash position of a key of a service."""
     text = f"{organisation}/{service}/{key}"
     return ids.KeyHash(text_hash(text))
 
--- a/src/swiftstile/ids.py
+++ b/src/swiftstile/ids.py
@@ -1,4 +1,4 @@
-"""Identifier types shared by every part of the system."""
+"""Identifier types shared by all modules."""
 
 import typing
 import uuid
@@ -28,24 +28,24 @@
 VmId = typing.NewType("VmId", str)
 ServerId = typing.NewType("ServerId", str)
 FailureDomain = typing.NewType("FailureDomain", str)
-# One run of one process: a restarted process has a new one.
+# Identifies one run of a process; a restarted process gets a new one.
 Incarnation = typing.NewType("Incarnation", str)
 Key = typing.NewType("Key", str)
 # Unsigned 64-bit position of a key in the hash space.
 KeyHash = typing.NewType("KeyHash", int)
-# Raised by each take-over of a coordinator lease.
+# Incremented at each takeover of a coordinator lease.
 Epoch = typing.NewType("Epoch", int)
-# Version of the assignment in which a slice was given its owner.
+# Version of the assignment in which a slice was assigned to its owner.
 Fence = typing.NewType("Fence", int)
 BundleVersion = typing.NewType("BundleVersion", int)
 RequestId = typing.NewType("RequestId", str)
 AttemptId = typing.NewType("AttemptId", str)
-# SHA-256 of a body, in hexadecimal.
+# SHA-256 digest of a body, in hexadecimal.
 Digest = typing.NewType("Digest", str)
 
 
 class ServiceId(typing.NamedTuple):
-    """Names one service of one organisation."""
+    """Identifies one service of one organisation."""
 
     organisation: OrganisationId
     service: ServiceName
@@ -55,10 +55,10 @@
 
 
 def new_attempt_id() -> AttemptId:
-    """Returns an id that marks one attempt at a write."""
+    """Returns a new id for an attempt at a write."""
     return AttemptId(uuid.uuid4().hex)
 
 
 def new_incarnation(vm: VmId) -> Incarnation:
-    """Returns an id for this run of a process on `vm`."""
+    """Returns a new id for this run of a process on `vm`."""
     return Incarnation(f"{vm}#{uuid.uuid4().hex[:12]}")
--- a/src/swiftstile/ini.py
+++ b/src/swiftstile/ini.py
@@ -1,4 +1,4 @@
-"""Reads INI text into typed sections and lists every fault at once."""
+"""Parses INI text into typed sections and reports all faults at once."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One thing wrong with one option of one section."""
+    """A problem with one section or option."""
 
     section: str
     option: str
@@ -37,29 +37,29 @@
 
 
 def read(path: pathlib.Path) -> configparser.ConfigParser:
-    """Splits the text of a settings file into sections.
+    """Parses a settings file into sections.
 
     Raises:
-        SettingsError: The file can't be read, or isn't INI.
+        SettingsError: The file can't be read or isn't valid INI.
     """
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
         raise errors.SettingsError(
-            f"can't be read: {error}", step="read settings", peer=str(path)
+            f"can't read file: {error}", step="read settings", peer=str(path)
         ) from error
     return parse(text, str(path))
 
 
 def parse(text: str, source: str) -> configparser.ConfigParser:
-    """Splits INI text into sections.
+    """Parses INI text into sections.
 
     Args:
-        text: The whole text.
-        source: Name of the file, for errors.
+        text: The INI text.
+        source: File name, for error messages.
 
     Raises:
-        SettingsError: The text isn't INI.
+        SettingsError: The text isn't valid INI.
     """
     parser = configparser.ConfigParser(
         interpolation=None, inline_comment_prefixes=(";",)
@@ -79,16 +79,16 @@
     kinds: Mapping[str, type[msgspec.Struct]],
     required: Iterable[str],
 ) -> tuple[dict[str, msgspec.Struct | None], list[Fault]]:
-    """Converts all sections that have a kind.
+    """Converts all sections that have a type.
 
     Args:
-        parser: The text, split into sections.
-        kinds: The struct that describes each section, by its name.
-        required: Sections that may not be missing.
+        parser: The parsed text.
+        kinds: Struct type of each section, by section name.
+        required: Names of mandatory sections.
 
     Returns:
-        The sections that are there, by name, None for one with a fault; and all
-        faults.
+        The sections present, by name, with None for a section that has faults;
+        and all faults.
     """
     sections, faults = {}, []
     for name, kind in kinds.items():
@@ -104,12 +104,12 @@
     sections: Mapping[str, msgspec.Struct | None],
     checks: Iterable[tuple[str, str, Callable[[str], object]]],
 ) -> list[Fault]:
-    """Returns the faults of values that a check doesn't take.
+    """Returns a fault for each value that fails its check.
 
     Args:
         sections: The sections, by name.
-        checks: Section, option, and what raises ValueError for a wrong value.
-            An empty value and a missing section are right.
+        checks: Section, option, and a function that raises ValueError for an
+            invalid value. Empty values and missing sections are valid.
     """
     faults = []
     for section, option, check in checks:
@@ -123,10 +123,10 @@
 
 
 def raise_for_faults(faults: list[Fault], path: pathlib.Path) -> None:
-    """Raises an error that names all faults of a settings file, if any.
+    """Raises an error that lists all faults of a settings file, if any.
 
     Raises:
-        SettingsError: There are faults.
+        SettingsError: The list of faults isn't empty.
     """
     if faults:
         raise errors.SettingsError(
@@ -140,13 +140,13 @@
     """Converts the options of one section.
 
     Args:
-        kind: The struct that describes the section. A tuple field is
-            written as a list separated by commas.
+        kind: Struct type of the section. Tuple fields are written as
+            comma-separated lists.
         section: Name of the section, for faults.
-        options: Text by option name.
+        options: Values by option name, as text.
 
     Returns:
-        The section, or None when there is a fault, and all faults.
+        The section, or None if there are faults; and all faults.
     """
     fields = {
         field.encode_name: field for field in msgspec.structs.fields(kind)
@@ -167,7 +167,7 @@
 
 
 def _is_unset(field, text: str) -> bool:
-    """Whether a number is empty, as templates leave what they don't know."""
+    """Whether an optional number is empty, as templates leave unset values."""
     is_number = _base_type(field.type) in (int, float)
     return is_number and not field.required and not text.strip()
 
--- a/src/swiftstile/logs.py
+++ b/src/swiftstile/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: a line for each change of state, nothing per request."""
+"""Structured logging of state changes; requests aren't logged here."""
 
 import sys
 import traceback
@@ -16,11 +16,11 @@
 def configure(
     settings: settings_lib.LogSettings, sink=sys.stderr, **context: str
 ) -> None:
-    """Sends log lines to standard error, or to another sink.
+    """Directs log output to standard error or to another sink.
 
     Args:
-        settings: Level and form.
-        sink: A stream, or a function that takes a line.
+        settings: Log level and format.
+        sink: A stream, or a function that accepts a line.
         **context: Fields added to every line.
     """
     logger.remove()
@@ -30,14 +30,14 @@
         level=settings.level.upper(),
         serialize=settings.json and not callable(sink),
         format=_json_line if settings.json and callable(sink) else _TEXT,
-        # Values of variables don't belong into logs.
+        # Tracebacks must not disclose the values of variables.
         diagnose=False,
         backtrace=False,
     )
 
 
 def _json_line(record) -> str:
-    """Returns a format that puts one flat JSON object on a line."""
+    """Returns a format string for one flat JSON object a line."""
     fields = {
         "time": record["time"].isoformat(timespec="milliseconds"),
         "level": record["level"].name,
@@ -48,6 +48,7 @@
         fields["exception"] = "".join(
             traceback.format_exception(trace.type, trace.value, trace.traceback)
         )
-    # The formatter's result is itself a format: the line goes in as a field.
+    # Loguru formats the returned string again, so the line is passed as a
+    # field.
     record["extra"]["line"] = msgspec.json.encode(fields, enc_hook=str).decode()
     return "{extra[line]}\n"
--- a/src/swiftstile/membership/__init__.py
+++ b/src/swiftstile/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which VMs exist and which of them answer."""
+"""Membership: the VMs listed by the platform."""
--- a/src/swiftstile/membership/vms.py
+++ b/src/swiftstile/membership/vms.py
@@ -1,4 +1,4 @@
-"""The last VM list that was seen; it lags, and outlives an outage."""
+"""Cache of the platform's VM list, which may be stale during an outage."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
     Attributes:
         changes: Emits this directory after each change of the list.
-        by_id: The last listed VMs, by id.
+        by_id: VMs of the last fetched list, by id.
     """
 
     def __init__(self, source: base.VmList, interval_s: float):
@@ -32,7 +32,7 @@
             await asyncio.sleep(self._interval_s)
 
     async def refresh(self) -> None:
-        """Fetches the list once; keeps the last one if that fails."""
+        """Fetches the list once; keeps the previous one on failure."""
         try:
             vms = await self._source.fetch()
         except errors.PlatformUnavailableError:
@@ -43,7 +43,7 @@
             self.changes.on_next(self)
 
     def entry_vms(self, organisation: ids.OrganisationId) -> list[base.Vm]:
-        """Returns the entry VMs of an organisation, leaving ones included."""
+        """Returns the entry VMs of an organisation, including leaving ones."""
         return [
             vm
             for vm in self.by_id.values()
--- a/src/swiftstile/metrics.py
+++ b/src/swiftstile/metrics.py
@@ -1,4 +1,4 @@
-"""Plain counters and durations, which telemetry.py shows to the outside.
+"""Counters and durations, exported by telemetry.py.
 
 Names and units are documented in docs/operators/metrics.md.
 """
@@ -10,27 +10,27 @@
 
 __all__ = ["MAX_BUFFERED", "Durations", "LabelledCounter", "Meters"]
 
-# Durations that are kept until there is an instrument for them: the first
-# seconds of a process, at a few hundred requests/s.
+# Most durations buffered until an instrument is bound. This covers the first
+# seconds of a process at a few hundred requests/s.
 MAX_BUFFERED = 2000
 
 
 class LabelledCounter:
-    """Plain counters for the hot path, read when they are scraped.
+    """Counters by label for the hot path, read when they are scraped.
 
-    An addition to a dict costs a tenth of one to an instrument, which counts
-    when it is done for every request.
+    Adding to a dict costs a tenth of adding to an OpenTelemetry instrument,
+    which matters for operations on every request.
     """
 
     def __init__(self):
         self._by_label: dict[str, float] = {}
 
     def add(self, label: str, amount: float = 1) -> None:
-        """Adds to the counter of one label."""
+        """Increments the counter of a label."""
         self._by_label[label] = self._by_label.get(label, 0) + amount
 
     def get(self, label: str) -> float:
-        """Returns the counter of one label."""
+        """Returns the counter of a label."""
         return self._by_label.get(label, 0)
 
     def by_label(self) -> dict[str, float]:
@@ -39,10 +39,10 @@
 
 
 class Durations:
-    """How long requests took, kept until an instrument takes them over.
+    """Request durations, buffered until an instrument is bound.
 
-    Loading OpenTelemetry is a fifth of the processor time of a start, so a
-    daemon that has to be ready at once loads it later.
+    Loading OpenTelemetry takes a fifth of the processor time of a start, so a
+    daemon that must be ready at once loads it later.
     """
 
     def __init__(self):
@@ -52,14 +52,14 @@
         self._record: collections.abc.Callable[[float], None] | None = None
 
     def record(self, seconds: float) -> None:
-        """Takes in one request."""
+        """Records the duration of one request."""
         if self._record is None:
             self._buffered.append(seconds)
         else:
             self._record(seconds)
 
     def bind(self, record: collections.abc.Callable[[float], None]) -> None:
-        """Hands all durations to an instrument, those of before included."""
+        """Passes buffered and all later durations to an instrument."""
         self._record = record
         while self._buffered:
             record(self._buffered.popleft())
@@ -83,16 +83,16 @@
     def count_http(
         self, kind: str, response: aiohttp.ClientResponse, sent: int
     ):
-        """Counts a control exchange over HTTP: bodies and heads.
+        """Counts the bytes of an HTTP control exchange, headers included.
 
         Args:
-            kind: Whom it was with; first part of the label.
-            response: The answer, whose body was read.
-            sent: Length of the request's body, in bytes.
+            kind: Kind of the remote side; first part of the label.
+            response: The response, after its body was read.
+            sent: Length of the request body, in bytes.
         """
-        asked = response.request_info
-        head = sum(len(k) + len(v) + 4 for k, v in asked.headers.items())
-        line = len(asked.method) + len(asked.url.raw_path_qs) + 12
+        request = response.request_info
+        head = sum(len(k) + len(v) + 4 for k, v in request.headers.items())
+        line = len(request.method) + len(request.url.raw_path_qs) + 12
         self.control_bytes.add(f"{kind}-sent", head + line + sent)
         head = sum(len(k) + len(v) + 4 for k, v in response.raw_headers)
         received = head + (response.content_length or 0)
@@ -100,7 +100,7 @@
         self.control_messages.add(kind)
 
     def snapshot(self) -> dict[str, dict[str, float]]:
-        """Returns every counter by metric name and label."""
+        """Returns all counters by metric name and label."""
         return {
             name: counts.by_label()
             for name, counts in vars(self).items()
--- a/src/swiftstile/pacing.py
+++ b/src/swiftstile/pacing.py
@@ -1,9 +1,9 @@
-"""Pauses of periodic work that end together.
+"""Timers of periodic tasks, aligned to common ticks.
 
-A process has a dozen loops that look at something several times a second. A
-wake-up costs more than most of these looks, above all where a machine runs many
-processes. So pauses end at common ticks: one wake-up serves all loops that are
-due.
+A process has a dozen loops that poll several times a second. Waking the process
+costs more than most of these polls, particularly on machines that run many
+processes. Timers therefore expire at common ticks, so that one wake-up serves
+all loops that are due.
 """
 
 import asyncio
@@ -12,23 +12,24 @@
 
 __all__ = ["TICK_S", "TickScheduler", "scheduler", "sleep_aligned"]
 
-# Between two moments at which pauses may end.
+# Interval between ticks, in seconds.
 TICK_S = 0.05
-# Part of a tick by which a timer may fire early.
+# Fraction of a tick by which a timer may fire early.
 _TIMER_SLACK = 0.1
 
 
 class TickScheduler:
-    """Ends pauses at the ticks of one event loop.
+    """Completes futures at the ticks of one event loop.
 
-    There is a timer only while somebody pauses.
+    A timer is set only while futures are pending.
 
     Args:
         loop: The event loop.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
-        # The loop holds this object by its timers, and must not be kept alive.
+        # The loop refers to this object by its timers; a strong reference back
+        # would keep the loop alive.
         self._loop = weakref.ref(loop)
         self._started_at = loop.time()
         self._futures_by_tick: dict[int, list[asyncio.Future[None]]] = {}
@@ -36,10 +37,10 @@
         self._timer_tick = 0
 
     def after(self, seconds: float) -> asyncio.Future[None]:
-        """Returns a future that is done at the tick nearest to a pause's end.
+        """Returns a future that completes at the tick nearest to a delay's end.
 
         Args:
-            seconds: Length of the pause. It ends at the next tick at the
+            seconds: The delay. The future completes at the next tick at the
                 earliest.
         """
         elapsed = self._elapsed_ticks()
@@ -47,13 +48,13 @@
         return self._at(max(earliest, round(elapsed + seconds / TICK_S)))
 
     def next_multiple(self, seconds: float) -> asyncio.Future[None]:
-        """Returns a future that is done at the next multiple of a period."""
+        """Returns a future that completes at the next multiple of a period."""
         period = max(1, round(seconds / TICK_S))
         periods = math.floor((self._elapsed_ticks() + _TIMER_SLACK) / period)
         return self._at((periods + 1) * period)
 
     def _elapsed_ticks(self) -> float:
-        """Returns the ticks since the start, and a part of the next one."""
+        """Returns the ticks since the start, including the current fraction."""
         return (self._loop().time() - self._started_at) / TICK_S
 
     def _at(self, tick: int) -> asyncio.Future[None]:
@@ -72,7 +73,7 @@
         self._timer = loop.call_at(due, self._fire)
 
     def _fire(self) -> None:
-        """Ends all pauses that are due, and waits for the next ones."""
+        """Completes all due futures and sets the timer for the next tick."""
         now = max(
             self._timer_tick, math.floor(self._elapsed_ticks() + _TIMER_SLACK)
         )
@@ -93,7 +94,7 @@
 
 
 def scheduler() -> TickScheduler:
-    """Returns the ticks of the running event loop."""
+    """Returns the scheduler of the running event loop."""
     loop = asyncio.get_running_loop()
     found = _scheduler_by_loop.get(loop)
     if found is None:
@@ -102,10 +103,10 @@
 
 
 async def sleep_aligned(seconds: float) -> None:
-    """Pauses until the next round of periodic work with this period.
+    """Sleeps until the next multiple of a period.
 
-    Rounds of one period fall on the same moments, and those of a longer period
-    on some of them. A pause that is shorter than a tick is kept as it is.
+    Tasks with equal periods wake together, and tasks with a longer period wake
+    at some of the same times. Periods shorter than a tick aren't aligned.
     """
     if seconds < TICK_S:
         await asyncio.sleep(seconds)
--- a/src/swiftstile/peers/__init__.py
+++ b/src/swiftstile/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Control links between the system's own processes."""
+"""Control messages between routers, coordinators and gateways."""
--- a/src/swiftstile/peers/links.py
+++ b/src/swiftstile/peers/links.py
@@ -1,4 +1,4 @@
-"""Control links: requests and answers over pynng."""
+"""Control links: request and reply messages over pynng."""
 
 import abc
 import asyncio
@@ -13,7 +13,7 @@
 
 __all__ = ["ControlHandler", "ControlServer", "Link", "LinkPool"]
 
-# pynng's name for a request that is never sent again by itself.
+# Value of `resend_time` that disables pynng's automatic resending.
 _NO_RESEND = -1
 _MAX_MESSAGE_BYTES = 4 << 20
 _MAX_RECONNECT_MS = 200
@@ -22,7 +22,7 @@
 
 
 class _Connection:
-    """One connection of a link, and how many calls run on it."""
+    """A connection of a link, with its number of pending calls."""
 
     def __init__(self, socket: pynng.Req0):
         self.socket = socket
@@ -30,15 +30,16 @@
 
 
 class Link:
-    """A link to one peer. Calls may run at the same time."""
+    """A link to one peer; supports concurrent calls."""
 
     def __init__(self, address: str, meters: metrics.Meters):
         self._address = address
         self._meters = meters
-        # For the next call; others only end what was begun on them.
+        # Used for new calls. Older connections stay open until their pending
+        # calls end.
         self._connection: _Connection | None = None
         self._open_connections: set[_Connection] = set()
-        # All that didn't end yet, those that were given up included.
+        # All unfinished exchanges, including those that timed out.
         self._exchanges: set[asyncio.Task[bytes]] = set()
 
     async def call(
@@ -47,14 +48,14 @@
         expected: type[T],
         timeout_s: float,
     ) -> T:
-        """Sends a message and returns the answer.
+        """Sends a message and returns the reply.
 
         Raises:
-            PeerTimeoutError: No answer in time. No other call begins on that
-                connection, as something between may have lost track of it;
-                those that run on it go on.
-            ControlMessageError: An answer of another kind, or a message that no
-                peer would take.
+            PeerTimeoutError: No reply in time. New calls use another
+                connection, as a device on the path may have dropped the state
+                of this one; its pending calls continue.
+            ControlMessageError: The reply has an unexpected type, or the
+                message exceeds the size limit of peers.
         """
         step = f"call {type(message).__name__}"
         request = messages.CODEC.encode(message)
@@ -69,12 +70,12 @@
             raise errors.PeerTimeoutError(
                 repr(error), step=step, peer=self._address
             ) from error
-        answer = messages.CODEC.decode(data, self._address)
-        if not isinstance(answer, expected):
+        reply = messages.CODEC.decode(data, self._address)
+        if not isinstance(reply, expected):
             raise errors.ControlMessageError(
-                f"got {answer}", step=step, peer=self._address
+                f"unexpected reply {reply}", step=step, peer=self._address
             )
-        return answer
+        return reply
 
     async def _request(self, data: bytes, timeout_s: float) -> bytes:
         connection = self._current_connection()
@@ -92,15 +93,16 @@
     async def _exchange_within(
         self, connection: _Connection, data: bytes, timeout_s: float
     ) -> bytes:
-        # A task of its own, which isn't waited for once it is cancelled: a
-        # cancel that pynng doesn't heed would keep the caller for good.
+        # Runs as a separate task that isn't awaited after its cancellation,
+        # because pynng may ignore a cancellation, which would block the caller
+        # forever.
         exchange = asyncio.create_task(self._exchange(connection, data))
         self._exchanges.add(exchange)
         exchange.add_done_callback(self._on_exchange_done)
         try:
             done, _ = await asyncio.wait({exchange}, timeout=timeout_s)
             if not done:
-                raise TimeoutError(f"no answer within {timeout_s:g} s")
+                raise TimeoutError(f"no reply within {timeout_s:g} s")
             return exchange.result()
         finally:
             exchange.cancel()
@@ -108,7 +110,8 @@
     def _on_exchange_done(self, exchange: asyncio.Task[bytes]) -> None:
         self._exchanges.discard(exchange)
         if not exchange.cancelled():
-            # Of one that was given up nobody asks; it needn't be logged.
+            # Marks the exception of an abandoned exchange as retrieved, so
+            # that asyncio doesn't log it.
             exchange.exception()
 
     def _current_connection(self) -> _Connection:
@@ -128,11 +131,11 @@
         context = connection.socket.new_context()
         try:
             await context.asend(data)
-            answer = await context.arecv()
+            reply = await context.arecv()
         finally:
             _close_quietly(context)
-        self._meters.control_bytes.add("peer-received", len(answer))
-        return answer
+        self._meters.control_bytes.add("peer-received", len(reply))
+        return reply
 
     def _dial(self) -> pynng.Req0:
         socket = pynng.Req0(resend_time=_NO_RESEND)
@@ -143,7 +146,7 @@
         return socket
 
     def close(self) -> None:
-        """Closes all connections; the next call opens another."""
+        """Closes all connections; the next call opens a new one."""
         for connection in self._open_connections:
             _close_quietly(connection.socket)
         self._open_connections.clear()
@@ -151,14 +154,14 @@
 
 
 class LinkPool:
-    """All links of a process, by address."""
+    """The links of a process, by address."""
 
     def __init__(self, meters: metrics.Meters):
         self._meters = meters
         self._by_address: dict[str, Link] = {}
 
     def to(self, address: str) -> Link:
-        """Returns the link to an address."""
+        """Returns the link to an address, creating it if necessary."""
         link = self._by_address.get(address)
         if link is None:
             link = Link(address, self._meters)
@@ -166,7 +169,7 @@
         return link
 
     def retain(self, addresses: set[str]) -> None:
-        """Closes links to addresses that are no longer listed."""
+        """Closes all links except those to the given addresses."""
         for address in set(self._by_address) - addresses:
             self._by_address.pop(address).close()
 
@@ -176,15 +179,15 @@
 
 
 class ControlHandler(abc.ABC):
-    """Answers control messages."""
+    """Handles control messages."""
 
     @abc.abstractmethod
     async def handle(self, message: messages.Message) -> messages.Message:
-        """Returns the answer to a message."""
+        """Returns the reply to a message."""
 
 
 class ControlServer:
-    """Listens for control messages, one task for each that is in progress."""
+    """Serves control messages with a fixed number of concurrent tasks."""
 
     def __init__(
         self,
@@ -202,7 +205,7 @@
         """Serves until cancelled.
 
         Raises:
-            SettingsError: It can't listen at its address.
+            SettingsError: Listening at the address failed.
         """
         with pynng.Rep0() as socket:
             socket.recv_max_size = _MAX_MESSAGE_BYTES
@@ -222,32 +225,33 @@
             while True:
                 data = await context.arecv()
                 self._meters.control_bytes.add("peer-received", len(data))
-                answer = self._encode(await self._answer(data))
-                self._meters.control_bytes.add("peer-sent", len(answer))
+                reply = self._encode(await self._reply_to(data))
+                self._meters.control_bytes.add("peer-sent", len(reply))
                 self._meters.control_messages.add("peer")
-                await self._send(context, answer)
+                await self._send(context, reply)
         finally:
             _close_quietly(context)
 
-    def _encode(self, answer: messages.Message) -> bytes:
-        data = messages.CODEC.encode(answer)
+    def _encode(self, reply: messages.Message) -> bytes:
+        data = messages.CODEC.encode(reply)
         if len(data) <= _MAX_MESSAGE_BYTES:
             return data
-        # The asker would reset the connection, under other questions as well,
-        # and ask again.
+        # The requester would reset the connection, which also fails its other
+        # requests, and would then retry.
         problem = _too_large(data)
         self._meters.control_messages.add("too-large")
-        logs.logger.error("answer not sent", error=problem)
+        logs.logger.error("reply not sent", error=problem)
         return messages.CODEC.encode(messages.Refused(problem))
 
-    async def _send(self, context, answer: bytes) -> None:
+    async def _send(self, context, reply: bytes) -> None:
         try:
-            await context.asend(answer)
+            await context.asend(reply)
         except pynng.NNGException as error:
-            # The asker is gone; it asks again on another connection.
-            logs.logger.debug("answer not sent", error=repr(error))
+            # The requester has closed the connection and will retry on a new
+            # one.
+            logs.logger.debug("reply not sent", error=repr(error))
 
-    async def _answer(self, data: bytes) -> messages.Message:
+    async def _reply_to(self, data: bytes) -> messages.Message:
         try:
             message = messages.CODEC.decode(data)
             return await self._handler.handle(message)
@@ -264,5 +268,5 @@
     try:
         closable.close()
     except pynng.NNGException:
-        # It was closed by the other side or by a close of its socket.
+        # Already closed, by the peer or together with its socket.
         return
--- a/src/swiftstile/peers/messages.py
+++ b/src/swiftstile/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the system's own processes."""
+"""Control messages between processes."""
 
 import msgspec
 
@@ -30,19 +30,19 @@
 
 
 class Ping(msgspec.Struct, tag="ping", frozen=True):
-    """Asks whether a coordinator is there."""
+    """Checks whether a coordinator is reachable."""
 
     sender: ids.Incarnation
 
 
 class Pong(msgspec.Struct, tag="pong", frozen=True):
-    """Answers a ping.
+    """Reply to a ping.
 
     Attributes:
-        vm: VM that answers.
-        incarnation: Process that answers.
-        table_reachable: Whether it reached the table when it last tried.
-        leaving: It is shutting down; don't choose it for anything new.
+        vm: VM of the responder.
+        incarnation: Process of the responder.
+        table_reachable: Whether its last access to the table succeeded.
+        leaving: Whether it is shutting down and must not be selected.
     """
 
     vm: ids.VmId
@@ -52,7 +52,7 @@
 
 
 class PromiseRequest(msgspec.Struct, tag="ask-promise", frozen=True):
-    """A holder asks a candidate not to take over for a time."""
+    """Asks a candidate to promise not to take over for some time."""
 
     service: ids.ServiceId
     epoch: ids.Epoch
@@ -62,14 +62,14 @@
 
 
 class PromiseReply(msgspec.Struct, tag="promised", frozen=True):
-    """A candidate's answer."""
+    """Reply of a candidate."""
 
     granted: bool
     epoch: ids.Epoch
 
 
 class Resigned(msgspec.Struct, tag="resigned", frozen=True):
-    """A holder tells a candidate that it released its lease."""
+    """Informs a candidate that the holder released its lease."""
 
     service: ids.ServiceId
     epoch: ids.Epoch
@@ -77,13 +77,13 @@
 
 
 class LocateRequest(msgspec.Struct, tag="locate", frozen=True):
-    """Asks who coordinates a service."""
+    """Asks which VM coordinates a service."""
 
     service: ids.ServiceId
 
 
 class LocateReply(msgspec.Struct, tag="located", frozen=True):
-    """Whether the answerer coordinates, and in which epoch."""
+    """States whether the responder coordinates, and in which epoch."""
 
     vm: ids.VmId
     is_holder: bool
@@ -91,17 +91,17 @@
 
 
 class WatchRequest(msgspec.Struct, tag="watch", frozen=True):
-    """A router asks for what changed, and waits for it.
+    """Long poll of a router for changes of the assignment.
 
     Attributes:
         service: The service.
         vm: VM of the router.
         router: Process of the router.
-        version: Version of the assignment it has; 0 for none.
-        oldest_in_flight: Oldest version that a request in flight was sent
-            under; its own version when there is none.
+        version: Version of the router's assignment; 0 for none.
+        oldest_in_flight: Oldest version under which a request in flight was
+            sent; equal to `version` if none is in flight.
         wait_s: Longest wait for a change, in seconds.
-        load: Requests since the last report; None if it isn't due yet.
+        load: Requests since the last report; None if no report is due.
     """
 
     service: ids.ServiceId
@@ -114,13 +114,13 @@
 
 
 class WatchReply(msgspec.Struct, tag="watch-reply", frozen=True):
-    """What changed since the router's version.
+    """Changes since the router's version.
 
     Attributes:
         epoch: Epoch of the coordinator.
-        delta: What changed; None for nothing.
-        route_lease_s: How long, from when the router asked, it may send to
-            servers that don't check fences.
+        delta: Changes of the assignment; None if unchanged.
+        route_lease_s: How long the router may send to servers that don't check
+            fences, counted from when it sent the request.
     """
 
     epoch: ids.Epoch
@@ -129,15 +129,15 @@
 
 
 class NotHolder(msgspec.Struct, tag="not-holder", frozen=True):
-    """The answerer doesn't coordinate that service."""
+    """The responder doesn't coordinate the service."""
 
 
 class RowsRequest(msgspec.Struct, tag="ask-rows", frozen=True):
-    """Asks for the rows of a table, if the answerer knows newer ones.
+    """Asks for the rows of a table, if the responder has newer ones.
 
     Attributes:
-        table: Name of the table among the VMs.
-        version: Newest version that the sender knows.
+        table: Name of the table between VMs.
+        version: Latest version that the sender has.
     """
 
     table: str
@@ -145,7 +145,7 @@
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One row of a table; `value` is None when it was removed."""
+    """One row of a table; `value` is None if the row was removed."""
 
     key: str
     value: bytes | None
@@ -153,12 +153,12 @@
 
 
 class Rows(msgspec.Struct, tag="rows", frozen=True):
-    """Rows of a table as of a version, none if that isn't newer.
+    """Rows of a table at a version; empty if that isn't newer.
 
     Attributes:
-        rows: All rows, or those that changed since the version asked for.
-        version: As of which version of the store.
-        is_whole: Whether all rows are listed.
+        rows: All rows, or those changed since the requested version.
+        version: Version of the store.
+        is_whole: Whether `rows` lists all rows instead of the changed ones.
     """
 
     rows: list[Row]
@@ -167,11 +167,11 @@
 
 
 class ChunkRequest(msgspec.Struct, tag="ask-piece", frozen=True):
-    """Asks for more of an answer that is too long for one message.
+    """Asks for the next chunk of a reply too long for one message.
 
     Attributes:
-        number: The answerer's number for it, as its first piece had it.
-        offset: Byte at which the piece begins.
+        number: The responder's number of the reply, from its first chunk.
+        offset: Offset of the chunk in bytes.
     """
 
     number: int
@@ -179,12 +179,12 @@
 
 
 class Chunk(msgspec.Struct, tag="piece", frozen=True):
-    """A part of an answer to `RowsRequest`: of `Rows`, encoded and compressed.
+    """A chunk of the encoded and compressed `Rows` that reply to `RowsRequest`.
 
     Attributes:
-        number: The answerer's number for the whole answer.
-        size: Bytes of the whole answer.
-        data: The bytes from the offset asked for on; the first ones at first.
+        number: The responder's number of the whole reply.
+        size: Size of the whole reply in bytes.
+        data: Bytes from the requested offset on; the first chunk starts at 0.
     """
 
     number: int
@@ -193,7 +193,7 @@
 
 
 class Refused(msgspec.Struct, tag="refused", frozen=True):
-    """The message wasn't understood or isn't allowed."""
+    """The message is malformed or not allowed."""
 
     reason: str
 
--- a/src/swiftstile/progress.py
+++ b/src/swiftstile/progress.py
@@ -1,9 +1,9 @@
-"""Transfers that may take long, but not stand still.
+"""Reads bodies with a limit on stalls instead of the total time.
 
-A limit for a whole transfer is also a limit of its size: what is too large for
-the link never comes, however often it is asked for, and fills the link each
-time. A limit of silence holds for every size. Single bytes now and then count
-as silence: with them a transfer would never end.
+A limit on the total time also limits the size: a body that is too large for the
+link never arrives, and each retry fills the link again. A stall timeout works
+for any size. Single bytes now and then count as a stall, as such a transfer
+might never end.
 """
 
 import asyncio
@@ -12,18 +12,19 @@
 
 __all__ = ["read_body"]
 
-# Silence is waited for in so many parts. A process that stands still finds the
-# time of one part over, and may find bytes in its socket in the next.
+# The stall timeout is split into this many waits. After a pause of the process
+# the current wait has expired, but the next one can still read bytes that
+# arrived in the socket meanwhile.
 _WAITS_PER_TIMEOUT = 4
-# Fewer bytes than this count as silence, unless they are the last: less than
-# any packet holds of a body that has more to come.
+# Fewer bytes than this count as a stall unless they are the last. Any packet of
+# a body with more data to follow holds more than this.
 MIN_PROGRESS_BYTES = 512
 
 
 async def read_body(
     content: aiohttp.StreamReader, stall_timeout_s: float
 ) -> bytes:
-    """Reads a body to its end, as long as bytes keep coming.
+    """Reads a whole body, as long as it makes progress.
 
     Args:
         content: The body.
@@ -31,7 +32,7 @@
             seconds.
 
     Raises:
-        TimeoutError: Less came for that long; says how much had come.
+        TimeoutError: The transfer stalled; names the number of bytes read.
         aiohttp.ClientError: The connection broke.
     """
     chunks: list[bytes] = []
@@ -41,7 +42,7 @@
         ):
             received = sum(map(len, chunks))
             raise TimeoutError(
-                f"silent for {stall_timeout_s:g} s after {received} bytes"
+                f"stalled for {stall_timeout_s:g} s after {received} bytes"
             )
     return b"".join(chunks)
 
@@ -49,7 +50,7 @@
 async def _read_more(
     content: aiohttp.StreamReader, chunks: list[bytes], wait_s: float
 ) -> bool:
-    """Returns whether enough bytes came within all waits."""
+    """Returns whether enough bytes arrived before the stall timeout."""
     size = 0
     for _ in range(_WAITS_PER_TIMEOUT):
         try:
@@ -59,6 +60,6 @@
                     size += len(chunks[-1])
                 return True
         except TimeoutError:
-            # The next wait finds what came while the process stood still.
+            # The next wait reads what arrived while the process was paused.
             continue
     return False
--- a/src/swiftstile/provider/__init__.py
+++ b/src/swiftstile/provider/__init__.py
@@ -1,1 +1,1 @@
-"""Interfaces to the outside systems, and their HTTP adapters."""
+"""Interfaces to the platform's services, and their HTTP adapters."""
--- a/src/swiftstile/provider/base.py
+++ b/src/swiftstile/provider/base.py
@@ -1,6 +1,6 @@
 """Abstract interfaces to the platform: table, object store, VM list.
 
-Another platform is met by one new module that implements these.
+A module that implements these interfaces adds support for another platform.
 """
 
 import abc
@@ -22,12 +22,12 @@
     "Write",
 ]
 
-# Expected version of a row that must not exist yet.
+# Expected version of a row that must not exist.
 ABSENT = 0
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row of the table. `version` grows by one with each write."""
+    """One row of the table; each write increments `version`."""
 
     key: str
     value: bytes
@@ -35,12 +35,13 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """One part of a transaction.
+    """One operation of a transaction.
 
     Attributes:
-        key: The row.
-        expected_version: The version the row must have; `ABSENT` for none.
-        value: The new value. None only checks the version.
+        key: Key of the row.
+        expected_version: Required version of the row; `ABSENT` if it must not
+            exist.
+        value: The new value; None only checks the version.
     """
 
     key: str
@@ -56,45 +57,48 @@
         """Returns a row, or None.
 
         Raises:
-            PlatformUnavailableError: No answer.
+            PlatformUnavailableError: The table didn't respond.
         """
 
     @abc.abstractmethod
     async def scan(self, prefix: str) -> list[Row]:
-        """Returns all rows whose keys start with `prefix`, by key.
+        """Returns all rows whose keys start with `prefix`, ordered by key.
 
         Raises:
-            PlatformUnavailableError: No answer.
+            PlatformUnavailableError: The table didn't respond.
         """
 
     @abc.abstractmethod
     async def transact(
         self, writes: list[Write], attempt: ids.AttemptId
     ) -> None:
-        """Does all writes, or none.
+        """Applies all writes atomically.
 
-        A transaction with an attempt id that took effect before isn't done
-        again; it succeeds.
+        A transaction is applied once at most per attempt id: if it took effect
+        before, the call succeeds without applying it again.
 
         Raises:
-            ConflictError: An expected version didn't hold; nothing is done.
-            PlatformUnavailableError: Refused; nothing is done.
-            OutcomeUnknownError: The answer was lost.
+            ConflictError: An expected version didn't match; nothing is
+                applied.
+            PlatformUnavailableError: The table is unreachable or rejected the
+                transaction; nothing is applied.
+            OutcomeUnknownError: The response was lost.
         """
 
     async def close(self) -> None:
-        """Frees connections."""
+        """Closes all connections."""
 
 
 class ObjectStore(abc.ABC):
-    """A store of immutable bodies, named by what they contain."""
+    """A content-addressed store of immutable bodies."""
 
     @abc.abstractmethod
     async def put(self, name: str, body: bytes) -> None:
-        """Stores a body. Storing the same again is harmless.
+        """Stores a body; idempotent.
 
         Raises:
-            PlatformUnavailableError: No answer; it may be stored.
+            PlatformUnavailableError: The store didn't respond; the body may
+                have been stored.
         """
 
     @abc.abstractmethod
@@ -102,35 +106,35 @@
         """Returns a body, or None.
 
         Raises:
-            PlatformUnavailableError: No answer.
+            PlatformUnavailableError: The store didn't respond.
         """
 
 
 class VmKind(enum.Enum):
-    """What a VM is for."""
+    """Role of a VM."""
 
     ENTRY = "entry"
     UPSTREAM = "upstream"
 
 
 class VmState(enum.Enum):
-    """State of a VM in the list, which lags behind reality."""
+    """State of a VM in the list, which lags behind the actual state."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Vm(msgspec.Struct, frozen=True):
-    """One VM as the platform lists it.
+    """One entry of the VM list.
 
     Attributes:
-        id: Name of the VM; for an upstream also the id of its server.
+        id: Id of the VM; for an upstream VM also the id of its server.
         kind: Entry VM or upstream VM.
-        failure_domain: Where it runs.
+        failure_domain: Failure domain of the VM.
         state: Live or leaving.
-        control_address: `host:port` of the coordinator of an entry VM.
-        data_address: `host:port` of the router or of the upstream.
-        group: Upstream group that an upstream VM belongs to.
+        control_address: `host:port` of an entry VM's coordinator.
+        data_address: `host:port` of the router or upstream server.
+        group: Upstream group of an upstream VM.
         organisations: Organisations that an entry VM serves.
     """
 
@@ -145,12 +149,12 @@
 
 
 class VmList(abc.ABC):
-    """The platform's list of VMs, as one failure domain sees it."""
+    """The platform's list of VMs, as seen from one failure domain."""
 
     @abc.abstractmethod
     async def fetch(self) -> list[Vm]:
         """Returns the listed VMs.
 
         Raises:
-            PlatformUnavailableError: No answer.
+            PlatformUnavailableError: The VM list service didn't respond.
         """
--- a/src/swiftstile/provider/http.py
+++ b/src/swiftstile/provider/http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP: adapters for table, object store and VM list."""
+"""HTTP adapters for the platform's table, object store and VM list."""
 
 import asyncio
 
@@ -15,15 +15,16 @@
 
 _CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.InvalidURL)
 _TRANSPORT_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
-# No request goes on for longer, whatever its size.
+# Limit for a whole request, whatever its size.
 _TOTAL_TIMEOUT_S = 60.0
-# An upload may be as slow as a tenth of the narrowest link. What the system
-# took from us isn't sent yet, so silence says nothing before the answer.
+# Uploads may be as slow as a tenth of the narrowest link. Data accepted by the
+# operating system may not have been sent yet, so a missing response doesn't
+# indicate a stall until the upload has had this much time.
 _MIN_UPLOAD_BYTES_PER_S = 62_500
 
 
 class WriteBody(msgspec.Struct):
-    """A `Write` as JSON; the value in base64."""
+    """JSON form of a `Write`, with the value in base64."""
 
     key: str
     expected_version: int
@@ -31,14 +32,14 @@
 
 
 class TransactBody(msgspec.Struct):
-    """Body of a transaction request."""
+    """JSON body of a transaction request."""
 
     attempt: str
     writes: list[WriteBody]
 
 
 class RowBody(msgspec.Struct):
-    """A `Row` as JSON; the value in base64."""
+    """JSON form of a `Row`, with the value in base64."""
 
     key: str
     value: bytes
@@ -46,13 +47,13 @@
 
 
 class _Client:
-    """Sends requests.
+    """HTTP client of one service.
 
     Args:
-        url: Where to.
-        timeout_s: Longest silence: until an answer begins, besides what the
-            upload of a body takes, and between its bytes.
-        meters: Counts bytes.
+        url: Base URL.
+        timeout_s: Longest wait for a response to begin, in addition to the time
+            for uploading the body, and longest stall while it is read.
+        meters: Counts the bytes of requests and responses.
     """
 
     def __init__(self, url: str, timeout_s: float, meters: metrics.Meters):
@@ -60,11 +61,15 @@
         self._timeout_s = timeout_s
         self._meters = meters
         self._session: aiohttp.ClientSession | None = None
-        # Of the last answer.
+        # ETag of the last response.
         self.etag: str | None = None
 
     async def request(self, method, path, step, **options):
-        """Returns (status, body); raises PlatformUnavailableError."""
+        """Sends a request and returns the status and body.
+
+        Raises:
+            PlatformUnavailableError: No complete response.
+        """
         sent = len(options.get("data", b""))
         first_byte_timeout_s = self._timeout_s + sent / _MIN_UPLOAD_BYTES_PER_S
         try:
@@ -85,7 +90,7 @@
             ) from error
 
     def _open_session(self) -> aiohttp.ClientSession:
-        # Opened late: a session belongs to the loop that is running.
+        # Created on first use, as a session is bound to the running loop.
         if self._session is None:
             timeout = aiohttp.ClientTimeout(total=_TOTAL_TIMEOUT_S)
             self._session = aiohttp.ClientSession(
@@ -116,7 +121,7 @@
 
 
 class HttpTable(base.Table):
-    """The table service over HTTP."""
+    """Client of the table service."""
 
     def __init__(self, url: str, timeout_s: float, meters: metrics.Meters):
         self._url = url
@@ -153,7 +158,7 @@
             if isinstance(error.__cause__, _CONNECT_ERRORS):
                 raise
             raise errors.OutcomeUnknownError(
-                "answer lost", step=step, peer=self._url
+                "response lost", step=step, peer=self._url
             ) from error
         if status == 409:
             raise errors.ConflictError(
@@ -176,7 +181,7 @@
 
 
 class HttpObjectStore(base.ObjectStore):
-    """The object store over HTTP."""
+    """Client of the object store."""
 
     def __init__(self, url: str, timeout_s: float, meters: metrics.Meters):
         self._url = url
@@ -200,12 +205,12 @@
         return body
 
     async def close(self) -> None:
-        """Frees connections."""
+        """Closes all connections."""
         await self._client.close()
 
 
 class HttpVmList(base.VmList):
-    """The VM list over HTTP; an unchanged list isn't sent again (ETag)."""
+    """Client of the VM list; uses an ETag to skip unchanged lists."""
 
     def __init__(self, url: str, timeout_s: float, meters: metrics.Meters):
         self._url = url
@@ -228,5 +233,5 @@
         return self._last
 
     async def close(self) -> None:
-        """Frees connections."""
+        """Closes all connections."""
         await self._client.close()
--- a/src/swiftstile/provider/retries.py
+++ b/src/swiftstile/provider/retries.py
@@ -1,4 +1,4 @@
-"""Writes whose lost answers are settled, never assumed."""
+"""Transactions with retries until their outcome is known."""
 
 import asyncio
 import random
@@ -16,20 +16,20 @@
 async def transact_with_retries(
     table: base.Table, writes: list[base.Write], timeout_s: float
 ) -> None:
-    """Does all writes or none, and knows which.
+    """Applies all writes atomically, with retries if the response is lost.
 
-    A transaction whose answer was lost is sent again under the same attempt
-    id, which the table applies once at most, until an answer comes.
+    Retries use the same attempt id, for which the table applies the transaction
+    once at most.
 
     Args:
         table: The table.
-        writes: The parts of the transaction.
-        timeout_s: How long to try, in seconds.
+        writes: The operations of the transaction.
+        timeout_s: How long to retry, in seconds.
 
     Raises:
-        ConflictError: An expected version didn't hold; nothing was done.
-        PlatformUnavailableError: Nothing was done, and none will be.
-        OutcomeUnknownError: Still not settled after `timeout_s`.
+        ConflictError: An expected version didn't match; nothing was applied.
+        PlatformUnavailableError: Nothing was or will be applied.
+        OutcomeUnknownError: The outcome is still unknown after `timeout_s`.
     """
     attempt = ids.new_attempt_id()
     loop = asyncio.get_running_loop()
@@ -48,7 +48,7 @@
                 raise
             if loop.time() + backoff_s > end:
                 raise errors.OutcomeUnknownError(
-                    "not settled", step=error.step, peer=error.peer
+                    "outcome still unknown", step=error.step, peer=error.peer
                 ) from error
         await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
         backoff_s = min(backoff_s * 2, _MAX_BACKOFF_S)
--- a/src/swiftstile/settings.py
+++ b/src/swiftstile/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process, read from an INI file and checked."""
+"""Settings of the router and coordinator, read from an INI file."""
 
 import pathlib
 
@@ -20,7 +20,7 @@
 
 
 class VmSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[vm]: what this VM is and whom it serves."""
+    """[vm]: identity of this VM and the organisations it serves."""
 
     id: ids.VmId
     failure_domain: ids.FailureDomain
@@ -29,14 +29,15 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """[platform]: where the platform's services are.
+    """[platform]: addresses of the platform's services.
 
     Attributes:
         table_url: Base URL of the table service.
         objects_url: Base URL of the object store.
         vms_url: Base URL of the VM list.
-        timeout_s: Longest silence of a service that was asked, in seconds.
-        poll_interval_s: Between two looks at bundles and VMs, in seconds.
+        timeout_s: Longest wait for a response to begin or continue, in seconds.
+        poll_interval_s: Interval between polls of bundles and the VM list, in
+            seconds.
     """
 
     table_url: str
@@ -51,9 +52,11 @@
 
     Attributes:
         listen: `host:port` for callers.
-        metrics: `host:port` of the metrics endpoint; empty for none.
+        metrics: `host:port` of the metrics and status endpoint; empty for
+            none.
         max_header_bytes: Longest header field, in bytes.
-        drain_timeout_s: Longest wait for requests in flight at shutdown.
+        drain_timeout_s: Longest wait for requests in flight at shutdown, in
+            seconds.
     """
 
     listen: str
@@ -63,18 +66,18 @@
 
 
 class CoordinatorSettings(msgspec.Struct, frozen=True):
-    """[coordinator]: control between VMs.
+    """[coordinator]: control messages between VMs, and leases.
 
     Attributes:
         listen: `host:port` for control links.
         metrics: `host:port` of the metrics and status endpoint; empty for
             none.
-        promise_s: How long a candidate promises not to take over.
-        server_lease_s: Longest lease given to a server.
-        renew_interval_s: Between two renewals of a promise or lease.
-        call_timeout_s: Longest wait for a peer or server to answer.
-        outage_tolerance_s: How long a holder goes on without the table.
-        max_control_links: Requests served at the same time.
+        promise_s: Duration of a candidate's promise not to take over.
+        server_lease_s: Longest lease granted to a server.
+        renew_interval_s: Interval between renewals of a promise or lease.
+        call_timeout_s: Longest wait for a response of a peer or server.
+        outage_tolerance_s: How long a holder continues without the table.
+        max_control_links: Most control requests served at the same time.
     """
 
     listen: str
@@ -91,8 +94,8 @@
     """[log]: structured logs.
 
     Attributes:
-        level: Lowest level that is written.
-        json: One JSON object a line instead of text.
+        level: Lowest level that is logged.
+        json: Whether to write one JSON object a line instead of text.
     """
 
     level: str = "INFO"
@@ -126,10 +129,10 @@
 
 
 def load(path: pathlib.Path) -> Settings:
-    """Reads a settings file.
+    """Reads and validates a settings file.
 
     Raises:
-        SettingsError: Names the file and every fault in it.
+        SettingsError: The file is invalid; the message lists all faults.
     """
     parser = ini.read(path)
     sections, faults = ini.to_sections(parser, _SECTIONS, _REQUIRED)
@@ -148,7 +151,7 @@
     """Splits `host:port`.
 
     Raises:
-        ValueError: It has another form.
+        ValueError: The address isn't of this form.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
@@ -175,7 +178,7 @@
     ]
     control = sections.get("coordinator")
     if control is not None and not faults:
-        # A lease must outlive two renewals of which the first gets no answer.
+        # A lease must last for two renewals, the first of which may time out.
         minimum_s = 2 * control.renew_interval_s + control.call_timeout_s
         faults += [
             ini.Fault(
--- a/src/swiftstile/signals.py
+++ b/src/swiftstile/signals.py
@@ -1,4 +1,4 @@
-"""Wakes all tasks that wait for something to happen again."""
+"""Wakes all tasks that wait for the next occurrence of an event."""
 
 import asyncio
 
@@ -8,20 +8,20 @@
 
 
 class Signal:
-    """An event that is over at once: who waits later waits for the next."""
+    """An event without state: later waiters wait for its next occurrence."""
 
     def __init__(self):
         self._waiting: set[asyncio.Future[None]] = set()
 
     def wake(self) -> None:
-        """Wakes all that wait now."""
+        """Wakes all current waiters."""
         waiting, self._waiting = self._waiting, set()
         for future in waiting:
             if not future.done():
                 future.set_result(None)
 
     async def wait(self, seconds: float) -> None:
-        """Waits for the next waking, for about some seconds at most."""
+        """Waits for the next `wake`, for about `seconds` at most."""
         future = pacing.scheduler().after(seconds)
         self._waiting.add(future)
         try:
--- a/src/swiftstile/telemetry.py
+++ b/src/swiftstile/telemetry.py
@@ -1,4 +1,4 @@
-"""Shows the counters of a process by OpenTelemetry, for Prometheus to scrape.
+"""Exports the metrics of a process to Prometheus by OpenTelemetry.
 
 Names and units are documented in docs/operators/metrics.md. Importing this
 module takes about a fifth of the processor time of a start.
@@ -31,7 +31,7 @@
 
 
 def expose(meters: metrics.Meters) -> None:
-    """Binds the counters of a process to instruments."""
+    """Registers OpenTelemetry instruments for the meters of a process."""
     reader = prometheus.PrometheusMetricReader()
     meter = sdk.MeterProvider(metric_readers=[reader]).get_meter("swiftstile")
     for name, (metric, unit, label) in _INSTRUMENTS.items():
@@ -48,7 +48,7 @@
 
 
 def render() -> bytes:
-    """Returns all metrics of this process, as Prometheus reads them."""
+    """Returns all metrics of this process in the Prometheus text format."""
     return prometheus_client.generate_latest()
 
 
--- a/src/swiftstile/wiring.py
+++ b/src/swiftstile/wiring.py
@@ -1,4 +1,4 @@
-"""The composition root: builds each daemon from its settings."""
+"""Composition root: builds the daemons from their settings."""
 
 import asyncio
 
@@ -31,15 +31,16 @@
 
 __all__ = ["Wiring"]
 
-# A router's watch waits this long for a change: less where its route lease
-# comes with the answer. And this much longer for the answer to arrive.
+# How long a router's watch request waits for a change. The wait is shorter for
+# services whose route lease is renewed by the response. The margin is the
+# additional time for the response to arrive.
 _WATCH_WAIT_S = 0.5
 _LEASED_WATCH_WAIT_S = 0.3
 _WATCH_MARGIN_S = 0.25
 
 
 class Wiring:
-    """Makes the parts of one process; each method makes new ones."""
+    """Builds the components of one process; each call builds new ones."""
 
     def __init__(self, settings: settings_lib.Settings):
         self._settings = settings
@@ -56,15 +57,15 @@
         )
 
     def queries(self) -> queries.BundleQueries:
-        """Returns the queries on bundles."""
+        """Builds the bundle queries."""
         return queries.BundleQueries(self.table, self.objects)
 
     def commands(self, operator: str) -> commands.BundleCommands:
-        """Returns the commands on bundles, for one operator."""
+        """Builds the bundle commands for one operator."""
         return commands.BundleCommands(self.table, self.objects, operator)
 
     def coordinator(self) -> coordinator.CoordinatorDaemon:
-        """Returns the coordinator daemon."""
+        """Builds the coordinator daemon."""
         settings = self._settings.coordinator
         vm = self._settings.vm
         telemetry.expose(self._meters)
@@ -141,7 +142,7 @@
         )
 
     def router(self) -> router.RouterDaemon:
-        """Returns the router daemon."""
+        """Builds the router daemon."""
         vm = self._settings.vm
         telemetry.expose(self._meters)
         vm_directory = self._directory()
@@ -181,7 +182,7 @@
         )
 
     async def close(self) -> None:
-        """Frees the connections to the platform."""
+        """Closes the connections to the platform."""
         await self.table.close()
         await self.objects.close()
         await self._vm_list.close()
