--- a/src/swiftstile/commandline/bundles.py
+++ b/src/swiftstile/commandline/bundles.py
@@ -59,7 +59,8 @@
     if args.dry_run:
         return shared.print_result(args, bundle, f"{args.file}: ok")
     version = shared.with_platform(
-        args, lambda parts: parts.commands(args.operator).approve(bundle)
+        args,
+        lambda components: components.commands(args.operator).approve(bundle),
     )
     document = {"organisation": bundle.organisation, "version": version}
     return shared.print_result(args, document, f"approved as version {version}")
@@ -77,11 +78,11 @@
     organisation = ids.OrganisationId(args.organisation)
     version = ids.BundleVersion(args.bundle_version)
 
-    async def work(parts: wiring.Wiring):
-        command = getattr(parts.commands(args.operator), verb)
+    async def operation(components: wiring.Wiring):
+        command = getattr(components.commands(args.operator), verb)
         await command(organisation, version)
 
-    shared.with_platform(args, work)
+    shared.with_platform(args, operation)
     document = {"organisation": organisation, "version": version}
     return shared.print_result(args, document, f"{done} version {version}")
 
@@ -89,13 +90,13 @@
 def _show(args) -> int:
     organisation = ids.OrganisationId(args.organisation)
 
-    async def work(parts: wiring.Wiring):
-        queries = parts.queries()
+    async def operation(components: wiring.Wiring):
+        queries = components.queries()
         head = await queries.head(organisation)
         body = await queries.body(head.digest) if head.digest else None
         return head, body
 
-    head, body = shared.with_platform(args, work)
+    head, body = shared.with_platform(args, operation)
     text = f"{organisation}: version {head.in_force} in force"
     for name, spec in (body.services if body else {}).items():
         text += f"\n  {name}: {spec.ownership.value}, {spec.upstream_group}"
@@ -105,7 +106,7 @@
 def _list(args) -> int:
     organisation = ids.OrganisationId(args.organisation)
     versions = shared.with_platform(
-        args, lambda parts: parts.queries().versions(organisation)
+        args, lambda components: components.queries().versions(organisation)
     )
     lines = [
         f"{entry.version:>6}  {entry.state.value:<10}  {entry.approved_by}"
--- a/src/swiftstile/commandline/daemons.py
+++ b/src/swiftstile/commandline/daemons.py
@@ -83,8 +83,8 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stopping.set)
-        parts = wiring.Wiring(settings)
-        daemon = getattr(parts, role)()
+        components = wiring.Wiring(settings)
+        daemon = getattr(components, role)()
         runner = None
         if inspect_address:
             runner = await inspection_server.start(
@@ -95,7 +95,7 @@
         finally:
             if runner is not None:
                 await runner.cleanup()
-            await parts.close()
+            await components.close()
 
     uvloop.run(run())
     return shared.EXIT_OK
--- a/src/swiftstile/commandline/diagnostics.py
+++ b/src/swiftstile/commandline/diagnostics.py
@@ -69,7 +69,7 @@
         return _audit_ownership(args)
     organisation = ids.OrganisationId(args.organisation)
     entries = shared.with_platform(
-        args, lambda parts: parts.queries().audit(organisation)
+        args, lambda components: components.queries().audit(organisation)
     )
     chosen = [
         entry
@@ -90,7 +90,7 @@
         ids.OrganisationId(args.organisation), ids.ServiceName(args.ownership)
     )
     changes = shared.with_platform(
-        args, lambda parts: documents.changes(parts.table, service)
+        args, lambda components: documents.changes(components.table, service)
     )
     chosen = [
         change
--- a/src/swiftstile/commandline/shared.py
+++ b/src/swiftstile/commandline/shared.py
@@ -45,16 +45,16 @@
     )
 
 
-def with_platform(args, work) -> object:
-    """Runs `work(parts)` with the components built from the settings file."""
+def with_platform(args, operation) -> object:
+    """Runs `operation` with the components built from the settings file."""
     settings = settings_lib.load(args.settings)
 
     async def run():
-        parts = wiring.Wiring(settings)
+        components = wiring.Wiring(settings)
         try:
-            return await work(parts)
+            return await operation(components)
         finally:
-            await parts.close()
+            await components.close()
 
     return asyncio.run(run())
 
--- a/src/swiftstile/explain.py
+++ b/src/swiftstile/explain.py
@@ -137,11 +137,11 @@
 
 def _at_ms(line) -> float:
     try:
-        moment = datetime.datetime.fromisoformat(str(line.get("time")))
+        timestamp = datetime.datetime.fromisoformat(str(line.get("time")))
     except ValueError:
         # An entry without a valid time is treated as older than any request.
         return 0.0
-    return moment.timestamp() * 1000
+    return timestamp.timestamp() * 1000
 
 
 def _fields(line) -> dict[str, object]:
--- a/tests/integration/test_bad_input.py
+++ b/tests/integration/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a typed refusal that is true, and the process lives on."""
+"""Invalid input gets a typed, correct rejection and leaves daemons running."""
 
 import socket
 
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture(autouse=True)
-def lives_on(fleet, port):
+def daemons_keep_running(fleet, port):
     yield
     answer = callers.ask(port, "/tiny/store/x", headers=KEY)
     assert (answer.status, answer.outcome) == (200, "answered")
@@ -61,7 +61,9 @@
         ),
     ],
 )
-def test_refused_and_not_run(fleet, port, path, headers, status, reason):
+def test_invalid_request_is_rejected_and_not_run(
+    fleet, port, path, headers, status, reason
+):
     before = run_count(fleet)
     answer = callers.ask(port, path, headers=headers)
     assert (answer.status, answer.reason) == (status, reason)
@@ -77,7 +79,7 @@
     )
 
 
-def test_body_over_the_limit_is_refused_unread(port):
+def test_body_above_limit_is_rejected_unread(port):
     length = (1 << 30) + 1
     head = (
         "POST /tiny/store/x HTTP/1.1\r\nHost: h\r\nSwiftstile-Key: k\r\n"
@@ -107,7 +109,7 @@
         ),
     ],
 )
-def test_malformed_heads_are_refused(port, head, status):
+def test_malformed_head_is_rejected(port, head, status):
     answer = callers.ask_raw(port, head.encode() + b"\r\n\r\n")
     assert answer.status == status
     assert answer.outcome == "not-run"
@@ -123,7 +125,7 @@
     )
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(head.encode() + b"x" * (length // 2))
-    # A later request through the same router has passed after it.
+    # By now a later request has passed through the same router.
     assert callers.ask(port, "/tiny/store/x", headers=KEY).status == 200
     assert not callers.runs_of(fleet, request_id)
 
@@ -135,11 +137,11 @@
         b"\xff" * 100,
         b"\x81\xa4type\xa4odd!",
         messages.CODEC.encode(
-            messages.Pong("v", "v#1", True)  # an answer, not a question
+            messages.Pong("v", "v#1", True)  # a reply, not a request
         ),
     ],
 )
-def test_malformed_control_messages_are_refused(fleet, data):
+def test_malformed_control_message_is_rejected(fleet, data):
     vm = next(iter(fleet.vms.values()))
     with pynng.Req0(recv_timeout=3000, send_timeout=3000) as sock:
         sock.dial(f"tcp://127.0.0.1:{vm.coordinator_port}")
@@ -148,7 +150,7 @@
     assert isinstance(reply, messages.Refused)
 
 
-def test_crafted_internal_headers_are_not_passed_on(fleet, port):
+def test_forged_internal_headers_are_not_forwarded(fleet, port):
     forged = KEY | {
         "Swiftstile-Fence": "999",
         "Swiftstile-Epoch": "999",
--- a/tests/integration/test_gateway_request_traces.py
+++ b/tests/integration/test_gateway_request_traces.py
@@ -1,7 +1,7 @@
-"""From the id of a failed request to the fault that was injected.
+"""The trace of a failed request identifies the injected fault.
 
-Each test injects one fault into a site of real processes, takes a request that
-suffered from it, and finds the fault in the lines of that request alone.
+Each test injects one fault into a site of real processes, picks a request that
+it affected, and identifies the fault from the trace of that request alone.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 async def _owner(site):
-    """Returns the one server that holds the key, once there is one."""
+    """Waits until one server holds the key, and returns it."""
     holders = []
 
     async def is_held() -> bool:
@@ -32,7 +32,7 @@
 
 
 async def _trace(site, attempt: str, last_event: str) -> explain.RequestTrace:
-    """Returns what the logs of all VMs say, once they say how it ended."""
+    """Returns the trace from the logs of all VMs, once the request ended."""
     files = [gateway.log for gateway in site.gateways]
     found: list[explain.RequestTrace] = []
 
@@ -47,7 +47,7 @@
     return found[0]
 
 
-def test_refused_though_other_servers_are_free(tmp_path):
+def test_rejection_while_other_servers_are_idle(tmp_path):
     async def scenario(site):
         slow = await _owner(site)
         slow.work_s = 1.2
@@ -56,11 +56,12 @@
             for _ in range(30)
         ]
         outcomes = await asyncio.gather(*calls)
-        refused = [one for one in outcomes if one.status == 503]
+        refused = [outcome for outcome in outcomes if outcome.status == 503]
         assert refused
         trace = await _trace(site, refused[0].attempt, "refused")
         last = trace.decisions[-1]
-        # The one server that may serve this key, and that its slots were taken.
+        # The trace names the only server that may serve this key, and shows
+        # that its slots were occupied.
         assert last["upstream"] == slow.name
         assert last["occupied"] >= slow.slots
         assert "wait for a slot" in last["reason"]
@@ -72,7 +73,7 @@
     _run(tmp_path, scenario)
 
 
-def test_unknown_outcome_of_a_request_that_may_not_be_repeated(tmp_path):
+def test_unknown_outcome_of_a_request_that_is_not_repeatable(tmp_path):
     async def scenario(site):
         for server in site.world.by_id.values():
             server.work_s = 3.0
@@ -90,8 +91,8 @@
         trace = await _trace(site, outcome.attempt, "failed")
         sent = [d for d in trace.decisions if d["event"] == "sent"]
         last = trace.decisions[-1]
-        # One send, to the server that crashed, which answered nothing.
-        assert [one["upstream"] for one in sent] == [run.server]
+        # One send, to the server that crashed without a response.
+        assert [line["upstream"] for line in sent] == [run.server]
         assert (last["upstream"], last["status"]) == (
             run.server,
             outcome.status,
--- a/tests/integration/test_links.py
+++ b/tests/integration/test_links.py
@@ -1,4 +1,4 @@
-"""Control links: questions beside each other, and documents that are large."""
+"""Control links: concurrent calls and large messages."""
 
 import asyncio
 import contextlib
@@ -19,8 +19,8 @@
 _SENDER = ids.Incarnation("vm#1")
 
 
-class _Answerer(links.ControlHandler):
-    """Answers pings at once, and questions for rows with one large row."""
+class _Responder(links.ControlHandler):
+    """Replies to pings, and to requests for rows with one large row."""
 
     def __init__(self, size: int):
         row = messages.Row("config", os.urandom(size), 1)
@@ -35,17 +35,17 @@
 
 
 @contextlib.asynccontextmanager
-async def _answered(size: int = _LARGE_BYTES):
-    """Yields an answerer, a link to it, and the narrow link between them."""
+async def _responding(size: int = _LARGE_BYTES):
+    """Yields a responder, a link to it, and the narrow link between them."""
     meters = metrics.Meters()
     address = f"127.0.0.1:{processes.free_ports(1)[0]}"
-    answerer = _Answerer(size)
-    server = links.ControlServer(address, answerer, meters, _PARALLEL)
+    responder = _Responder(size)
+    server = links.ControlServer(address, responder, meters, _PARALLEL)
     serving = asyncio.create_task(server.run())
     calls = links.LinkPool(meters)
     try:
         async with narrow_link.NarrowLink(address) as narrow:
-            yield answerer, calls.to(narrow.address), narrow
+            yield responder, calls.to(narrow.address), narrow
     finally:
         calls.close()
         serving.cancel()
@@ -56,30 +56,30 @@
     return await link.call(messages.Ping(_SENDER), messages.Pong, timeout_s)
 
 
-async def _ask_rows(link: links.Link, timeout_s: float) -> messages.Rows:
-    question = messages.RowsRequest("op", 0)
-    return await link.call(question, messages.Rows, timeout_s)
+async def _request_rows(link: links.Link, timeout_s: float) -> messages.Rows:
+    request = messages.RowsRequest("op", 0)
+    return await link.call(request, messages.Rows, timeout_s)
 
 
-def test_a_question_that_is_given_up_does_not_break_those_beside_it():
+def test_timed_out_call_does_not_break_concurrent_calls():
     async def scenario():
-        async with _answered() as (answerer, link, narrow):
+        async with _responding() as (responder, link, narrow):
             await _ping(link, 1)
-            asking = asyncio.create_task(_ask_rows(link, 5))
+            pending = asyncio.create_task(_request_rows(link, 5))
             await asyncio.sleep(0.1)
-            # Its answer comes behind the large one.
+            # The reply is queued behind the large one.
             with pytest.raises(errors.PeerTimeoutError):
                 await _ping(link, 0.1)
-            assert await asking == answerer.rows
-            # Nothing was sent twice.
+            assert await pending == responder.rows
+            # No data was resent.
             assert narrow.passed < 1.1 * _LARGE_BYTES
 
     asyncio.run(scenario())
 
 
-def test_after_a_lost_answer_the_next_question_has_a_new_connection():
+def test_call_after_lost_reply_uses_new_connection():
     async def scenario():
-        async with _answered() as (_, link, narrow):
+        async with _responding() as (_, link, narrow):
             await _ping(link, 1)
             narrow.stop_after = 0
             with pytest.raises(errors.PeerTimeoutError):
@@ -90,24 +90,24 @@
     asyncio.run(scenario())
 
 
-def test_a_link_that_is_closed_frees_its_connections_and_opens_another():
+def test_closed_link_frees_its_connections_and_reconnects():
     async def scenario():
-        async with _answered() as (_, link, _narrow):
-            asking = asyncio.create_task(_ask_rows(link, 5))
+        async with _responding() as (_, link, _narrow):
+            pending = asyncio.create_task(_request_rows(link, 5))
             await asyncio.sleep(0.1)
             with pytest.raises(errors.PeerTimeoutError):
                 await _ping(link, 0.05)
             link.close()
             async with asyncio.timeout(1):
                 with pytest.raises(errors.PeerTimeoutError):
-                    await asking
+                    await pending
             await _ping(link, 1)
 
     asyncio.run(scenario())
 
 
 class _Stuck:
-    """A connection whose questions end neither by an answer nor by a cancel."""
+    """A connection whose calls end neither by a reply nor by cancellation."""
 
     def __init__(self):
         self.released = asyncio.Event()
@@ -125,48 +125,47 @@
         return b""
 
     def close(self) -> None:
-        """Stays as it is."""
+        """Does nothing."""
 
 
-def test_a_question_whose_cancel_is_not_heeded_is_given_up_in_time(monkeypatch):
-    # Seen in tests: a question stayed in the library's cancel for good, and
-    # with it whoever had asked: a table would never be asked for again.
+def test_call_that_ignores_cancellation_times_out(monkeypatch):
+    # Guards against calls that hang in pynng's cancellation, as seen in tests:
+    # the caller hung as well and never requested its table again.
     async def scenario():
         stuck = _Stuck()
         monkeypatch.setattr(links.Link, "_dial", lambda _: stuck)
         link = links.Link("127.0.0.1:1", metrics.Meters())
-        asking = asyncio.create_task(_ping(link, 0.05))
-        done, _ = await asyncio.wait({asking}, timeout=1)
+        pending = asyncio.create_task(_ping(link, 0.05))
+        done, _ = await asyncio.wait({pending}, timeout=1)
         stuck.released.set()
         assert done
         with pytest.raises(errors.PeerTimeoutError):
-            asking.result()
+            pending.result()
 
     asyncio.run(scenario())
 
 
-def test_a_message_that_no_peer_would_take_is_refused_where_it_is_made():
-    """Beyond 4 MB a message is dropped by the side that reads it.
+def test_message_above_size_limit_is_rejected_by_its_sender():
+    """Messages above 4 MB fail at the sender, not at the receiver.
 
-    What users would see: a question that is never answered, and others beside
-    it that are lost; each new try sends it all again. Cause: the library resets
-    the connection and says nothing of why. Evidence: this test without the
-    mend (`ConnectionReset`). No message of a gateway comes near that, as rows
-    go in pieces of 8 kB; the product's own interface hands whole documents
-    over.
+    The receiving library resets the connection without giving a reason, so the
+    request would never get a reply, concurrent requests would fail, and each
+    retry would send everything again (`ConnectionReset` without the check).
+    Messages of gateways are far smaller, as rows are sent in chunks of 8 kB,
+    but routers and coordinators exchange whole documents.
     """
 
     async def scenario():
-        async with _answered(5 << 20) as (answerer, link, narrow):
+        async with _responding(5 << 20) as (responder, link, narrow):
             with pytest.raises(errors.ControlMessageError, match="bytes"):
-                await _ask_rows(link, 5)
-            [row] = answerer.rows.rows
-            question = messages.Refused(row.value.hex())
+                await _request_rows(link, 5)
+            [row] = responder.rows.rows
+            request = messages.Refused(row.value.hex())
             passed = narrow.passed
             with pytest.raises(errors.ControlMessageError, match="bytes"):
-                await link.call(question, messages.Pong, 5)
+                await link.call(request, messages.Pong, 5)
             assert narrow.passed == passed
-            # The connection still serves others.
+            # The connection remains usable.
             await _ping(link, 1)
 
     asyncio.run(scenario())
--- a/tests/integration/test_platform_faults.py
+++ b/tests/integration/test_platform_faults.py
@@ -1,4 +1,4 @@
-"""The platform misbehaves; daemons live on and keep what they know."""
+"""Daemons keep running with their last known state if the platform fails."""
 
 import pytest
 
@@ -11,13 +11,13 @@
 @pytest.mark.parametrize(
     "listed", [b"[{}]", b"null", b'[{"id": "x", "state": null}]', b"\xff"]
 )
-def test_malformed_vm_list_is_an_outage(fleet, listed):
+def test_malformed_vm_list_is_treated_as_outage(fleet, listed):
     for domain in ("a", "b", "c"):
         fleet.platform.put_vm_list(domain, listed)
-    seen = fleet.platform.stats()["vm_lists"]
-    # Each of the six daemons has read it.
+    fetched = fleet.platform.stats()["vm_lists"]
+    # Twelve fetches, two for each of the six daemons, so that each has read it.
     processes.wait_until(
-        lambda: fleet.platform.stats()["vm_lists"] >= seen + 12, 15, "reads"
+        lambda: fleet.platform.stats()["vm_lists"] >= fetched + 12, 15, "reads"
     )
     answer = callers.ask(
         next(iter(fleet.vms.values())).router_port,
@@ -35,11 +35,11 @@
     fleet.platform.faults(outage=True)
     vms = list(fleet.vms.values())
 
-    def nobody_reaches_it():
+    def no_router_reaches_it():
         states = [fleet.status(vm.router_metrics) for vm in vms]
         return all(s and not s["platform_reachable"] for s in states)
 
-    processes.wait_until(nobody_reaches_it, 15, "outage noticed")
+    processes.wait_until(no_router_reaches_it, 15, "outage noticed")
     answer = callers.ask(vms[0].router_port, "/tiny/store/x", headers=KEY)
     assert answer.status == 200
     with pytest.raises(RuntimeError, match="ended with 4"):
@@ -55,7 +55,7 @@
     processes.wait_until(in_force, 15, "bundle in force everywhere")
 
 
-def test_lagging_reads_never_bring_an_older_bundle_back(fleet, tmp_path):
+def test_stale_reads_do_not_revert_to_an_older_bundle(fleet, tmp_path):
     path = tmp_path / "bundle.ini"
     path.write_text(fleet.organisation.bundle())
     version = fleet.run_cli("bundle", "approve", str(path))["version"]
--- a/tests/integration/test_platform_transfers.py
+++ b/tests/integration/test_platform_transfers.py
@@ -1,4 +1,4 @@
-"""What the platform keeps comes over narrow links, however large it is."""
+"""Transfers from and to the platform over narrow links, whatever their size."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 from tests.integration import narrow_link
 
 _TIMEOUT_S = 0.5
-# Takes about twice the time-out over the narrowest link.
+# Takes about twice the timeout over the narrowest link.
 _SIZE_BYTES = 600_000
 _SLOW_READ_BYTES = 8192
 
@@ -53,9 +53,9 @@
         base.Row(f"row/{number}", os.urandom(_SIZE_BYTES // 10), 1)
         for number in range(10)
     ]
-    async with _open(provider_http.HttpTable, address) as near:
+    async with _open(provider_http.HttpTable, address) as client:
         writes = [base.Write(row.key, base.ABSENT, row.value) for row in rows]
-        await near.transact(writes, ids.new_attempt_id())
+        await client.transact(writes, ids.new_attempt_id())
     return rows
 
 
@@ -63,21 +63,21 @@
     async def scenario():
         async with _platform() as (address, link):
             rows = await _write_rows(address)
-            async with _open(provider_http.HttpTable, link.address) as far:
-                assert await far.scan("row/") == rows
+            async with _open(provider_http.HttpTable, link.address) as client:
+                assert await client.scan("row/") == rows
 
     asyncio.run(scenario())
 
 
-def test_a_large_object_comes_over_a_narrow_link():
+def test_large_object_is_fetched_over_a_narrow_link():
     async def scenario():
         body = os.urandom(_SIZE_BYTES)
         async with _platform() as (address, link):
-            async with _open(provider_http.HttpObjectStore, address) as near:
-                await near.put("large", body)
+            async with _open(provider_http.HttpObjectStore, address) as client:
+                await client.put("large", body)
             kind = provider_http.HttpObjectStore
-            async with _open(kind, link.address) as far:
-                assert await far.get("large") == body
+            async with _open(kind, link.address) as client:
+                assert await client.get("large") == body
 
     asyncio.run(scenario())
 
@@ -95,7 +95,7 @@
     ]
 
 
-def test_a_long_vm_list_comes_over_a_narrow_link():
+def test_long_vm_list_is_fetched_over_a_narrow_link():
     async def scenario():
         listed = _many_vms()
         async with _platform() as (address, link):
@@ -105,15 +105,15 @@
                 async with session.put(url, data=body) as answer:
                     assert answer.status == 200
             kind = provider_http.HttpVmList
-            async with _open(kind, link.address, "/view/a") as far:
-                assert await far.fetch() == listed
+            async with _open(kind, link.address, "/view/a") as client:
+                assert await client.fetch() == listed
 
     asyncio.run(scenario())
 
 
 @contextlib.asynccontextmanager
 async def _slow_reader():
-    """Yields the address of a store that reads at a narrow link's pace."""
+    """Yields the address of a store that reads at the rate of a narrow link."""
 
     async def accept(reader, writer) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -122,13 +122,13 @@
             for line in head.split(b"\r\n")[1:]
             if line
         )
-        left = int(fields[b"content-length"])
-        while left > 0:
-            piece = await reader.read(min(left, _SLOW_READ_BYTES))
-            if not piece:
+        remaining = int(fields[b"content-length"])
+        while remaining > 0:
+            chunk = await reader.read(min(remaining, _SLOW_READ_BYTES))
+            if not chunk:
                 writer.close()
                 return
-            left -= len(piece)
+            remaining -= len(chunk)
             pause_s = _SLOW_READ_BYTES / narrow_link.NARROW_BYTES_PER_S
             await asyncio.sleep(pause_s)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
@@ -142,36 +142,36 @@
         server.close()
 
 
-def test_a_large_object_is_stored_over_a_narrow_link():
+def test_large_object_is_stored_over_a_narrow_link():
     async def scenario():
         async with _slow_reader() as address:
             kind = provider_http.HttpObjectStore
-            async with _open(kind, address) as far:
-                await far.put("large", os.urandom(_SIZE_BYTES))
+            async with _open(kind, address) as client:
+                await client.put("large", os.urandom(_SIZE_BYTES))
 
     asyncio.run(scenario())
 
 
-def test_an_answer_that_stops_on_its_way_is_given_up():
+def test_response_that_stalls_times_out():
     async def scenario():
         async with _platform() as (address, link):
             await _write_rows(address)
             link.stop_after = 200_000
-            async with _open(provider_http.HttpTable, link.address) as far:
+            async with _open(provider_http.HttpTable, link.address) as client:
                 async with asyncio.timeout(_TIMEOUT_S + 1):
                     with pytest.raises(errors.PlatformUnavailableError):
-                        await far.scan("row/")
+                        await client.scan("row/")
 
     asyncio.run(scenario())
 
 
-def test_an_answer_that_never_begins_is_given_up_in_time():
+def test_response_that_never_starts_times_out():
     async def scenario():
         async with _platform() as (_, link):
             link.stop_after = 0
-            async with _open(provider_http.HttpTable, link.address) as far:
+            async with _open(provider_http.HttpTable, link.address) as client:
                 async with asyncio.timeout(_TIMEOUT_S + 0.3):
                     with pytest.raises(errors.PlatformUnavailableError):
-                        await far.read("row/0")
+                        await client.read("row/0")
 
     asyncio.run(scenario())
--- a/tests/integration/test_ports_in_use.py
+++ b/tests/integration/test_ports_in_use.py
@@ -1,9 +1,8 @@
-"""A gateway whose port is taken says which, and ends as for bad settings.
+"""A gateway whose port is in use names it and exits as for invalid settings.
 
-What operators saw: a traceback of a library, with nothing of what the port was
-for, and for links between VMs not even which it was. Cause: errors of listening
-were passed on as they came. Evidence: the log of a site of a test whose gateway
-had drawn a port twice, and these tests without the mend.
+Guards against unhandled errors of the listening libraries: operators saw a
+traceback that didn't name the purpose of the port and, for links between VMs,
+not even its number. First seen when a test site assigned one port twice.
 """
 
 import asyncio
@@ -20,12 +19,12 @@
 
 
 @contextlib.contextmanager
-def _taken(address: str, kind: socket.SocketKind):
+def _in_use(address: str, kind: socket.SocketKind):
     host, _, port = address.rpartition(":")
-    with socket.socket(type=kind) as holder:
-        holder.bind((host, int(port)))
+    with socket.socket(type=kind) as occupant:
+        occupant.bind((host, int(port)))
         if kind is socket.SOCK_STREAM:
-            holder.listen()
+            occupant.listen()
         yield
 
 
@@ -38,7 +37,7 @@
         ("peers", socket.SOCK_DGRAM, "listen for reports"),
     ],
 )
-def test_a_port_that_is_taken_is_named(tmp_path, setting, kind, step):
+def test_error_names_the_port_in_use(tmp_path, setting, kind, step):
     async def scenario():
         store = users_standins.Store()
         door = await store.open_door(0)
@@ -49,7 +48,7 @@
             for line in lines
             if line.partition("=")[0].strip() == setting
         ]
-        with _taken(address, kind):
+        with _in_use(address, kind):
             await gateway.start()
             try:
                 async with asyncio.timeout(15):
@@ -58,9 +57,9 @@
                 gateway.send(signal.SIGKILL)
                 await gateway.process.wait()
                 await store.close()
-        told = gateway.log.read_text()
-        assert f"swiftstile: {step} at {address}" in told
-        assert "Traceback" not in told
+        log = gateway.log.read_text()
+        assert f"swiftstile: {step} at {address}" in log
+        assert "Traceback" not in log
         assert status == _USAGE
 
     asyncio.run(scenario())
--- a/tests/integration/test_stalled_process.py
+++ b/tests/integration/test_stalled_process.py
@@ -1,4 +1,4 @@
-"""Transfers of a process that stood still."""
+"""Transfers of a process that was paused."""
 
 import asyncio
 import contextlib
@@ -13,9 +13,9 @@
 _STALL_TIMEOUT_S = 0.2
 
 
-def test_bytes_that_came_while_the_process_stood_still_count():
-    # The sender pauses 50 ms at most; the reader's process gets no processor
-    # for 0.3 s in between.
+def test_bytes_received_during_a_pause_count_as_progress():
+    # The sender pauses for at most 50 ms, but the reader's process is blocked
+    # for 0.3 s, which is longer than the stall timeout.
     listener = socket.create_server(("127.0.0.1", 0))
     port = listener.getsockname()[1]
 
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of a request from log lines, and lines that are bounded."""
+"""Request traces built from logs, and the rate limit of request logs."""
 
 import json
 import os
@@ -42,7 +42,7 @@
     one, two = tmp_path / "vm-1.log", tmp_path / "vm-2.log"
     _log(
         one,
-        "not a line of ours",
+        "a line in another format",
         _state(10, "configuration in force", version=3),
         _state(20, "configuration in force", version=4),
         _state(40, "configuration in force", version=5),
@@ -60,7 +60,7 @@
     return [one, two]
 
 
-def test_decisions_come_in_order_and_only_what_was_in_force(files):
+def test_decisions_are_ordered_and_only_changes_in_force_are_shown(files):
     trace = explain.find("a1", files)
     assert [line["event"] for line in trace.decisions] == ["sent", "failed"]
     shown = {(c.event, c.fields.get("version")) for c in trace.changes}
@@ -74,17 +74,17 @@
     assert trace.dropped == 4
 
 
-def test_an_unknown_request_is_said_with_what_was_dropped(files):
+def test_error_for_unknown_request_states_number_of_dropped_lines(files):
     with pytest.raises(errors.LogError, match="4 lines were dropped"):
         explain.find("zz", files)
 
 
-def test_a_missing_file_is_named(tmp_path):
+def test_error_names_missing_file(tmp_path):
     with pytest.raises(errors.LogError, match="nowhere"):
         explain.find("a1", [tmp_path / "nowhere"])
 
 
-def test_the_command_prints_text_and_json(files, capsys):
+def test_command_prints_text_and_json(files, capsys):
     names = [str(path) for path in files]
     assert cli.main(["explain", "a1", *names]) == shared.EXIT_OK
     assert "timeout" in capsys.readouterr().out
@@ -104,7 +104,7 @@
     return [json.loads(line) for line in os.read(fd, 1 << 20).splitlines()]
 
 
-def test_requests_that_ended_badly_go_before_others(monkeypatch):
+def test_failed_requests_take_precedence_over_successful_ones(monkeypatch):
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: 5.0)
     reading, writing = os.pipe()
     lines = decisions.BoundedLines(writing, most_per_s=10)
@@ -119,7 +119,7 @@
     assert {"event": "lines dropped", "count": 34} in written
 
 
-def test_a_reader_that_stands_still_blocks_nothing():
+def test_stalled_reader_does_not_block_the_writer():
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     lines = decisions.BoundedLines(writing, most_per_s=10**9)
@@ -127,7 +127,7 @@
         _write_trace(lines, f"r-{number}", False)
         if number % 100 == 0:
             lines.flush()
-    # What is kept while nobody reads is bounded, and the rest is counted.
+    # The buffer for a stalled reader is bounded; dropped lines are counted.
     kept = len(lines._rest) + sum(map(len, lines._lines))
     assert kept < 2 * decisions.MOST_PENDING_BYTES
     assert lines.dropped > 0
--- a/tests/unit/test_pacing.py
+++ b/tests/unit/test_pacing.py
@@ -1,4 +1,4 @@
-"""Pauses of periodic work end together."""
+"""Periodic sleeps are aligned to common ticks."""
 
 import asyncio
 
@@ -9,10 +9,10 @@
 
 
 class _Loops:
-    """Counts the moments at which any of several loops is woken."""
+    """Records the times at which any of several loops wakes."""
 
     def __init__(self):
-        self.moments: list[float] = []
+        self.wakeups: list[float] = []
         self.rounds = 0
 
     async def run(self, period_s: float, first_s: float) -> None:
@@ -21,14 +21,14 @@
             await pacing.sleep_aligned(period_s)
             self.rounds += 1
             now = asyncio.get_running_loop().time()
-            if not self.moments or now - self.moments[-1] > 0.02:
-                self.moments.append(now)
+            if not self.wakeups or now - self.wakeups[-1] > 0.02:
+                self.wakeups.append(now)
 
 
 @pytest.mark.parametrize(
     "new_loop", [asyncio.new_event_loop, uvloop.new_event_loop]
 )
-def test_loops_that_began_at_odd_moments_are_woken_together(new_loop):
+def test_loops_started_at_different_times_wake_together(new_loop):
     async def scenario():
         loops = _Loops()
         tasks = [
@@ -42,28 +42,28 @@
 
     with asyncio.Runner(loop_factory=new_loop) as runner:
         loops = runner.run(scenario())
-    # Three loops at 10 and three at 5 a second: 45 rounds or more, at the 12
-    # moments of the shorter period.
+    # Three loops at 10 and three at 5 rounds/s: at least 45 rounds in 1.2 s, at
+    # the 12 wake-up times of the shorter period.
     assert loops.rounds > 40
-    assert len(loops.moments) <= 13
+    assert len(loops.wakeups) <= 13
 
 
-def test_pauses_of_one_length_that_begin_together_end_together():
+def test_equal_sleeps_started_together_end_together():
     async def scenario():
         ended = []
 
-        async def one():
+        async def sleep_once():
             await pacing.sleep_aligned(0.1)
             ended.append(asyncio.get_running_loop().time())
 
-        await asyncio.gather(*(one() for _ in range(20)))
+        await asyncio.gather(*(sleep_once() for _ in range(20)))
         return ended
 
     ended = asyncio.run(scenario())
     assert max(ended) - min(ended) < 0.02
 
 
-def test_a_later_shorter_pause_doesnt_wait_for_a_longer_one():
+def test_shorter_sleep_does_not_wait_for_earlier_longer_one():
     async def scenario():
         long = pacing.scheduler().after(30)
         await asyncio.sleep(0)
@@ -75,7 +75,7 @@
     asyncio.run(scenario())
 
 
-def test_a_wait_of_some_length_isnt_cut_short():
+def test_delay_is_not_cut_short():
     async def scenario():
         loop = asyncio.get_running_loop()
         await pacing.sleep_aligned(0.1)
@@ -86,20 +86,20 @@
     assert asyncio.run(scenario()) > 0.3
 
 
-def test_a_cancelled_pause_holds_up_no_other():
+def test_cancelled_sleep_does_not_delay_others():
     async def scenario():
-        given_up = asyncio.create_task(pacing.sleep_aligned(0.1))
-        kept = asyncio.create_task(pacing.sleep_aligned(0.1))
+        cancelled = asyncio.create_task(pacing.sleep_aligned(0.1))
+        pending = asyncio.create_task(pacing.sleep_aligned(0.1))
         await asyncio.sleep(0)
-        given_up.cancel()
+        cancelled.cancel()
         async with asyncio.timeout(1):
-            await kept
-        assert given_up.cancelled()
+            await pending
+        assert cancelled.cancelled()
 
     asyncio.run(scenario())
 
 
-def test_a_pause_below_a_tick_keeps_its_length():
+def test_sleep_shorter_than_a_tick_is_not_aligned():
     async def scenario():
         loop = asyncio.get_running_loop()
         await pacing.sleep_aligned(0.1)
@@ -110,7 +110,7 @@
     assert asyncio.run(scenario()) < pacing.TICK_S * 0.9
 
 
-def test_each_event_loop_has_its_own_ticks():
+def test_each_event_loop_has_its_own_scheduler():
     async def scenario():
         await pacing.sleep_aligned(0.05)
         return pacing.scheduler()
--- a/tests/unit/test_progress.py
+++ b/tests/unit/test_progress.py
@@ -1,4 +1,4 @@
-"""Transfers are bounded by silence, not by their whole time."""
+"""Reads of bodies are limited by stalls, not by their total time."""
 
 import asyncio
 import contextlib
@@ -40,7 +40,7 @@
         feeding.cancel()
 
 
-def test_a_body_that_keeps_coming_may_take_longer_than_the_limit():
+def test_progressing_body_may_take_longer_than_the_timeout():
     async def scenario():
         async with _fed(20, _STALL_TIMEOUT_S / 10, is_whole=True) as content:
             body = await progress.read_body(content, _STALL_TIMEOUT_S)
@@ -49,7 +49,7 @@
     asyncio.run(scenario())
 
 
-def test_a_body_that_stops_is_given_up_and_the_error_says_how_much_came():
+def test_stalled_body_times_out_with_number_of_bytes_read():
     async def scenario():
         async with _fed(3, 0.01, is_whole=False) as content:
             with pytest.raises(TimeoutError, match="3000 bytes"):
@@ -58,7 +58,7 @@
     asyncio.run(scenario())
 
 
-def test_a_body_that_never_begins_is_given_up():
+def test_body_that_never_starts_times_out():
     async def scenario():
         async with _fed(0, 0.01, is_whole=False) as content:
             with pytest.raises(TimeoutError, match="after 0 bytes"):
@@ -67,7 +67,7 @@
     asyncio.run(scenario())
 
 
-def test_an_empty_body_is_read():
+def test_empty_body_is_read():
     async def scenario():
         async with _fed(0, 0.01, is_whole=True) as content:
             assert await progress.read_body(content, _STALL_TIMEOUT_S) == b""
@@ -75,7 +75,7 @@
     asyncio.run(scenario())
 
 
-def test_a_connection_that_breaks_is_told_of():
+def test_broken_connection_raises():
     async def scenario():
         async with _fed(1, 0.01, is_whole=False) as content:
             reading = asyncio.create_task(
@@ -89,13 +89,12 @@
     asyncio.run(scenario())
 
 
-def test_a_body_that_only_trickles_is_given_up():
-    """Some bytes now and then are no progress.
+def test_trickling_body_times_out():
+    """A few bytes now and then don't count as progress.
 
-    What callers would see: a VM that stays on its rows for half a minute, until
-    the limit for the whole call ends the store's answer. Cause: each byte began
-    the time of silence anew. Evidence: this test without the mend; no play has
-    shown it.
+    Guards against single bytes that restart the stall timeout: a VM would keep
+    stale rows for half a minute, until the limit for the whole call ends the
+    store's response.
     """
 
     async def scenario():
@@ -117,7 +116,7 @@
     asyncio.run(scenario())
 
 
-def test_a_short_rest_of_a_body_is_waited_for():
+def test_short_last_chunk_is_read():
     async def scenario():
         content = _content()
 
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,3 +1,5 @@
+"""Validation of settings files and bundles."""
+
 import pathlib
 
 import pytest
@@ -60,7 +62,7 @@
         ("[log]\njson = maybe\n", "[log] json: Expected `bool`"),
     ],
 )
-def test_faults_name_file_section_option_and_expectation(
+def test_error_names_file_section_option_and_expected_value(
     tmp_path, extra, expected
 ):
     path = write(tmp_path, MINIMAL + extra)
@@ -70,7 +72,7 @@
     assert expected in str(caught.value)
 
 
-def test_all_faults_are_listed_at_once(tmp_path):
+def test_all_settings_faults_are_reported_together(tmp_path):
     path = write(tmp_path, "[vm]\nid = v\n[odd]\nx = 1\n")
     with pytest.raises(errors.SettingsError) as caught:
         settings.load(path)
@@ -79,7 +81,9 @@
 
 
 @pytest.mark.parametrize("text", ["no section", "[vm]\nid=1\n[vm]\n", "\x00"])
-def test_check_settings_says_one_line_and_exits_2(tmp_path, text, capsys):
+def test_check_settings_prints_one_line_and_exits_with_2(
+    tmp_path, text, capsys
+):
     path = write(tmp_path, text)
     assert cli.main(["check-settings", str(path)]) == shared.EXIT_USAGE
     captured = capsys.readouterr()
@@ -87,13 +91,13 @@
     assert str(path) in captured.err
 
 
-def test_check_settings_accepts_minimal(tmp_path, capsys):
+def test_check_settings_accepts_minimal_file(tmp_path, capsys):
     path = write(tmp_path, MINIMAL)
     assert cli.main(["check-settings", str(path)]) == shared.EXIT_OK
     assert "ok" in capsys.readouterr().out
 
 
-def test_bundle_faults_are_listed_at_once():
+def test_all_bundle_faults_are_reported_together():
     text = (
         "[bundle]\norganisation = Bad Name\n"
         "[service one]\nownership = owned\nslots = 0\n"
@@ -112,7 +116,7 @@
         assert part in str(caught.value)
 
 
-def test_digest_names_content():
+def test_digest_depends_on_content_only():
     text = (EXAMPLES / "himal-bundle.ini").read_text()
     one, same = model.parse(text, "a"), model.parse(text, "b")
     other = model.parse(text.replace("slots = 3", "slots = 4"), "c")
--- a/tests/unit/test_signals.py
+++ b/tests/unit/test_signals.py
@@ -1,11 +1,11 @@
-"""Waiting for something to happen again."""
+"""Waiting for the next occurrence of an event."""
 
 import asyncio
 
 from swiftstile import signals
 
 
-def test_all_that_wait_are_woken_and_who_comes_later_waits_on():
+def test_wake_reaches_current_waiters_but_not_later_ones():
     async def scenario():
         signal = signals.Signal()
         waiting = [asyncio.create_task(signal.wait(30)) for _ in range(3)]
@@ -21,7 +21,7 @@
     asyncio.run(scenario())
 
 
-def test_nobody_waits_for_longer_than_said():
+def test_wait_ends_after_its_timeout():
     async def scenario():
         async with asyncio.timeout(1):
             await signals.Signal().wait(0.01)
--- a/tests/unit/test_telemetry.py
+++ b/tests/unit/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Counters and durations on the page that Prometheus reads."""
+"""Counters and durations in the Prometheus export."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 from swiftstile import telemetry
 
 
-def test_what_was_counted_before_telemetry_was_loaded_shows():
+def test_values_recorded_before_binding_are_exported():
     meters = metrics.Meters()
     meters.requests.add("answered", 3)
     meters.durations.record(0.004)
@@ -25,7 +25,7 @@
     assert line[0].endswith(" 2.0")
 
 
-def test_early_durations_are_bounded():
+def test_buffer_of_durations_is_bounded():
     durations = metrics.Durations()
     for number in range(2 * metrics.MAX_BUFFERED):
         durations.record(number)
@@ -35,7 +35,7 @@
     assert seen[-1] == 2 * metrics.MAX_BUFFERED - 1
 
 
-def test_every_counter_of_a_process_shows():
+def test_every_counter_has_an_instrument():
     counters = {
         name
         for name, value in vars(metrics.Meters()).items()
@@ -44,8 +44,8 @@
     assert counters == set(telemetry._INSTRUMENTS)
 
 
-def test_a_gateway_starts_without_loading_telemetry():
-    # It takes a fifth of a start, in which requests wait.
+def test_gateway_starts_without_loading_telemetry():
+    # Loading it takes a fifth of the start-up time, during which requests wait.
     code = (
         "import sys; from swiftstile import gateway_wiring;"
         "print([m for m in sys.modules if 'telemetry' in m or 'prom' in m])"
@@ -56,8 +56,8 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_a_gateway_starts_without_modules_that_it_has_no_use_for():
-    # Many VMs start at the same time; imports are nearly all of a start.
+def test_gateway_starts_without_unused_modules():
+    # Many VMs start at the same time, and imports take most of a start.
     unwanted = {
         "aiohttp.web",
         "aiohttp.web_app",
