--- a/src/swiftstile/commandline/bundles.py
+++ b/src/swiftstile/commandline/bundles.py
@@ -1,4 +1,4 @@
-"""Commands on bundles: approve, roll, retire and look at them."""
+"""Commands that approve, roll, retire and show bundles."""
 
 import getpass
 import pathlib
@@ -13,19 +13,21 @@
 
 
 def add(commands) -> None:
-    """Adds the command `bundle` and its verbs."""
-    text = "approve, roll, retire and look at bundles"
+    """Adds the `bundle` command and its subcommands."""
+    text = "approve, roll, retire and show bundles"
     bundle = commands.add_parser("bundle", help=text, description=text)
     verbs = bundle.add_subparsers(required=True, metavar="VERB")
     approve = verbs.add_parser("approve", help="store a bundle as a version")
     approve.add_argument("file", type=pathlib.Path, help="an INI file")
     approve.add_argument(
-        "--dry-run", action="store_true", help="only check the file"
+        "--dry-run",
+        action="store_true",
+        help="check the file without storing it",
     )
     approve.set_defaults(run=_approve)
     for name, run, text in (
         ("roll", _roll, "put an approved version in force"),
-        ("retire", _retire, "mark a version as never to be rolled"),
+        ("retire", _retire, "exclude a version from being rolled"),
     ):
         verb = verbs.add_parser(name, help=text)
         verb.add_argument("organisation")
@@ -42,7 +44,7 @@
         verb.add_argument(
             "--operator",
             default=getpass.getuser(),
-            help="who acts, for the audit trail (default: login name)",
+            help="operator to record in the audit trail (default: login name)",
         )
 
 
@@ -51,13 +53,14 @@
         text = args.file.read_text()
     except (OSError, UnicodeDecodeError) as error:
         raise errors.BundleError(
-            f"can't be read: {error}", step="read bundle", peer=str(args.file)
+            f"can't read file: {error}", step="read bundle", peer=str(args.file)
         ) from error
     bundle = model.parse(text, str(args.file))
     if args.dry_run:
         return shared.print_result(args, bundle, f"{args.file}: ok")
     version = shared.with_platform(
-        args, lambda parts: parts.commands(args.operator).approve(bundle)
+        args,
+        lambda components: components.commands(args.operator).approve(bundle),
     )
     document = {"organisation": bundle.organisation, "version": version}
     return shared.print_result(args, document, f"approved as version {version}")
@@ -75,11 +78,11 @@
     organisation = ids.OrganisationId(args.organisation)
     version = ids.BundleVersion(args.bundle_version)
 
-    async def work(parts: wiring.Wiring):
-        command = getattr(parts.commands(args.operator), verb)
+    async def operation(components: wiring.Wiring):
+        command = getattr(components.commands(args.operator), verb)
         await command(organisation, version)
 
-    shared.with_platform(args, work)
+    shared.with_platform(args, operation)
     document = {"organisation": organisation, "version": version}
     return shared.print_result(args, document, f"{done} version {version}")
 
@@ -87,13 +90,13 @@
 def _show(args) -> int:
     organisation = ids.OrganisationId(args.organisation)
 
-    async def work(parts: wiring.Wiring):
-        queries = parts.queries()
+    async def operation(components: wiring.Wiring):
+        queries = components.queries()
         head = await queries.head(organisation)
         body = await queries.body(head.digest) if head.digest else None
         return head, body
 
-    head, body = shared.with_platform(args, work)
+    head, body = shared.with_platform(args, operation)
     text = f"{organisation}: version {head.in_force} in force"
     for name, spec in (body.services if body else {}).items():
         text += f"\n  {name}: {spec.ownership.value}, {spec.upstream_group}"
@@ -103,7 +106,7 @@
 def _list(args) -> int:
     organisation = ids.OrganisationId(args.organisation)
     versions = shared.with_platform(
-        args, lambda parts: parts.queries().versions(organisation)
+        args, lambda components: components.queries().versions(organisation)
     )
     lines = [
         f"{entry.version:>6}  {entry.state.value:<10}  {entry.approved_by}"
--- a/src/swiftstile/commandline/daemons.py
+++ b/src/swiftstile/commandline/daemons.py
@@ -1,4 +1,4 @@
-"""Commands that run a daemon, or check the settings of one."""
+"""Commands that run a daemon or check its settings."""
 
 import asyncio
 import pathlib
@@ -12,14 +12,14 @@
 from swiftstile import telemetry
 from swiftstile import wiring
 from swiftstile.commandline import shared
-from swiftstile.daemons import inspection_page
+from swiftstile.daemons import inspection_server
 from swiftstile.gateway import settings as gateway_settings
 
 __all__ = ["add"]
 
 
 def add(commands) -> None:
-    """Adds the commands."""
+    """Adds the daemon commands and the settings checks."""
     _add_daemons(commands)
     _add_check(commands)
 
@@ -27,7 +27,11 @@
 def _add_daemons(commands) -> None:
     for name, run, text in (
         ("router", _run_router, "route requests of callers to owners"),
-        ("coordinator", _run_coordinator, "take part in giving out ownership"),
+        (
+            "coordinator",
+            _run_coordinator,
+            "take part in the assignment of keys to owners",
+        ),
     ):
         command = commands.add_parser(name, help=text, description=text)
         shared.add_settings(command)
@@ -39,7 +43,7 @@
         ("check-settings", settings_lib.load, "router and coordinator"),
         ("check-gateway", gateway_settings.load, "gateway"),
     ):
-        text = f"check a settings file of {kind}, say all that is wrong"
+        text = f"check a settings file of {kind} and list all errors"
         command = commands.add_parser(name, help=text, description=text)
         command.add_argument("file", type=pathlib.Path, help="an INI file")
         command.set_defaults(run=_check_settings, load=load)
@@ -79,19 +83,19 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stopping.set)
-        parts = wiring.Wiring(settings)
-        daemon = getattr(parts, role)()
+        components = wiring.Wiring(settings)
+        daemon = getattr(components, role)()
         runner = None
         if inspect_address:
-            runner = await inspection_page.start(
-                inspect_address, daemon, telemetry.page
+            runner = await inspection_server.start(
+                inspect_address, daemon, telemetry.render
             )
         try:
             await daemon.run(stopping)
         finally:
             if runner is not None:
                 await runner.cleanup()
-            await parts.close()
+            await components.close()
 
     uvloop.run(run())
     return shared.EXIT_OK
--- a/src/swiftstile/daemons/coordinator.py
+++ b/src/swiftstile/daemons/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator daemon of an entry VM: control, never on the data path."""
+"""The coordinator daemon of an entry VM; not on the request path."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class CoordinatorDaemon(links.ControlHandler, inspection.Inspectable):
-    """Takes its share of coordinator leases and answers control messages."""
+    """Takes part in lease elections and handles control messages."""
 
     def __init__(
         self,
@@ -28,23 +28,23 @@
         me: leases.Candidate,
         bundles: bundle_watch.BundleWatch,
         directory: vms.VmDirectory,
-        book: leases.PromiseTable,
+        promises: leases.PromiseTable,
         meters: metrics.Meters,
-        make_keeper,
+        make_elector,
     ):
         self._settings = settings
         self._me = me
         self._bundles = bundles
         self._directory = directory
-        self._book = book
+        self._promises = promises
         self._meters = meters
-        self._make_keeper = make_keeper
+        self._make_elector = make_elector
         self._leaving = False
-        self._keepers: dict[ids.ServiceId, elector_lib.CoordinatorElector] = {}
+        self._electors: dict[ids.ServiceId, elector_lib.CoordinatorElector] = {}
         self._tasks: dict[ids.ServiceId, asyncio.Task] = {}
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Works until `stopping` is set, then gives its leases up."""
+        """Runs until `stopping` is set, then releases its leases."""
         self._bundles.changes.subscribe(self._on_bundle)
         await self._directory.refresh()
         server = links.ControlServer(
@@ -74,8 +74,8 @@
 
     async def _leave(self) -> None:
         self._leaving = True
-        keepers = self._keepers.values()
-        await asyncio.gather(*(keeper.release() for keeper in keepers))
+        electors = self._electors.values()
+        await asyncio.gather(*(elector.release() for elector in electors))
         logs.logger.info("coordinator stopped")
 
     def _on_bundle(self, change: bundle_watch.BundleInForce) -> None:
@@ -88,26 +88,26 @@
         for service in set(self._tasks) - set(wanted):
             if service.organisation == organisation:
                 self._tasks.pop(service).cancel()
-                self._keepers.pop(service)
+                self._electors.pop(service)
         for service in set(wanted) - set(self._tasks):
-            keeper = self._make_keeper(service)
-            self._keepers[service] = keeper
-            self._tasks[service] = asyncio.create_task(keeper.run())
+            elector = self._make_elector(service)
+            self._electors[service] = elector
+            self._tasks[service] = asyncio.create_task(elector.run())
 
     async def handle(self, message: messages.Message) -> messages.Message:
         """See base class."""
         match message:
             case messages.Ping():
                 return self._pong()
-            case messages.AskPromise():
+            case messages.PromiseRequest():
                 return self._promise(message)
             case messages.Resigned():
                 return self._resigned(message)
-            case messages.Locate():
+            case messages.LocateRequest():
                 return self._locate(message)
-            case messages.Watch():
+            case messages.WatchRequest():
                 return await self._watch(message)
-        return messages.Refused(f"can't answer {type(message).__name__}")
+        return messages.Refused(f"unexpected message {type(message).__name__}")
 
     def _pong(self) -> messages.Pong:
         return messages.Pong(
@@ -117,39 +117,41 @@
             self._leaving,
         )
 
-    def _promise(self, ask: messages.AskPromise) -> messages.Message:
-        if ask.candidate != self._me.incarnation:
-            return messages.Refused("meant for another run of this process")
-        duration = min(ask.duration_s, self._settings.coordinator.promise_s)
-        keeper = self._keepers.get(ask.service)
-        if keeper is not None:
-            keeper.record_holder(ask.holder, ask.epoch)
+    def _promise(self, request: messages.PromiseRequest) -> messages.Message:
+        if request.candidate != self._me.incarnation:
+            return messages.Refused("addressed to another run of this process")
+        duration = min(request.duration_s, self._settings.coordinator.promise_s)
+        elector = self._electors.get(request.service)
+        if elector is not None:
+            elector.record_holder(request.holder, request.epoch)
         granted = (
-            duration == ask.duration_s
+            duration == request.duration_s
             and not self._leaving
-            and self._book.promise(
-                ask.service, ask.epoch, clocks.monotonic(), duration
+            and self._promises.promise(
+                request.service, request.epoch, clocks.monotonic(), duration
             )
         )
-        known = keeper.known.epoch if keeper and keeper.known else ask.epoch
-        return messages.Promised(granted, known)
+        known = (
+            elector.known.epoch if elector and elector.known else request.epoch
+        )
+        return messages.PromiseReply(granted, known)
 
     def _resigned(self, message: messages.Resigned) -> messages.Message:
         if message.candidate != self._me.incarnation:
-            return messages.Refused("meant for another run of this process")
-        self._book.release(message.service, message.epoch)
-        return messages.Promised(False, message.epoch)
-
-    def _locate(self, ask: messages.Locate) -> messages.Located:
-        keeper = self._keepers.get(ask.service)
-        if keeper is None or keeper.known is None:
-            return messages.Located(self._me.vm, False, ids.Epoch(0))
-        is_holder = keeper.active is not None
-        return messages.Located(self._me.vm, is_holder, keeper.known.epoch)
-
-    async def _watch(self, watch: messages.Watch) -> messages.Message:
-        keeper = self._keepers.get(watch.service)
-        active = keeper.active if keeper else None
+            return messages.Refused("addressed to another run of this process")
+        self._promises.release(message.service, message.epoch)
+        return messages.PromiseReply(False, message.epoch)
+
+    def _locate(self, request: messages.LocateRequest) -> messages.LocateReply:
+        elector = self._electors.get(request.service)
+        if elector is None or elector.known is None:
+            return messages.LocateReply(self._me.vm, False, ids.Epoch(0))
+        is_holder = elector.active is not None
+        return messages.LocateReply(self._me.vm, is_holder, elector.known.epoch)
+
+    async def _watch(self, watch: messages.WatchRequest) -> messages.Message:
+        elector = self._electors.get(watch.service)
+        active = elector.active if elector else None
         if active is None or active.assignment is None:
             return messages.NotHolder()
         return await active.watch(watch)
@@ -167,17 +169,16 @@
                 for name, entry in self._bundles.by_organisation.items()
             },
             "services": {
-                str(service): _service_status(keeper)
-                for service, keeper in self._keepers.items()
+                str(service): _service_status(elector)
+                for service, elector in self._electors.items()
             },
             "meters": self._meters.snapshot(),
         }
 
 
-def _service_status(
-    keeper: elector_lib.CoordinatorElector,
+def _service_status(elector: elector_lib.CoordinatorElector,
 ) -> dict[str, object]:
-    known, active = keeper.known, keeper.active
+    known, active = elector.known, elector.active
     status: dict[str, object] = {
         "holder": known.holder.vm if known else None,
         "epoch": known.epoch if known else None,
--- a/src/swiftstile/explain.py
+++ b/src/swiftstile/explain.py
@@ -1,8 +1,8 @@
-"""The story of one request, from the log lines of any VMs.
+"""Reconstructs the trace of one request from the logs of any VMs.
 
-Lines of the request come in order of time. Before them stand the changes that
-were in force when it came: the newest of each kind at the same VM, with how
-old they were. Lines that aren't ours are passed over.
+A trace lists the log entries of the request in order of time. The state changes
+in force when the request arrived precede them: the latest change of each kind
+on the same VM, with its age. Lines in another format are ignored.
 """
 
 import collections.abc
@@ -13,11 +13,11 @@
 
 from swiftstile import errors
 
-__all__ = ["Change", "Story", "find", "render"]
+__all__ = ["Change", "RequestTrace", "find", "render"]
 
-# Changes of state that decide what becomes of requests, and the field that
-# tells several of a kind apart.
-_CHANGES = {
+# Events of state changes that affect how requests are handled, each with the
+# field that distinguishes several changes of the same kind.
+_CHANGE_EVENTS = {
     "configuration in force": "",
     "table lost": "table",
     "table regained": "table",
@@ -32,12 +32,12 @@
     "moves wait for the store": "service",
     "release unanswered": "upstream",
 }
-_DROPPED = "lines dropped"
-_SHOWN_APART = ("id", "vm", "at_ms", "event", "time", "level")
+_DROPPED_EVENT = "lines dropped"
+_OMITTED_FIELDS = ("id", "vm", "at_ms", "event", "time", "level")
 
 
 class Change(msgspec.Struct):
-    """A change of state, and how old it was when the request came."""
+    """A state change, and its age when the request arrived."""
 
     vm: str
     event: str
@@ -45,14 +45,14 @@
     fields: dict[str, object]
 
 
-class Story(msgspec.Struct):
-    """What is known of one request.
+class RequestTrace(msgspec.Struct):
+    """The log entries and state changes that concern one request.
 
     Attributes:
-        id: Its id.
-        decisions: What was decided on it, in order of time.
-        changes: Changes in force when it came, oldest first.
-        dropped: Lines that its VMs dropped, in all files.
+        id: Id of the attempt.
+        decisions: Log entries of the request, in order of time.
+        changes: State changes in force when it arrived, oldest first.
+        dropped: Number of log lines that were dropped, over all files.
     """
 
     id: str
@@ -61,32 +61,34 @@
     dropped: int
 
 
-def find(request_id: str, files: list[pathlib.Path]) -> Story:
-    """Returns the story of a request.
+def find(request_id: str, files: list[pathlib.Path]) -> RequestTrace:
+    """Builds the trace of a request.
 
     Args:
-        request_id: The caller's id of the attempt.
+        request_id: Id that the caller gave the attempt.
         files: Logs of any VMs.
 
     Raises:
-        LogError: A file can't be read, or no line has that id.
+        LogError: A file can't be read, or no entry has that id.
     """
-    decisions, states, dropped = [], [], 0
+    decisions, changes, dropped = [], [], 0
     for line in _lines(files):
         if line.get("id") == request_id:
             decisions.append(line)
-        elif line.get("event") == _DROPPED:
+        elif line.get("event") == _DROPPED_EVENT:
             dropped += int(line.get("count", 0))
-        elif line.get("event") in _CHANGES:
-            states.append(line)
+        elif line.get("event") in _CHANGE_EVENTS:
+            changes.append(line)
     if not decisions:
         raise errors.LogError(
-            f"no line of {request_id}; {dropped} lines were dropped",
+            f"no entry for request {request_id}; {dropped} lines were dropped",
             step="explain",
             peer=", ".join(map(str, files)),
         )
     decisions.sort(key=lambda line: line.get("at_ms", 0))
-    return Story(request_id, decisions, _in_force(decisions, states), dropped)
+    return RequestTrace(
+        request_id, decisions, _in_force(decisions, changes), dropped
+    )
 
 
 def _lines(files) -> collections.abc.Iterator[dict[str, object]]:
@@ -106,21 +108,23 @@
                 yield line
 
 
-def _in_force(decisions, states) -> list[Change]:
-    """Returns the newest change of each kind before the request came."""
+def _in_force(decisions, changes) -> list[Change]:
+    """Returns the latest change of each kind before the request arrived."""
     first = decisions[0]
-    came_ms = first.get("at_ms", 0) - first.get("waited_ms", 0)
+    arrived_ms = first.get("at_ms", 0) - first.get("waited_ms", 0)
     vms = {line.get("vm") for line in decisions}
     upstreams = {line.get("upstream") for line in decisions}
     newest: dict[tuple, Change] = {}
-    for line in states:
-        age_s = (came_ms - _at_ms(line)) / 1000
+    for line in changes:
+        age_s = (arrived_ms - _at_ms(line)) / 1000
         event = line["event"]
-        detail = line.get(_CHANGES[event], "")
-        is_other = event.startswith("upstream") and detail not in upstreams
-        # Key maps are written by the leader alone, and count for all VMs.
-        is_here = line.get("vm") in vms or event == "key map written"
-        if age_s < 0 or is_other or not is_here:
+        detail = line.get(_CHANGE_EVENTS[event], "")
+        is_other_upstream = (
+            event.startswith("upstream") and detail not in upstreams
+        )
+        # Key maps are written by the leader only, but apply to all VMs.
+        is_relevant_vm = line.get("vm") in vms or event == "key map written"
+        if age_s < 0 or is_other_upstream or not is_relevant_vm:
             continue
         key = (line.get("vm"), event, detail)
         known = newest.get(key)
@@ -133,35 +137,35 @@
 
 def _at_ms(line) -> float:
     try:
-        moment = datetime.datetime.fromisoformat(str(line.get("time")))
+        timestamp = datetime.datetime.fromisoformat(str(line.get("time")))
     except ValueError:
-        # A line without a readable time counts as older than all requests.
+        # An entry without a valid time is treated as older than any request.
         return 0.0
-    return moment.timestamp() * 1000
+    return timestamp.timestamp() * 1000
 
 
 def _fields(line) -> dict[str, object]:
-    return {k: v for k, v in line.items() if k not in _SHOWN_APART}
+    return {k: v for k, v in line.items() if k not in _OMITTED_FIELDS}
 
 
-def render(story: Story) -> str:
-    """Returns a story as text."""
-    lines = [f"request {story.id}", "in force when it came:"]
-    for change in story.changes:
+def render(trace: RequestTrace) -> str:
+    """Formats a trace as text."""
+    lines = [f"request {trace.id}", "in force when it arrived:"]
+    for change in trace.changes:
         lines.append(
             f"  {change.age_s:9.3f} s before  {change.vm}  {change.event}"
             f"  {_text(change.fields)}"
         )
     lines.append("decisions:")
-    came_ms = story.decisions[0].get("at_ms", 0)
-    for line in story.decisions:
-        after_ms = line.get("at_ms", 0) - came_ms
+    arrived_ms = trace.decisions[0].get("at_ms", 0)
+    for line in trace.decisions:
+        after_ms = line.get("at_ms", 0) - arrived_ms
         lines.append(
             f"  {after_ms:+9d} ms  {line.get('vm', '')}  {line.get('event')}"
             f"  {_text(_fields(line))}"
         )
-    if story.dropped:
-        lines.append(f"{story.dropped} lines were dropped in these files")
+    if trace.dropped:
+        lines.append(f"{trace.dropped} lines were dropped in these files")
     return "\n".join(lines)
 
 
--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -90,7 +90,7 @@
     async def run(self) -> None:
         """Ends expired permits and those of ended runs, until cancelled."""
         while True:
-            await pacing.pause(_SWEEP_INTERVAL_S)
+            await pacing.sleep_aligned(_SWEEP_INTERVAL_S)
             now = clocks.monotonic()
             expired = [
                 name
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -271,7 +271,7 @@
 
     async def _run_housekeeping(self) -> None:
         while True:
-            await pacing.pause(TICK_S)
+            await pacing.sleep_aligned(TICK_S)
             now = clocks.monotonic()
             self._registry.tick(now)
             self._authority.tick(now)
@@ -290,7 +290,7 @@
     async def _run_leader_duties(self) -> None:
         while True:
             is_leader = self._leader_role.is_leader
-            await pacing.pause(TICK_S / 2 if is_leader else TICK_S)
+            await pacing.sleep_aligned(TICK_S / 2 if is_leader else TICK_S)
             if self._is_leaving:
                 continue
             await self._leader_role.tick()
--- a/src/swiftstile/gateway/decision_log.py
+++ b/src/swiftstile/gateway/decision_log.py
@@ -157,7 +157,7 @@
         os.set_blocking(self._fd, False)
         try:
             while True:
-                await pacing.pause(FLUSH_INTERVAL_S)
+                await pacing.sleep_aligned(FLUSH_INTERVAL_S)
                 self.flush()
         finally:
             self.flush()
--- a/src/swiftstile/gateway/follow.py
+++ b/src/swiftstile/gateway/follow.py
@@ -131,7 +131,7 @@
             sent = clocks.monotonic()
             if self.follows_peers(sent):
                 self._record_peer_coverage(sent)
-                await pacing.pause(PEER_CHECK_INTERVAL_S)
+                await pacing.sleep_aligned(PEER_CHECK_INTERVAL_S)
                 continue
             try:
                 is_done = await self._step_unless_overtaken()
--- a/src/swiftstile/gateway/front.py
+++ b/src/swiftstile/gateway/front.py
@@ -92,7 +92,7 @@
     async def enforce_timeouts(self) -> None:
         """Closes connections that exceed the idle or header timeout."""
         while True:
-            await pacing.pause(_SWEEP_INTERVAL_S)
+            await pacing.sleep_aligned(_SWEEP_INTERVAL_S)
             config = self._handler.config
             limits = model.Limits() if config is None else config.limits
             now = clocks.monotonic()
--- a/src/swiftstile/gateway/gossip.py
+++ b/src/swiftstile/gateway/gossip.py
@@ -233,7 +233,7 @@
                 self.detect_stall(now)
                 is_full = self._is_full_report_due(now)
                 self._send(make_report(self.next_sequence(), is_full), is_full)
-                await pacing.pause(self._tick_s())
+                await pacing.sleep_aligned(self._tick_s())
         finally:
             self._transport.close()
 
--- a/src/swiftstile/gateway/relay.py
+++ b/src/swiftstile/gateway/relay.py
@@ -73,7 +73,7 @@
         self,
         followers: dict[str, follow.TableFollower],
         peers: gossip.Peers,
-        calls: links.Links,
+        calls: links.LinkPool,
         seeds: list[str],
         meters: metrics.Meters,
     ):
@@ -89,9 +89,9 @@
     async def handle(self, message: messages.Message) -> messages.Message:
         """See base class."""
         now = clocks.monotonic()
-        if isinstance(message, messages.AskPiece):
+        if isinstance(message, messages.ChunkRequest):
             return self._outgoing.piece(message.number, message.offset, now)
-        if not isinstance(message, messages.AskRows):
+        if not isinstance(message, messages.RowsRequest):
             return messages.Refused("expected ask-rows")
         follower = self._followers.get(message.table)
         if follower is None or not follower.is_loaded:
@@ -138,7 +138,7 @@
     async def run(self) -> None:
         """Fetches from peers while calls to the store fail, until cancelled."""
         while True:
-            await pacing.pause(RETRY_INTERVAL_S)
+            await pacing.sleep_aligned(RETRY_INTERVAL_S)
             now = clocks.monotonic()
             # Tables are fetched independently: a large one doesn't delay the
             # others.
@@ -210,9 +210,9 @@
         self, fetch: _Fetch, follower: follow.TableFollower
     ) -> messages.Rows:
         link = self._calls.to(fetch.address)
-        message = messages.AskRows(follower.name, follower.version)
+        message = messages.RowsRequest(follower.name, follower.version)
         # Sent once: another peer may answer faster than one that timed out.
-        first = await link.call(message, messages.Piece, PIECE_TIMEOUT_S)
+        first = await link.call(message, messages.Chunk, PIECE_TIMEOUT_S)
         incoming = transfers.IncomingRows(first)
         while not incoming.is_whole:
             # The store wouldn't be faster than an answer that is already
@@ -227,12 +227,12 @@
         link: links.Link,
         fetch: _Fetch,
         incoming: transfers.IncomingRows,
-    ) -> messages.Piece:
-        message = messages.AskPiece(incoming.number, incoming.received)
+    ) -> messages.Chunk:
+        message = messages.ChunkRequest(incoming.number, incoming.received)
         timeout_s = PIECE_TIMEOUT_S
         for _ in range(PIECE_ATTEMPTS - 1):
             try:
-                return await link.call(message, messages.Piece, timeout_s)
+                return await link.call(message, messages.Chunk, timeout_s)
             except errors.PeerTimeoutError as error:
                 # The pieces received before are kept.
                 logs.logger.info(
@@ -240,7 +240,7 @@
                 )
                 fetch.is_late = True
                 timeout_s *= 2
-        return await link.call(message, messages.Piece, timeout_s)
+        return await link.call(message, messages.Chunk, timeout_s)
 
 
 def _should_ask_peer(follower: follow.TableFollower, now: float) -> bool:
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -284,7 +284,7 @@
         row_relay = relay.RowRelay(
             followers,
             self._peers,
-            links.Links(self._meters),
+            links.LinkPool(self._meters),
             _seed_addresses(self._settings.vm),
             self._meters,
         )
--- a/src/swiftstile/ownership/coordination.py
+++ b/src/swiftstile/ownership/coordination.py
@@ -21,7 +21,7 @@
 from swiftstile.ownership import slices
 from swiftstile.peers import messages
 from swiftstile.provider import base
-from swiftstile.provider import settle
+from swiftstile.provider import retries
 
 __all__ = ["Coordination"]
 
@@ -113,7 +113,9 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def watch(self, request: messages.Watch) -> messages.WatchReply:
+    async def watch(
+        self, request: messages.WatchRequest
+    ) -> messages.WatchReply:
         """Answers a router's watch once there is a newer assignment."""
         received_at = clocks.monotonic()
         self._enforcer.record_watch(request)
@@ -389,7 +391,9 @@
             writes = await self._store.writes(wanted, self._row_version, change)
             async with self._holder.table_lock:
                 guarded = [self._holder.lease_condition(), *writes]
-                await settle.settled_transact(self._table, guarded, math.inf)
+                await retries.transact_with_retries(
+                    self._table, guarded, math.inf
+                )
         except errors.PlatformUnavailableError:
             self._back_off_writes()
             self._cancel_moves()
--- a/src/swiftstile/ownership/enforcement.py
+++ b/src/swiftstile/ownership/enforcement.py
@@ -90,10 +90,10 @@
         del servers
         return True
 
-    def record_watch(self, watch: messages.Watch) -> None:
+    def record_watch(self, watch: messages.WatchRequest) -> None:
         """Records the state that a router reports in its watch."""
 
-    def extend_route_lease(self, watch: messages.Watch) -> float:
+    def extend_route_lease(self, watch: messages.WatchRequest) -> float:
         """Extends a router's lease.
 
         Returns:
@@ -220,19 +220,19 @@
         lease = self._settings.promise_s if released else 0.0
         return lease + MAX_CLOCK_SKEW_S
 
-    def record_watch(self, watch: messages.Watch) -> None:
+    def record_watch(self, watch: messages.WatchRequest) -> None:
         """See base class."""
         self._router_state(watch).oldest_in_flight = watch.oldest_in_flight
         self._changed.set()
 
-    def extend_route_lease(self, watch: messages.Watch) -> float:
+    def extend_route_lease(self, watch: messages.WatchRequest) -> float:
         """See base class."""
         until = self._holder.validity.valid_until()
         router = self._router_state(watch)
         router.lease_until = max(router.lease_until, until)
         return until
 
-    def _router_state(self, watch: messages.Watch) -> _RouterState:
+    def _router_state(self, watch: messages.WatchRequest) -> _RouterState:
         router = self._by_router.get(watch.router)
         if router is None:
             router = _RouterState(0.0, watch.oldest_in_flight)
--- a/src/swiftstile/ownership/holder.py
+++ b/src/swiftstile/ownership/holder.py
@@ -15,7 +15,7 @@
 from swiftstile.peers import links
 from swiftstile.peers import messages
 from swiftstile.provider import base
-from swiftstile.provider import settle
+from swiftstile.provider import retries
 
 __all__ = ["LeaseHolder", "LeaseLostError"]
 
@@ -50,7 +50,7 @@
         row_version: int,
         taken_at: float,
         table: base.Table,
-        peers: links.Links,
+        peers: links.LinkPool,
         selector: selection.CandidateSelector,
         settings: settings_lib.CoordinatorSettings,
     ):
@@ -114,7 +114,7 @@
             self.service, self.lease.epoch, candidate.incarnation
         )
         try:
-            await self._call(candidate, message, messages.Promised)
+            await self._call(candidate, message, messages.PromiseReply)
         except errors.SwiftstileError:
             # The candidate sees the released row at its next read.
             return
@@ -134,7 +134,7 @@
 
     async def _request_promise(self, candidate: leases.Candidate) -> bool:
         duration = self._settings.promise_s
-        message = messages.AskPromise(
+        message = messages.PromiseRequest(
             self.service,
             self.lease.epoch,
             self.lease.holder.vm,
@@ -143,7 +143,7 @@
         )
         requested_at = clocks.monotonic()
         try:
-            answer = await self._call(candidate, message, messages.Promised)
+            answer = await self._call(candidate, message, messages.PromiseReply)
         except errors.SwiftstileError:
             return False
         if answer.epoch > self.lease.epoch:
@@ -237,7 +237,7 @@
                 self.row_version,
                 codec.to_json(lease),
             )
-            await settle.settled_transact(self._table, [write], settle_s)
+            await retries.transact_with_retries(self._table, [write], settle_s)
             self.lease = lease
             self.row_version += 1
         self.validity.record_confirmed(sent_at)
--- a/src/swiftstile/ownership/selection.py
+++ b/src/swiftstile/ownership/selection.py
@@ -25,7 +25,7 @@
         self,
         me: leases.Candidate,
         directory: vms.VmDirectory,
-        peers: links.Links,
+        peers: links.LinkPool,
         timeout_s: float,
     ):
         self._me = me
--- a/src/swiftstile/routing/owners.py
+++ b/src/swiftstile/routing/owners.py
@@ -152,7 +152,7 @@
         router: ids.Incarnation,
         table: OwnerTable,
         directory: vms.VmDirectory,
-        peers: links.Links,
+        peers: links.LinkPool,
         wait_s: float,
         timeout_s: float,
     ):
@@ -177,7 +177,7 @@
                 await self._follow(located)
             await asyncio.sleep(_LOCATE_RETRY_S)
 
-    async def _locate(self) -> messages.Located | None:
+    async def _locate(self) -> messages.LocateReply | None:
         """Asks all entry VMs of the organisation which one is the coordinator.
 
         Only a VM that says so of itself counts. The first one is accepted, as
@@ -202,17 +202,17 @@
                 query.cancel()
         return None
 
-    async def _query(self, address: str) -> messages.Located | None:
+    async def _query(self, address: str) -> messages.LocateReply | None:
         try:
             return await self._peers.to(address).call(
-                messages.Locate(self._service),
-                messages.Located,
+                messages.LocateRequest(self._service),
+                messages.LocateReply,
                 _LOCATE_TIMEOUT_S,
             )
         except errors.SwiftstileError:
             return None
 
-    async def _follow(self, located: messages.Located) -> None:
+    async def _follow(self, located: messages.LocateReply) -> None:
         vm = self._directory.by_id.get(located.vm)
         if vm is None:
             return
@@ -231,7 +231,7 @@
         # The coordinator may be waiting for older requests to end. Reporting
         # that in this watch saves the wait until the next one.
         await table.wait_drained(_DRAIN_WAIT_S)
-        request = messages.Watch(
+        request = messages.WatchRequest(
             self._service,
             self._vm,
             self._router,
@@ -256,7 +256,7 @@
         table.extend_lease(requested_at + reply.route_lease_s)
 
     async def _send_watch(
-        self, link: links.Link, request: messages.Watch
+        self, link: links.Link, request: messages.WatchRequest
     ) -> messages.WatchReply:
         try:
             reply = await link.call(
--- a/src/swiftstile/wiring.py
+++ b/src/swiftstile/wiring.py
@@ -1,4 +1,4 @@
-"""The composition root: builds each daemon from its settings."""
+"""Composition root: builds the daemons from their settings."""
 
 import asyncio
 
@@ -31,15 +31,16 @@
 
 __all__ = ["Wiring"]
 
-# A router's watch waits this long for a change: less where its route lease
-# comes with the answer. And this much longer for the answer to arrive.
+# How long a router's watch request waits for a change. The wait is shorter for
+# services whose route lease is renewed by the response. The margin is the
+# additional time for the response to arrive.
 _WATCH_WAIT_S = 0.5
 _LEASED_WATCH_WAIT_S = 0.3
 _WATCH_MARGIN_S = 0.25
 
 
 class Wiring:
-    """Makes the parts of one process; each method makes new ones."""
+    """Builds the components of one process; each call builds new ones."""
 
     def __init__(self, settings: settings_lib.Settings):
         self._settings = settings
@@ -56,31 +57,31 @@
         )
 
     def queries(self) -> queries.BundleQueries:
-        """Returns the queries on bundles."""
+        """Builds the bundle queries."""
         return queries.BundleQueries(self.table, self.objects)
 
     def commands(self, operator: str) -> commands.BundleCommands:
-        """Returns the commands on bundles, for one operator."""
+        """Builds the bundle commands for one operator."""
         return commands.BundleCommands(self.table, self.objects, operator)
 
     def coordinator(self) -> coordinator.CoordinatorDaemon:
-        """Returns the coordinator daemon."""
+        """Builds the coordinator daemon."""
         settings = self._settings.coordinator
         vm = self._settings.vm
         telemetry.expose(self._meters)
         me = leases.Candidate(vm.id, ids.new_incarnation(vm.id))
-        directory = self._directory()
-        book = leases.PromiseTable()
+        vm_directory = self._directory()
+        promises = leases.PromiseTable()
         bundles = self._bundle_watch()
-        peers = links.Links(self._meters)
-        scout = selection.CandidateSelector(
-            me, directory, peers, settings.call_timeout_s
+        peers = links.LinkPool(self._meters)
+        selector = selection.CandidateSelector(
+            me, vm_directory, peers, settings.call_timeout_s
         )
         control = upstream_http.HttpUpstreamControl(
             settings.call_timeout_s, self._meters
         )
 
-        def make_keeper(service: ids.ServiceId) -> elector.CoordinatorElector:
+        def make_elector(service: ids.ServiceId) -> elector.CoordinatorElector:
             def build(lease, row_version, taken_at, released):
                 holder = holder_lib.LeaseHolder(
                     service,
@@ -89,14 +90,14 @@
                     taken_at,
                     self.table,
                     peers,
-                    scout,
+                    selector,
                     settings,
                 )
                 spec = bundles.by_organisation[
                     service.organisation
                 ].bundle.services[service.service]
                 changed = asyncio.Event()
-                kind = (
+                enforcer_class = (
                     enforcement.FencedEnforcer
                     if spec.checks_fence
                     else enforcement.RouteLeaseEnforcer
@@ -104,8 +105,8 @@
                 work = coordination.Coordination(
                     holder,
                     spec,
-                    directory,
-                    kind(holder, control, settings, changed),
+                    vm_directory,
+                    enforcer_class(holder, control, settings, changed),
                     assignment_store.AssignmentStore(
                         service, self.table, self.objects
                     ),
@@ -118,13 +119,13 @@
                 )
                 return holder, work
 
-            listed = directory.entry_vms(service.organisation)
+            listed = vm_directory.entry_vms(service.organisation)
             return elector.CoordinatorElector(
                 service,
                 me,
                 self.table,
-                book,
-                scout,
+                promises,
+                selector,
                 build,
                 elector.rank(service, me.vm, [entry.id for entry in listed]),
                 settings.outage_tolerance_s,
@@ -134,23 +135,23 @@
             self._settings,
             me,
             bundles,
-            directory,
-            book,
+            vm_directory,
+            promises,
             self._meters,
-            make_keeper,
+            make_elector,
         )
 
     def router(self) -> router.RouterDaemon:
-        """Returns the router daemon."""
+        """Builds the router daemon."""
         vm = self._settings.vm
         telemetry.expose(self._meters)
-        directory = self._directory()
-        peers = links.Links(self._meters)
+        vm_directory = self._directory()
+        peers = links.LinkPool(self._meters)
         table = routes.RouteTable()
         forwarder = forwarding.Forwarder(self._meters)
         incarnation = ids.new_incarnation(vm.id)
 
-        def make_watch(service, spec, owner_table) -> owners.OwnerWatcher:
+        def make_watcher(service, spec, owner_table) -> owners.OwnerWatcher:
             wait_s = (
                 _WATCH_WAIT_S if spec.checks_fence else _LEASED_WATCH_WAIT_S
             )
@@ -159,7 +160,7 @@
                 vm.id,
                 incarnation,
                 owner_table,
-                directory,
+                vm_directory,
                 peers,
                 wait_s,
                 wait_s + _WATCH_MARGIN_S,
@@ -168,7 +169,7 @@
         return router.RouterDaemon(
             self._settings,
             self._bundle_watch(),
-            directory,
+            vm_directory,
             table,
             forwarder,
             frontend.Frontend(
@@ -177,11 +178,11 @@
                 self._meters,
             ),
             self._meters,
-            make_watch,
+            make_watcher,
         )
 
     async def close(self) -> None:
-        """Frees the connections to the platform."""
+        """Closes the connections to the platform."""
         await self.table.close()
         await self.objects.close()
         await self._vm_list.close()
--- a/tests/integration/test_narrow_links.py
+++ b/tests/integration/test_narrow_links.py
@@ -160,7 +160,7 @@
     dependent = _follower()
     dependent.accept(interfaces.Snapshot([], 1), True)
     dependent.is_loaded = True
-    calls = links.Links(meters)
+    calls = links.LinkPool(meters)
     client = relay.RowRelay({_TABLE: dependent}, _peers(), calls, [], meters)
     try:
         async with narrow_link.NarrowLink(address) as link:
--- a/tests/integration/test_shared_links.py
+++ b/tests/integration/test_shared_links.py
@@ -73,7 +73,7 @@
         )
         serving = asyncio.create_task(control.run())
         dependent = {name: _follower(name, 2, 1) for name in _NAMES}
-        calls = links.Links(meters)
+        calls = links.LinkPool(meters)
         client = relay.RowRelay(dependent, _peers(), calls, [], meters)
         row = builders.node_row("vm-10", address=address)
         statuses = {name: reports.TableStatus(9, 0.1) for name in _NAMES}
@@ -120,7 +120,7 @@
             vms = []
             for _ in range(30):
                 dependent = _follower("operations", 2, 1)
-                calls = links.Links(meters)
+                calls = links.LinkPool(meters)
                 client = relay.RowRelay(
                     {"operations": dependent}, _peers(), calls, [], meters
                 )
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of a request from log lines, and lines that are bounded."""
+"""Request traces built from logs, and the rate limit of request logs."""
 
 import json
 import os
@@ -25,7 +25,7 @@
 
 
 # 2026-12-02T20:00:30 in milliseconds since the epoch.
-_CAME_MS = 1_796_241_630_000
+_ARRIVED_MS = 1_796_241_630_000
 
 
 def _decision(after_ms: int, event: str, vm: str = "vm-1", **fields) -> dict:
@@ -33,7 +33,7 @@
         "id": "a1",
         "event": event,
         "vm": vm,
-        "at_ms": _CAME_MS + after_ms,
+        "at_ms": _ARRIVED_MS + after_ms,
     } | fields
 
 
@@ -42,7 +42,7 @@
     one, two = tmp_path / "vm-1.log", tmp_path / "vm-2.log"
     _log(
         one,
-        "not a line of ours",
+        "a line in another format",
         _state(10, "configuration in force", version=3),
         _state(20, "configuration in force", version=4),
         _state(40, "configuration in force", version=5),
@@ -60,31 +60,31 @@
     return [one, two]
 
 
-def test_decisions_come_in_order_and_only_what_was_in_force(files):
-    story = explain.find("a1", files)
-    assert [line["event"] for line in story.decisions] == ["sent", "failed"]
-    shown = {(c.event, c.fields.get("version")) for c in story.changes}
+def test_decisions_are_ordered_and_only_changes_in_force_are_shown(files):
+    trace = explain.find("a1", files)
+    assert [line["event"] for line in trace.decisions] == ["sent", "failed"]
+    shown = {(c.event, c.fields.get("version")) for c in trace.changes}
     assert ("configuration in force", 4) in shown
     assert ("configuration in force", 3) not in shown
     assert ("configuration in force", 5) not in shown
     assert ("key map written", 77) in shown
-    gone = [c for c in story.changes if c.event == "upstream gone"]
+    gone = [c for c in trace.changes if c.event == "upstream gone"]
     assert [c.fields["upstream"] for c in gone] == ["u-1"]
     assert gone[0].age_s == pytest.approx(5.0)
-    assert story.dropped == 4
+    assert trace.dropped == 4
 
 
-def test_an_unknown_request_is_said_with_what_was_dropped(files):
+def test_error_for_unknown_request_states_number_of_dropped_lines(files):
     with pytest.raises(errors.LogError, match="4 lines were dropped"):
         explain.find("zz", files)
 
 
-def test_a_missing_file_is_named(tmp_path):
+def test_error_names_missing_file(tmp_path):
     with pytest.raises(errors.LogError, match="nowhere"):
         explain.find("a1", [tmp_path / "nowhere"])
 
 
-def test_the_command_prints_text_and_json(files, capsys):
+def test_command_prints_text_and_json(files, capsys):
     names = [str(path) for path in files]
     assert cli.main(["explain", "a1", *names]) == shared.EXIT_OK
     assert "timeout" in capsys.readouterr().out
@@ -93,7 +93,7 @@
     assert cli.main(["explain", "zz", *names]) == shared.EXIT_FAILED
 
 
-def _story(lines, name: str, succeeded: bool) -> None:
+def _write_trace(lines, name: str, succeeded: bool) -> None:
     story = decision_log.RequestTrace(lines)
     story.add(decision_log.RequestDecision(id=name, event="sent"))
     story.add(decision_log.RequestDecision(id=name, event="answered"))
@@ -104,13 +104,13 @@
     return [json.loads(line) for line in os.read(fd, 1 << 20).splitlines()]
 
 
-def test_requests_that_ended_badly_go_before_others(monkeypatch):
+def test_failed_requests_take_precedence_over_successful_ones(monkeypatch):
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: 5.0)
     reading, writing = os.pipe()
     lines = decision_log.BoundedLog(writing, max_lines_per_s=10)
     for number in range(20):
-        _story(lines, f"good-{number}", True)
-    _story(lines, "bad", False)
+        _write_trace(lines, f"good-{number}", True)
+    _write_trace(lines, "bad", False)
     lines.flush()
     written = _written(reading)
     names = [line["id"] for line in written if "id" in line]
@@ -119,15 +119,15 @@
     assert {"event": "lines dropped", "count": 34} in written
 
 
-def test_a_reader_that_stands_still_blocks_nothing():
+def test_stalled_reader_does_not_block_the_writer():
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     lines = decision_log.BoundedLog(writing, max_lines_per_s=10**9)
     for number in range(30_000):
-        _story(lines, f"r-{number}", False)
+        _write_trace(lines, f"r-{number}", False)
         if number % 100 == 0:
             lines.flush()
-    # What is kept while nobody reads is bounded, and the rest is counted.
+    # The buffer for a stalled reader is bounded; dropped lines are counted.
     kept = len(lines._unwritten) + sum(map(len, lines._lines))
     assert kept < 2 * decision_log.MAX_UNWRITTEN_BYTES
     assert lines.dropped > 0
--- a/tests/unit/test_gateway_readers.py
+++ b/tests/unit/test_gateway_readers.py
@@ -147,7 +147,7 @@
         async with asyncio.timeout(2):
             while dependent.version < 9:
                 await asyncio.sleep(0.01)
-        assert asked == [messages.AskRows(_TABLE, 2)]
+        assert asked == [messages.RowsRequest(_TABLE, 2)]
         assert dependent.rows["x"].value == b"2"
         client.on_report(peer, 100.2)
         await asyncio.sleep(0.01)
@@ -302,7 +302,7 @@
     offsets = [
         request.offset
         for request in link.asked
-        if isinstance(request, messages.AskPiece)
+        if isinstance(request, messages.ChunkRequest)
     ]
     assert dependent.version == 9
     step = transfers.PIECE_BYTES
--- a/tests/unit/test_progress.py
+++ b/tests/unit/test_progress.py
@@ -1,4 +1,4 @@
-"""Transfers are bounded by silence, not by their whole time."""
+"""Reads of bodies are limited by stalls, not by their total time."""
 
 import asyncio
 import contextlib
@@ -10,8 +10,8 @@
 
 from swiftstile import progress
 
-_SILENT_S = 0.2
-_PIECE = b"x" * 1000
+_STALL_TIMEOUT_S = 0.2
+_CHUNK = b"x" * 1000
 
 
 def _content() -> aiohttp.StreamReader:
@@ -21,18 +21,18 @@
     return aiohttp.StreamReader(protocol, 1 << 16, loop=loop)
 
 
-async def _feed(content, pieces: int, pause_s: float, is_whole: bool) -> None:
-    for _ in range(pieces):
+async def _feed(content, chunks: int, pause_s: float, is_whole: bool) -> None:
+    for _ in range(chunks):
         await asyncio.sleep(pause_s)
-        content.feed_data(_PIECE)
+        content.feed_data(_CHUNK)
     if is_whole:
         content.feed_eof()
 
 
 @contextlib.asynccontextmanager
-async def _fed(pieces: int, pause_s: float, is_whole: bool):
+async def _fed(chunks: int, pause_s: float, is_whole: bool):
     content = _content()
-    feeding = asyncio.create_task(_feed(content, pieces, pause_s, is_whole))
+    feeding = asyncio.create_task(_feed(content, chunks, pause_s, is_whole))
     try:
         async with asyncio.timeout(5):
             yield content
@@ -40,46 +40,46 @@
         feeding.cancel()
 
 
-def test_a_body_that_keeps_coming_may_take_longer_than_the_limit():
+def test_progressing_body_may_take_longer_than_the_timeout():
     async def scenario():
-        async with _fed(20, _SILENT_S / 10, is_whole=True) as content:
-            body = await progress.read_body(content, _SILENT_S)
-        assert body == _PIECE * 20
+        async with _fed(20, _STALL_TIMEOUT_S / 10, is_whole=True) as content:
+            body = await progress.read_body(content, _STALL_TIMEOUT_S)
+        assert body == _CHUNK * 20
 
     asyncio.run(scenario())
 
 
-def test_a_body_that_stops_is_given_up_and_the_error_says_how_much_came():
+def test_stalled_body_times_out_with_number_of_bytes_read():
     async def scenario():
         async with _fed(3, 0.01, is_whole=False) as content:
             with pytest.raises(TimeoutError, match="3000 bytes"):
-                await progress.read_body(content, _SILENT_S)
+                await progress.read_body(content, _STALL_TIMEOUT_S)
 
     asyncio.run(scenario())
 
 
-def test_a_body_that_never_begins_is_given_up():
+def test_body_that_never_starts_times_out():
     async def scenario():
         async with _fed(0, 0.01, is_whole=False) as content:
             with pytest.raises(TimeoutError, match="after 0 bytes"):
-                await progress.read_body(content, _SILENT_S)
+                await progress.read_body(content, _STALL_TIMEOUT_S)
 
     asyncio.run(scenario())
 
 
-def test_an_empty_body_is_read():
+def test_empty_body_is_read():
     async def scenario():
         async with _fed(0, 0.01, is_whole=True) as content:
-            assert await progress.read_body(content, _SILENT_S) == b""
+            assert await progress.read_body(content, _STALL_TIMEOUT_S) == b""
 
     asyncio.run(scenario())
 
 
-def test_a_connection_that_breaks_is_told_of():
+def test_broken_connection_raises():
     async def scenario():
         async with _fed(1, 0.01, is_whole=False) as content:
             reading = asyncio.create_task(
-                progress.read_body(content, _SILENT_S)
+                progress.read_body(content, _STALL_TIMEOUT_S)
             )
             await asyncio.sleep(0.05)
             content.set_exception(aiohttp.ClientPayloadError("cut off"))
@@ -89,13 +89,12 @@
     asyncio.run(scenario())
 
 
-def test_a_body_that_only_trickles_is_given_up():
-    """Some bytes now and then are no progress.
+def test_trickling_body_times_out():
+    """A few bytes now and then don't count as progress.
 
-    What callers would see: a VM that stays on its rows for half a minute, until
-    the limit for the whole call ends the store's answer. Cause: each byte began
-    the time of silence anew. Evidence: this test without the mend; no play has
-    shown it.
+    Guards against single bytes that restart the stall timeout: a VM would keep
+    stale rows for half a minute, until the limit for the whole call ends the
+    store's response.
     """
 
     async def scenario():
@@ -104,32 +103,32 @@
         async def trickle():
             while True:
                 content.feed_data(b"x")
-                await asyncio.sleep(_SILENT_S / 20)
+                await asyncio.sleep(_STALL_TIMEOUT_S / 20)
 
         feeding = asyncio.create_task(trickle())
         try:
-            async with asyncio.timeout(20 * _SILENT_S):
+            async with asyncio.timeout(20 * _STALL_TIMEOUT_S):
                 with pytest.raises(TimeoutError, match="bytes"):
-                    await progress.read_body(content, _SILENT_S)
+                    await progress.read_body(content, _STALL_TIMEOUT_S)
         finally:
             feeding.cancel()
 
     asyncio.run(scenario())
 
 
-def test_a_short_rest_of_a_body_is_waited_for():
+def test_short_last_chunk_is_read():
     async def scenario():
         content = _content()
 
         async def feed():
-            content.feed_data(_PIECE)
-            await asyncio.sleep(_SILENT_S / 2)
+            content.feed_data(_CHUNK)
+            await asyncio.sleep(_STALL_TIMEOUT_S / 2)
             content.feed_data(b"rest")
             content.feed_eof()
 
         feeding = asyncio.create_task(feed())
-        body = await progress.read_body(content, _SILENT_S)
+        body = await progress.read_body(content, _STALL_TIMEOUT_S)
         await feeding
-        assert body == _PIECE + b"rest"
+        assert body == _CHUNK + b"rest"
 
     asyncio.run(scenario())
