--- a/src/swiftstile/commandline/diagnostics.py
+++ b/src/swiftstile/commandline/diagnostics.py
@@ -91,7 +91,9 @@
     )
     changes = shared.with_platform(
         args,
-        lambda components: assignment_store.ownership_changes(components.table, service),
+        lambda components: assignment_store.ownership_changes(
+            components.table, service
+        ),
     )
     chosen = [
         change
--- a/src/swiftstile/daemons/coordinator.py
+++ b/src/swiftstile/daemons/coordinator.py
@@ -176,7 +176,8 @@
         }
 
 
-def _service_status(elector: elector_lib.CoordinatorElector,
+def _service_status(
+    elector: elector_lib.CoordinatorElector,
 ) -> dict[str, object]:
     known, active = elector.known, elector.active
     status: dict[str, object] = {
