--- a/src/swiftstile/daemons/coordinator.py
+++ b/src/swiftstile/daemons/coordinator.py
@@ -107,7 +107,7 @@
                 return self._locate(message)
             case messages.WatchRequest():
                 return await self._watch(message)
-        return messages.Refused(f"unexpected message {type(message).__name__}")
+        return messages.Refused(f"can't answer {type(message).__name__}")
 
     def _pong(self) -> messages.Pong:
         return messages.Pong(
@@ -119,7 +119,7 @@
 
     def _promise(self, request: messages.PromiseRequest) -> messages.Message:
         if request.candidate != self._me.incarnation:
-            return messages.Refused("addressed to another run of this process")
+            return messages.Refused("meant for another run of this process")
         duration = min(request.duration_s, self._settings.coordinator.promise_s)
         elector = self._electors.get(request.service)
         if elector is not None:
@@ -138,7 +138,7 @@
 
     def _resigned(self, message: messages.Resigned) -> messages.Message:
         if message.candidate != self._me.incarnation:
-            return messages.Refused("addressed to another run of this process")
+            return messages.Refused("meant for another run of this process")
         self._promises.release(message.service, message.epoch)
         return messages.PromiseReply(False, message.epoch)
 
