--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# install: .venv with locked dependencies; the other targets depend on it.
+# `install` creates .venv with the locked dependencies for the other targets.
 ORGANISATION ?= himal
 PYTHON ?= python3
 STAMP := .venv/.installed
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the measuring tool: `python -m benchmarks SCENARIO`."""
+"""Command line of the benchmarks: `python -m benchmarks SCENARIO`."""
 
 import argparse
 import pathlib
@@ -21,7 +21,7 @@
 
 
 def main() -> int:
-    """Runs one scenario; returns 0 if all that must be zero is zero."""
+    """Runs one scenario; returns 0 if no guarantee was violated."""
     args = _parser().parse_args()
     if args.list:
         for name, kind in scenarios.BY_NAME.items():
@@ -57,9 +57,9 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="python -m benchmarks",
-        description="Runs real processes behind the fault proxy, sends a mixed"
-        " load and prints one JSON object on the last line of standard output."
-        " `demo` prints a table instead.",
+        description="Starts real processes behind the fault proxy, sends a"
+        " mixed load and prints one JSON object on the last line of standard"
+        " output. `demo` prints a table instead.",
     )
     parser.add_argument(
         "scenario",
@@ -80,8 +80,8 @@
         metavar="A,B",
         help="for two-faults: the scenarios to run at once",
     )
-    parser.add_argument("--seconds", type=float, help="how long the load runs")
-    parser.add_argument("--rate", type=float, help="requests a second")
+    parser.add_argument("--seconds", type=float, help="duration of the load")
+    parser.add_argument("--rate", type=float, help="requests per second")
     parser.add_argument("--seed", type=int, default=1)
     return parser
 
@@ -97,11 +97,11 @@
         f"starting {len(fleet.vms)} entry VMs and {len(fleet.servers)} servers"
     )
     with fleet:
-        run.say("ready; measuring control without load")
+        run.say("fleet ready; measuring control overhead without load")
         use = run.idle_use()
         store_before = fleet.platform.stats()
         begin = clocks.monotonic()
-        run.say(f"load for {seconds} s")
+        run.say(f"sending load for {seconds} s")
         callers = run.start_load(scenario.load(run))
         try:
             scenario.disturb(run)
@@ -114,10 +114,10 @@
         sends = run.sends_per_request(len(records))
         direct = []
         if scenario.name == "steady":
-            run.say("the same load straight to the servers")
+            run.say("sending the same load directly to the servers")
             direct = run.start_load(run.direct_plan()).records()
             run.extra |= speed.measure(run)
-        run.say("computing")
+        run.say("computing the report")
         window = (begin + 0.5, min(end, begin + seconds))
         return run.report(
             scenario.name,
--- a/benchmarks/evidence.py
+++ b/benchmarks/evidence.py
@@ -1,4 +1,4 @@
-"""What journals and callers' records prove: the zeros, gaps and overlaps."""
+"""Finds violated guarantees and ownership gaps in journals and records."""
 
 import bisect
 import collections
@@ -21,7 +21,7 @@
 
 
 class Interval(msgspec.Struct):
-    """A server owned a slice from `since` to `until`."""
+    """A period in which a server owned a slice."""
 
     server: str
     start: int
@@ -32,7 +32,7 @@
 
 
 class Verdict(msgspec.Struct):
-    """The counts that must be zero; see docs/measures.md."""
+    """Counts of violations, all zero in a correct run; see docs/measures.md."""
 
     lost: int = 0
     doubled: int = 0
@@ -41,7 +41,7 @@
     two_owner_intervals: int = 0
 
     def is_clean(self) -> bool:
-        """Returns whether all are zero."""
+        """Returns whether there are no violations."""
         return not any(msgspec.structs.astuple(self))
 
 
@@ -49,11 +49,11 @@
     records: list[load.Record],
     journals: dict[str, list[journal_lib.Entry]],
 ) -> Verdict:
-    """Compares what callers were told with what servers did.
+    """Compares the outcomes that callers saw with the servers' journals.
 
     Args:
-        records: Of all callers.
-        journals: Of all servers, by server.
+        records: Records of all callers.
+        journals: Journal of each server, by server.
     """
     verdict = Verdict()
     run_count: collections.Counter[str] = collections.Counter()
@@ -80,10 +80,10 @@
 
 
 def overlapping_runs(journals: dict[str, list[journal_lib.Entry]]) -> int:
-    """Counts keys' changes of fence where the older still ran.
+    """Counts changes of a key's fence after which the old owner still ran.
 
-    Runs of one key under one fence must be of one server, and the last effect
-    under a fence must come before the first start under a newer one.
+    All runs of a key under one fence must be on one server, and the last commit
+    under a fence must precede the first start under a newer one.
     """
     by_key = collections.defaultdict(lambda: collections.defaultdict(list))
     for server, entries in journals.items():
@@ -101,7 +101,7 @@
         servers = {server for server, _ in runs}
         found += len(servers) > 1
         first = min(run.start for _, run in runs)
-        # A fence can change without the owner, when slices are joined.
+        # Merging slices changes the fence but not the owner.
         found += any(
             commit > first
             for server, commit in latest.items()
@@ -115,7 +115,7 @@
 def intervals(
     journals: dict[str, list[journal_lib.Entry]],
 ) -> list[Interval]:
-    """Returns when which server owned which slice, by its grants."""
+    """Returns the ownership intervals of all slices, derived from grants."""
     found = []
     for server, entries in journals.items():
         found += _intervals_of(server, entries)
@@ -143,8 +143,8 @@
             case journal_lib.Renew():
                 _extend(held, found, entry)
             case journal_lib.Run() if entry.fence:
-                # A request in flight when its slice was released: the server
-                # owned the key until it took effect.
+                # If the request was in flight when its slice was released,
+                # the server owned the key until the request committed.
                 for interval in draining:
                     if (
                         interval.fence == entry.fence
@@ -158,7 +158,7 @@
 def _extend(held, found, entry) -> None:
     for piece, interval in held.items():
         if interval.until < entry.at:
-            # The lease had lapsed in between: a new interval begins.
+            # The lease had expired: a new interval begins.
             held[piece] = Interval(
                 interval.server, *piece, entry.at, entry.until
             )
@@ -168,7 +168,7 @@
 
 
 def overlapping_intervals(found: list[Interval]) -> int:
-    """Counts the overlaps in time of two servers on a range of positions."""
+    """Counts times at which two servers owned the same range at once."""
     cuts = sorted({i.start for i in found} | {i.end for i in found})
     by_cut: dict[int, list[Interval]] = collections.defaultdict(list)
     for interval in found:
@@ -200,14 +200,14 @@
     until: float,
     unable_by_server: dict[str, list[tuple[float, float]]],
 ) -> list[float]:
-    """Returns, for each position, how long no server able to serve owned it.
+    """Returns the longest time without an available owner for each position.
 
     Args:
-        found: Ownership by grants.
+        found: Ownership intervals.
         positions: Positions of the keys in use.
-        since: Start of the window, on the machine's shared clock.
+        since: Start of the window, on the machine's monotonic clock.
         until: End of the window.
-        unable_by_server: Spans (from, to) in which a server was dead or frozen.
+        unable_by_server: Spans (from, to) in which a server was down or paused.
     """
     able = [
         part
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,4 +1,4 @@
-"""All processes of one organisation on loopback, behind the fault proxy."""
+"""Processes of one organisation on loopback, behind the fault proxy."""
 
 import contextlib
 import json
@@ -25,12 +25,12 @@
 
 
 class Fleet:
-    """Starts everything, and breaks parts of it when asked.
+    """Starts and stops the processes of a run, and injects faults.
 
     Attributes:
         vms: Entry VMs, by name.
         servers: Upstream servers, by name.
-        platform: Makes the platform misbehave, and looks into it.
+        platform: Control of the platform stand-in.
     """
 
     def __init__(
@@ -42,16 +42,16 @@
         server_options: dict[str, list[str]] | None = None,
         module: str = "swiftstile",
     ):
-        """Lays the fleet out; nothing is started yet.
+        """Creates the members and allocates ports; starts no process.
 
         Args:
-            organisation: Its sizes.
-            folder: For settings, journals and logs.
-            seed: Of the stand-ins' random choices.
-            service_ms: How long a server takes for a request.
-            server_options: More arguments of a server, by its name.
-            module: What runs the daemons; another one than the product's for
-                proving that a broken one is found out.
+            organisation: The organisation, with its numbers of members.
+            folder: Folder for settings, journals and logs.
+            seed: Seed of the stand-ins' random choices.
+            service_ms: Service time of a request, in milliseconds.
+            server_options: Additional arguments of a server, by its name.
+            module: Python module that runs the daemons. Tests pass a module
+                with a known fault to check that the fault is detected.
         """
         self.organisation = organisation
         self.vms: dict[str, members.EntryVm] = {}
@@ -67,7 +67,7 @@
         self.platform = platform_control.PlatformControl(self._platform_port)
         self._platform: processes.Process | None = None
         self._proxies: list[processes.Process] = []
-        # Port by (calling domain, name of what is called).
+        # Port by (domain of the caller, name of the target).
         self._links: dict[tuple[str, str], int] = {}
         self._lay_out()
 
@@ -101,7 +101,7 @@
         self.stop()
 
     def start(self) -> None:
-        """Starts all processes, rolls the bundle and waits until it serves."""
+        """Starts all processes, rolls out the bundle and waits until ready."""
         self._start_standins()
         self._add_links()
         self.publish_vms()
@@ -114,7 +114,7 @@
             raise TimeoutError(f"{error}\n{self.logs_of_dead()}") from error
 
     def logs_of_dead(self) -> str:
-        """Returns the last lines of each process that ended by itself."""
+        """Returns the last log lines of each process that has exited."""
         return "\n".join(
             f"{process.name}:\n{process.log_tail()}"
             for process in self.all_processes()
@@ -129,7 +129,7 @@
             process.wait(10)
 
     def all_processes(self) -> list[processes.Process]:
-        """Returns every process that was started."""
+        """Returns all processes that were started."""
         found = [self._platform, *self._proxies]
         found += [server.process for server in self.servers.values()]
         for vm in self.vms.values():
@@ -183,7 +183,7 @@
         self._link(targets)
 
     def _link(self, targets: dict[str, int]) -> None:
-        """Makes a link from each failure domain to each target."""
+        """Adds a proxy link from each failure domain to each target."""
         for domain, control in zip(
             organisations.DOMAINS, self._proxy_ports, strict=True
         ):
@@ -200,7 +200,7 @@
             )
 
     def add_server(self, service, domain: str, name: str) -> members.Server:
-        """Starts one more server, and lists it."""
+        """Starts another server and adds it to the VM list."""
         (port,) = processes.free_ports(1)
         journal_file = self._folder / f"{name}.journal"
         server = members.Server(name, domain, service, port, journal_file)
@@ -212,7 +212,7 @@
         return server
 
     def remove_server(self, server: members.Server) -> None:
-        """Takes a server off the list; its journal stays."""
+        """Removes a server from the VM list but keeps its journal."""
         server.state = None
         self.publish_vms()
 
@@ -222,7 +222,7 @@
         return found.domain if found else "-"
 
     def publish_vms(self) -> None:
-        """Shows the VM list, as it is now, to each failure domain."""
+        """Publishes the current VM list to each failure domain."""
         for domain in organisations.DOMAINS:
             self._publish_view(domain)
 
@@ -236,7 +236,7 @@
         self.platform.put_vm_list(domain, msgspec.json.encode(listed))
 
     def bypass_proxy(self, vm: members.EntryVm) -> None:
-        """Restarts a VM's router with a view of the real addresses."""
+        """Restarts a VM's router with the addresses behind the proxy."""
         real = {v.name: v.coordinator_port for v in self.vms.values()}
         real |= {s.name: s.port for s in self.servers.values()}
         for name, port in real.items():
@@ -275,8 +275,8 @@
 
         Args:
             vm: The VM.
-            view: Whose VM list and links it uses; its failure domain's if
-                empty.
+            view: View whose VM list and links are used; defaults to the
+                VM's failure domain.
         """
         view = view or vm.domain
         path = self._folder / f"{vm.name}.ini"
@@ -313,7 +313,7 @@
         return self._process(f"{vm.name}-{role}", self._module, args)
 
     def run_cli(self, *args: str) -> dict:
-        """Runs a command of the command line; returns its JSON."""
+        """Runs a `swiftstile` command and returns its JSON output."""
         settings = self.settings_file(next(iter(self.vms.values())))
         words = [*args, "--settings", str(settings), "--json"]
         process = processes.Process("cli", "swiftstile", words, self._folder)
@@ -322,7 +322,9 @@
         process.start()
         status = process.wait(30)
         if status != 0:
-            raise RuntimeError(f"{args} ended with {status}: {log.read_text()}")
+            raise RuntimeError(
+                f"{args} exited with {status}: {log.read_text()}"
+            )
         return json.loads(log.read_text())
 
     def _roll_bundle(self) -> None:
@@ -333,7 +335,7 @@
         self.run_cli("bundle", "roll", self.organisation.name, version)
 
     def status(self, port: int) -> dict | None:
-        """Returns the status of a daemon by its metrics port, or None."""
+        """Returns a daemon's status from its metrics port; None on failure."""
         with contextlib.suppress(urllib.error.URLError, OSError, ValueError):
             url = f"http://127.0.0.1:{port}/status"
             with urllib.request.urlopen(url, timeout=2) as response:
@@ -341,7 +343,7 @@
         return None
 
     def is_ready(self) -> bool:
-        """Returns whether every router knows the owners of every key."""
+        """Returns whether all routers have the assignments of all services."""
         keyed = {
             f"{self.organisation.name}/{service.name}"
             for service in self.organisation.services
@@ -371,23 +373,23 @@
         return None
 
     def keyed_holder(self) -> members.EntryVm:
-        """Returns the VM that coordinates the service divided by key."""
+        """Waits for and returns the coordinating VM of the keyed service."""
         service = self.keyed_service().name
         return processes.wait_until(
             lambda: self.holder(service), _READY_S, "a coordinator"
         )
 
     def keyed_service(self) -> organisations.Service:
-        """Returns the service that is divided by key."""
+        """Returns the keyed service."""
         services = self.organisation.services
         return next(service for service in services if service.keyed)
 
     def keyed_servers(self) -> list[members.Server]:
-        """Returns the servers of the service that is divided by key."""
+        """Returns the servers of the keyed service."""
         return [s for s in self.servers.values() if s.service.keyed]
 
     def fault(self, pattern: str, kind: str, delay_s: float = 0.0) -> None:
-        """Sets a fault on all links that match, like `a>b:server-*`."""
+        """Sets a fault on all links matching a pattern like `a>b:server-*`."""
         fault = fault_proxy.Fault(pattern, fault_proxy.FaultKind(kind), delay_s)
         for control in self._proxy_ports:
             processes.post(
@@ -400,7 +402,7 @@
         return self.platform.assignments(service)
 
     def journals(self) -> dict[str, list[journal.Entry]]:
-        """Returns the journals of all servers, by server."""
+        """Returns the journal of each server, by server name."""
         return {
             name: journal.read(server.journal)
             for name, server in self.servers.items()
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,7 +1,7 @@
-"""Callers: sends a mixed load and keeps a record of each request.
+"""Load generator that sends mixed requests and records each outcome.
 
-Runs as a process of its own: `python -m benchmarks.load PLAN`, where PLAN is
-a JSON file. Records are written as MessagePack when the load ends.
+Runs as a separate process: `python -m benchmarks.load PLAN`, where PLAN is a
+JSON file. Records are written as MessagePack when the load ends.
 """
 
 import asyncio
@@ -35,7 +35,8 @@
         share: Share of the requests, from 0 to 1.
         keyed: Whether requests carry a key.
         protected_share: Share of requests that are not repeatable.
-        direct_ports: Ports of its servers, to bypass the routers; else empty.
+        direct_ports: Ports of its servers if the routers are bypassed, else
+            empty.
     """
 
     name: str
@@ -46,26 +47,26 @@
 
 
 class Plan(msgspec.Struct):
-    """One load.
+    """Parameters of one load.
 
     Attributes:
-        organisation: Whose services are called.
-        services: What is called.
+        organisation: Organisation whose services are called.
+        services: Load on each service.
         ports: Ports of the routers.
-        seconds: How long requests are sent.
-        rate: Requests a second in all, by a Poisson process; 0 for as many
-            as `callers` get answered.
-        callers: Callers that ask one request after the other; for rate 0.
+        seconds: Duration of the load, in seconds.
+        rate: Total requests per second, as a Poisson process; 0 for a closed
+            loop of `callers`.
+        callers: Concurrent callers of the closed loop, used with rate 0.
         keys: Number of keys in use; the n-th is drawn with weight 1/n**skew.
-        skew: How uneven the keys are.
+        skew: Exponent of the key distribution.
         seed: Seed of all random choices.
         hot_keys: Number of keys that are hot at the same time.
-        hot_share: Share of keyed requests that go to them, from 0 to 1.
-        shift_s: After this time other keys are hot, in seconds.
-        answer_bytes: Length of an answer.
+        hot_share: Share of keyed requests for hot keys, from 0 to 1.
+        shift_s: Time after which a new set of keys becomes hot, in seconds.
+        answer_bytes: Length of a response body.
         body_bytes: Length of a protected request's body.
-        timeout_ms: Deadline that requests carry.
-        records: File that the records go to.
+        timeout_ms: Timeout that requests carry in their header.
+        records: Path of the file that records are written to.
     """
 
     organisation: str
@@ -87,18 +88,19 @@
 
 
 class Record(msgspec.Struct, array_like=True):
-    """What one caller saw.
+    """Outcome of one request as its caller saw it.
 
     Attributes:
         request_id: Id of the request.
-        service: Service it was for.
-        key: Its key; empty for none.
+        service: Service that was called.
+        key: Key of the request; empty for none.
         is_protected: Whether it was marked as not repeatable.
-        sent_at: When it was sent, on the machine's shared clock.
-        latency_s: Until the whole answer was read, or it failed.
+        sent_at: Send time, on the machine's monotonic clock.
+        latency_s: Time until the response was read completely or failed.
         status: HTTP status; 0 if the connection failed.
-        outcome: What the header said, or `transport`.
-        is_crossed: The answer belongs to another request, or is partial.
+        outcome: Value of the outcome header, or `transport`.
+        is_crossed: Whether the response belongs to another request or is
+            partial.
     """
 
     request_id: str
@@ -196,7 +198,8 @@
                     method, url, headers, body, record
                 )
             except aiohttp.ClientConnectorError:
-                # As the platform's balancer does when a VM refuses.
+                # The platform's balancer also tries another VM if one refuses
+                # the connection.
                 if tries_left == 1 or not self._is_routed(url):
                     raise
                 url = self._other_router(url)
@@ -252,7 +255,7 @@
 
 
 def main() -> None:
-    """Sends the load that a plan describes."""
+    """Sends the load of a plan and writes the records."""
     plan_file = pathlib.Path(sys.argv[1])
     plan = msgspec.json.decode(plan_file.read_bytes(), type=Plan)
     records = uvloop.run(_Callers(plan).run())
--- a/benchmarks/measures.py
+++ b/benchmarks/measures.py
@@ -1,4 +1,4 @@
-"""The measures of the project, from one run; defined in docs/measures.md."""
+"""Metrics of one run, as defined in docs/measures.md."""
 
 import msgspec
 import numpy
@@ -27,13 +27,13 @@
     "waits_by_key",
 ]
 
-# A request that waits longer than this is taken to have met a key without an
-# owner, where ownership itself can't be seen.
+# Without grants ownership can't be observed: a request that took longer than
+# this is assumed to have waited for a key without an owner.
 _AFFECTED_S = 0.1
 
 
 class Percentiles(msgspec.Struct):
-    """Percentiles of one figure; None where nothing was measured."""
+    """Percentiles of one metric; None if nothing was measured."""
 
     p50: float | None = None
     p99: float | None = None
@@ -41,13 +41,14 @@
 
 
 class ControlUse(msgspec.Struct):
-    """What control costs one VM.
+    """Overhead of the control plane on one VM.
 
     Attributes:
-        bytes_per_s: Control bytes sent and received, of the busiest VM.
-        cpu_percent: Processor time of control, in percent of a core, of the
-            busiest VM.
-        memory_mb: Memory of the largest daemon, in MiB.
+        bytes_per_s: Control bytes per second sent and received by the busiest
+            VM.
+        cpu_percent: CPU time of the daemons of the busiest VM, in percent of a
+            core.
+        memory_mb: Resident memory of the largest daemon, in MiB.
     """
 
     bytes_per_s: float
@@ -56,7 +57,7 @@
 
 
 class Report(msgspec.Struct, kw_only=True):
-    """The JSON object that a run prints last."""
+    """The JSON object that a run prints on its last line."""
 
     scenario: str
     organisation: str
@@ -86,7 +87,7 @@
 
 
 def percentiles(values: list[float], factor: float = 1.0) -> Percentiles:
-    """Returns percentiles of values times a factor."""
+    """Returns the percentiles of values, scaled by a factor."""
     if not values:
         return Percentiles()
     p50, p99, top = numpy.percentile(values, [50, 99, 100]) * factor
@@ -100,14 +101,14 @@
 
 
 def latencies_of_all(records: list[load.Record]) -> list[float]:
-    """Returns the latency of each request that got status 200."""
+    """Returns the latency of each request with status 200, in seconds."""
     return [record.latency_s for record in records if record.status == 200]
 
 
 def imbalance(
     fleet: fleet_lib.Fleet, journals: dict[str, list[journal_lib.Entry]]
 ) -> float | None:
-    """Returns the load of the busiest keyed server over the mean."""
+    """Returns the ratio of the largest to the mean load of keyed servers."""
     loads = [
         sum(isinstance(e, journal_lib.Run) for e in journals.get(s.name, []))
         for s in fleet.keyed_servers()
@@ -122,7 +123,7 @@
     begin: float,
     end: float,
 ) -> float | None:
-    """Returns the imbalance of what ran in a window of time."""
+    """Returns the imbalance of the requests that committed in a window."""
     cut = {
         name: [
             entry
@@ -138,7 +139,7 @@
 def key_positions(
     fleet: fleet_lib.Fleet, records: list[load.Record]
 ) -> dict[str, int]:
-    """Returns the position of each key in use, by key."""
+    """Returns the hash position of each key in use, by key."""
     organisation = ids.OrganisationId(fleet.organisation.name)
     service = ids.ServiceName(fleet.keyed_service().name)
     return {
@@ -148,9 +149,9 @@
 
 
 def churn_keys(versions: list[slices.Assignment], positions: list[int]) -> int:
-    """Returns how many times a key in use got another owner.
+    """Returns the number of times that a key in use changed its owner.
 
-    A time without an owner in between doesn't count.
+    Periods without an owner are skipped.
     """
     changes = 0
     for position in positions:
@@ -169,11 +170,11 @@
     positions: dict[str, int],
     first: slices.Assignment,
 ) -> list[float]:
-    """Returns how long each affected key could not be served, in seconds.
+    """Returns how long each affected key couldn't be served, in seconds.
 
-    From when a request of the key that was held, refused or lost was sent,
-    until the next answer of any key that had the same owner at the start. A
-    key of its own would be asked for too rarely to see the end.
+    The time starts when a request for the key was sent that was delayed,
+    refused or lost, and ends with the next answer for any key that had the same
+    owner initially: a single key is requested too rarely to show the end.
     """
     answered = outcomes.Outcome.ANSWERED.value
     by_owner: dict[str, list[load.Record]] = {}
@@ -200,12 +201,12 @@
 def control_use(
     fleet: fleet_lib.Fleet, before: dict, after: dict, seconds: float
 ) -> ControlUse:
-    """Returns what control cost between two samples.
+    """Returns the control overhead between two samples.
 
     Args:
         fleet: The fleet.
-        before: What `sample` returned first.
-        after: What `sample` returned `seconds` later, without any load.
+        before: First result of `sample`.
+        after: Result of `sample` taken `seconds` later, without load between.
         seconds: Time between the samples.
     """
     names = set(before) & set(after)
@@ -224,7 +225,7 @@
 
 
 def sample(fleet: fleet_lib.Fleet) -> dict[str, tuple[float, float]]:
-    """Returns control bytes and processor seconds so far, by VM."""
+    """Returns the control bytes and CPU seconds used so far, by VM."""
     found = {}
     for name, vm in fleet.vms.items():
         pairs = (
--- a/benchmarks/organisations.py
+++ b/benchmarks/organisations.py
@@ -1,4 +1,4 @@
-"""The two organisations of the brief: their sizes and their bundles."""
+"""The two organisations of the requirements: their sizes and bundles."""
 
 import msgspec
 
@@ -8,13 +8,13 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service and the load that is sent to it.
+    """A service and its share of the load.
 
     Attributes:
         name: Name of the service.
         servers: Number of servers.
-        keyed: Whether it is divided by key.
-        share: Share of the requests, from 0 to 1.
+        keyed: Whether each key has one owner.
+        share: Share of all requests, from 0 to 1.
         protected_share: Share of its requests that are not repeatable.
     """
 
@@ -26,15 +26,16 @@
 
 
 class Organisation(msgspec.Struct, frozen=True):
-    """An organisation as the brief gives it.
+    """An organisation as the requirements describe it.
 
     Attributes:
         name: Its id.
         services: Its services.
         checks_fence: Whether its keyed servers check fences.
-        churn_budget: Largest share of the hash space moved at a time.
-        slices_per_server: How finely keys are spread.
+        churn_budget: Largest share of the hash space that one round of
+            rebalancing moves.
         vms_per_domain: Entry VMs in each failure domain.
+        slices_per_server: Slices of the hash space for each server.
     """
 
     name: str
@@ -45,7 +46,7 @@
     slices_per_server: int = 16
 
     def bundle(self) -> str:
-        """Returns its bundle as INI text."""
+        """Returns the bundle as INI text."""
         parts = [f"[bundle]\norganisation = {self.name}\n"]
         for service in self.services:
             keyed = "keyed" if service.keyed else "shared"
@@ -61,7 +62,8 @@
         return "\n".join(parts)
 
 
-# The brief doesn't say which servers check fences; one of each is run.
+# The requirements don't say which servers check fences, so that one
+# organisation's servers do and the other's don't.
 BY_NAME = {
     "himal": Organisation(
         "himal",
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,8 +1,9 @@
-"""Imbalance against churn of the placement policies, on synthetic load.
+"""Compares placement policies: imbalance against churn on synthetic load.
 
-`python -m benchmarks.placement [IMAGE]` runs each policy at several budgets
-against keys that are drawn unevenly, of which fifteen hot ones change, and
-plots the curve. Only the policies run here: no processes, no network.
+`python -m benchmarks.placement [IMAGE]` runs each policy with several churn
+budgets on a skewed key distribution in which the fifteen hot keys change over
+time, and plots the curve. It simulates the policies only, without processes or
+network.
 """
 
 import json
@@ -28,11 +29,12 @@
 _KEYS = 4000
 _HOT = 15
 _HOT_SHARE = 0.5
-# Rounds between two changes of the hot keys: 3 minutes at 3 s a round.
+# Rounds between two changes of the hot keys: 3 minutes of 3 s rounds.
 _ROUNDS_PER_TURN = 60
 _TURNS = 4
 _REQUESTS = 3000
-# Rounds after a change that don't count: nobody could know yet.
+# Rounds after a change that are excluded: no policy can have detected the new
+# hot keys yet.
 _BLIND_ROUNDS = 3
 _BUDGETS = (0.003, 0.01, 0.03, 0.1, 0.3)
 _TARGET = 1.25
@@ -45,7 +47,7 @@
 
 
 class _World:
-    """Keys, which of them are hot, and who owns them."""
+    """Keys, the hot ones among them, and their assignment to servers."""
 
     def __init__(self, seed: int):
         self.random = random.Random(seed)
@@ -61,11 +63,11 @@
         self.now = 100.0
 
     def change_hot(self) -> None:
-        """Other keys are hot from now on."""
+        """Draws a new set of hot keys."""
         self.hot = self.random.sample(self.positions, _HOT)
 
     def round(self) -> list[int]:
-        """Draws the requests of one round and reports them."""
+        """Draws the requests of one round and records their load."""
         count = int(_REQUESTS * _HOT_SHARE)
         drawn = self.random.choices(self.hot, k=count)
         drawn += self.random.choices(
@@ -80,14 +82,14 @@
         return drawn
 
     def imbalance(self, drawn: list[int]) -> float:
-        """Returns busiest over mean of the requests of one round."""
+        """Returns the ratio of the largest to the mean load of one round."""
         counts = dict.fromkeys(self.servers, 0)
         for position in drawn:
             counts[self.assignment.at(position).server] += 1
         return max(counts.values()) * _SERVERS / len(drawn)
 
     def rebalance(self, policy, budget: float) -> int:
-        """Does one round of a policy; returns the keys that it moved."""
+        """Applies one round of a policy; returns the number of moved keys."""
         view = self.load.view(self.assignment, self.now)
         plan = policy.rebalance(self.assignment, self.servers, view, budget)
         before = self.assignment
@@ -104,7 +106,7 @@
 
 
 def run(name: str, budget: float, seed: int) -> dict[str, float]:
-    """Returns mean imbalance, and churn in keys for each change of hot keys."""
+    """Returns mean imbalance and the churn per change of the hot keys."""
     world, policy = _World(seed), _POLICIES[name]()
     imbalances, churn = [], 0
     for _ in range(_TURNS):
--- a/benchmarks/platform_control.py
+++ b/benchmarks/platform_control.py
@@ -1,4 +1,4 @@
-"""Looks into the platform stand-in of a run, and makes it misbehave."""
+"""Control of the platform stand-in of a run: faults and inspection."""
 
 import json
 import urllib.request
@@ -17,22 +17,22 @@
 
 
 class PlatformControl:
-    """Talks to the platform stand-in as no daemon does."""
+    """Client of the stand-in's control requests, which no daemon uses."""
 
     def __init__(self, port: int):
         self._url = f"http://127.0.0.1:{port}"
 
     def faults(self, **faults) -> None:
-        """Makes the platform misbehave, or with nothing named, behave."""
+        """Sets the platform's faults; without arguments clears them."""
         body = msgspec.json.encode(platform_standin.Faults(**faults))
         processes.post(f"{self._url}/faults", body)
 
     def stats(self) -> dict[str, int]:
-        """Returns the reads and writes that the platform served so far."""
+        """Returns the numbers of reads and writes served so far."""
         return json.loads(self._get("/stats"))
 
     def put_vm_list(self, view: str, body: bytes) -> None:
-        """Shows a failure domain any VM list, a malformed one included."""
+        """Sets the VM list of a view; the body isn't validated."""
         processes.post(f"{self._url}/view/{view}/vms", body, "PUT")
 
     def assignments(self, service: str) -> list[slices.Assignment]:
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,4 +1,4 @@
-"""Starts, stops, freezes and measures processes of a run."""
+"""Starts, stops, pauses and measures the processes of a run."""
 
 import contextlib
 import os
@@ -20,7 +20,7 @@
 
 
 class Process:
-    """One process that this run started."""
+    """A child process of this run."""
 
     def __init__(
         self, name: str, module: str, args: list[str], folder: pathlib.Path
@@ -32,7 +32,7 @@
         self._child: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Starts it, or starts it again."""
+        """Starts or restarts the process."""
         with self._log.open("ab") as log:
             self._child = subprocess.Popen(
                 [sys.executable, "-m", self._module, *self._args],
@@ -43,17 +43,17 @@
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal to it."""
+        """Sends a signal if the process is running."""
         if self._child is not None and self._child.poll() is None:
             self._child.send_signal(number)
 
     def kill(self) -> None:
-        """Kills it and waits for its end."""
+        """Kills the process and waits until it has exited."""
         self.send(signal.SIGKILL)
         self.wait(10)
 
     def wait(self, timeout_s: float) -> int | None:
-        """Waits for its end; returns the exit status, None if it runs on."""
+        """Waits for the exit status; returns None after the timeout."""
         if self._child is None:
             return None
         try:
@@ -62,16 +62,16 @@
             return None
 
     def is_running(self) -> bool:
-        """Returns whether it runs."""
+        """Returns whether the process is running."""
         return self._child is not None and self._child.poll() is None
 
     def pin(self, cpus: set[int]) -> None:
-        """Lets it run on these processors only, with all its threads."""
+        """Sets the CPU affinity of all its threads."""
         for thread in os.listdir(f"/proc/{self._child.pid}/task"):
             os.sched_setaffinity(int(thread), cpus)
 
     def cpu_s(self) -> float:
-        """Returns the processor time it has used, in seconds."""
+        """Returns the CPU time used so far, in seconds."""
         with contextlib.suppress(OSError):
             text = pathlib.Path(f"/proc/{self._child.pid}/stat").read_text()
             fields = text.rpartition(")")[2].split()
@@ -79,14 +79,14 @@
         return 0.0
 
     def memory_bytes(self) -> int:
-        """Returns its resident memory, in bytes."""
+        """Returns the resident memory, in bytes."""
         with contextlib.suppress(OSError):
             text = pathlib.Path(f"/proc/{self._child.pid}/statm").read_text()
             return int(text.split()[1]) * os.sysconf("SC_PAGE_SIZE")
         return 0
 
     def log_tail(self, lines: int = 20) -> str:
-        """Returns the last lines that it printed."""
+        """Returns the last lines of its log."""
         text = self._log.read_text(errors="replace")
         return "\n".join(text.splitlines()[-lines:])
 
@@ -94,10 +94,10 @@
 def free_ports(count: int, host: str = "127.0.0.1") -> list[int]:
     """Returns ports of a loopback address that nothing listens on.
 
-    No port is returned twice in the life of a process.
+    No port is returned twice by one process.
 
-    They are below the range that outgoing connections get theirs from, which
-    would take one before its process listens on it.
+    The ports are below the ephemeral range: the kernel could otherwise assign
+    one to an outgoing connection before its process listens on it.
     """
     found: list[int] = []
     while len(found) < count:
@@ -113,17 +113,17 @@
 
 
 def post(url: str, body: bytes, method: str = "POST") -> bytes:
-    """Sends a body and returns the answer's."""
+    """Sends a request with a body and returns the response body."""
     request = urllib.request.Request(url, data=body, method=method)
     with urllib.request.urlopen(request, timeout=30) as response:
         return response.read()
 
 
 def wait_until(condition, timeout_s: float, what: str, look_s: float = 0.05):
-    """Waits until `condition()` is true, and returns what it returned.
+    """Polls `condition()` until it returns a true value and returns that.
 
     Raises:
-        TimeoutError: It wasn't in time.
+        TimeoutError: It wasn't true within the timeout.
     """
     end = time.monotonic() + timeout_s
     while True:
@@ -131,5 +131,5 @@
         if result:
             return result
         if time.monotonic() > end:
-            raise TimeoutError(f"not in {timeout_s} s: {what}")
+            raise TimeoutError(f"timed out after {timeout_s} s: {what}")
         time.sleep(look_s)
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -1,4 +1,4 @@
-"""One run: a fleet, a load, a disturbance in between, and the report."""
+"""One run: a fleet, a load, the faults of a scenario, and the report."""
 
 import pathlib
 import signal
@@ -20,12 +20,13 @@
 __all__ = ["LoadProcess", "Run"]
 
 _IDLE_S = 3.0
-# After the load: requests at their deadline, and leases that lapse.
+# Time for the load process to exit: requests reach their deadline and leases
+# expire.
 _LOAD_GRACE_S = 25.0
 
 
 class LoadProcess:
-    """Callers in a process of their own."""
+    """The load generator as a separate process."""
 
     def __init__(self, plan: load.Plan, folder: pathlib.Path, name: str):
         self.plan = plan
@@ -38,7 +39,7 @@
         self._process.start()
 
     def records(self) -> list[load.Record]:
-        """Waits for the end and returns the records.
+        """Waits until the load has ended and returns the records.
 
         Raises:
             RuntimeError: The process failed.
@@ -46,21 +47,23 @@
         status = self._process.wait(self.plan.seconds + _LOAD_GRACE_S)
         if status != 0:
             self._process.kill()
-            raise RuntimeError(f"load failed: {self._process.log_tail()}")
+            raise RuntimeError(
+                f"load process failed: {self._process.log_tail()}"
+            )
         return load.read_records(self._path)
 
     def kill(self) -> None:
-        """Ends the process."""
+        """Kills the process."""
         self._process.kill()
 
 
 class Run:
-    """What a scenario works with.
+    """State and fault operations of one run, used by scenarios.
 
     Attributes:
-        fleet: All processes.
-        seconds: How long the load lasts.
-        extra: Figures of the scenario's own, for the report.
+        fleet: The processes.
+        seconds: Duration of the load.
+        extra: Additional metrics of the scenario, for the report.
     """
 
     def __init__(
@@ -81,7 +84,7 @@
         self._loads = 0
 
     def say(self, text: str) -> None:
-        """Shows progress on standard error."""
+        """Prints progress to standard error."""
         print(f"{time.strftime('%H:%M:%S')} {text}", file=sys.stderr)
 
     def plan(self, **changes) -> load.Plan:
@@ -103,7 +106,7 @@
         return msgspec.structs.replace(plan, **changes)
 
     def direct_plan(self, **changes) -> load.Plan:
-        """Returns the same load, sent straight to the servers."""
+        """Returns the mixed load, sent directly to the servers."""
         plan = self.plan(**changes)
         for service in plan.services:
             service.direct_ports = [
@@ -114,14 +117,14 @@
         return plan
 
     def start_load(self, plan: load.Plan) -> LoadProcess:
-        """Starts callers."""
+        """Starts a load process."""
         return LoadProcess(plan, self._folder, f"load-{self._loads}")
 
     def kill_server(self, server: members.Server) -> None:
-        """Kills a server and notes when."""
+        """Kills a server and records the time."""
         self.say(f"kill {server.name}")
         server.process.kill()
-        # Nothing listens there any more: connections are refused.
+        # The proxy still listens: it has to refuse connections for the server.
         self.fleet.fault(f"*:{server.name}", "reset")
         self.note_unable(server, clocks.monotonic(), float("inf"))
 
@@ -136,7 +139,7 @@
                 self.kill_server(server)
 
     def kill_vm(self, vm: members.EntryVm) -> None:
-        """Kills router and coordinator of an entry VM."""
+        """Kills the router and the coordinator of an entry VM."""
         vm.router.kill()
         self.kill_coordinator(vm)
 
@@ -147,15 +150,15 @@
         self.fleet.fault(f"*:{vm.name}", "reset")
 
     def freeze_coordinator(self, vm: members.EntryVm, seconds: float) -> None:
-        """Stops a coordinator for a time, as if its machine were paused."""
-        self.say(f"freeze coordinator of {vm.name} for {seconds} s")
+        """Pauses a coordinator for a time, as if its VM were paused."""
+        self.say(f"pause coordinator of {vm.name} for {seconds} s")
         vm.coordinator.send(signal.SIGSTOP)
         time.sleep(seconds)
         vm.coordinator.send(signal.SIGCONT)
 
     def freeze_server(self, server: members.Server, seconds: float) -> None:
-        """Stops a server for a time, as if its machine were paused."""
-        self.say(f"freeze {server.name} for {seconds} s")
+        """Pauses a server for a time, as if its VM were paused."""
+        self.say(f"pause {server.name} for {seconds} s")
         begin = clocks.monotonic()
         server.process.send(signal.SIGSTOP)
         time.sleep(seconds)
@@ -163,33 +166,33 @@
         self.note_unable(server, begin, clocks.monotonic())
 
     def cut(self, pattern: str, seconds: float) -> None:
-        """Drops everything on the links that match, for a time."""
-        self.say(f"cut {pattern} for {seconds} s")
+        """Drops all data on the matching links for a time."""
+        self.say(f"drop data on {pattern} for {seconds} s")
         self.fleet.fault(pattern, "blackhole")
         time.sleep(seconds)
         self.fleet.fault(pattern, "none")
         self.say(f"restored {pattern}")
 
     def cut_domain(self, domain: str, seconds: float) -> None:
-        """Cuts a failure domain off from the others and the platform."""
+        """Isolates a failure domain from the others and the platform."""
         outward, inward = f"{domain}>[!{domain}]:*", f"[!{domain}]>{domain}:*"
         self.fleet.fault(inward, "blackhole")
         self.cut(outward, seconds)
         self.fleet.fault(inward, "none")
 
     def disturb_platform(self, seconds: float, **faults) -> None:
-        """Makes the platform misbehave for a time."""
-        self.say(f"platform {faults} for {seconds} s")
+        """Injects platform faults for a time."""
+        self.say(f"platform faults {faults} for {seconds} s")
         self.fleet.platform.faults(**faults)
         time.sleep(seconds)
         self.fleet.platform.faults()
-        self.say("platform well again")
+        self.say("platform faults cleared")
 
     def replace_server(self, old: members.Server, name: str) -> float:
-        """Starts a new server, and lets an old one leave.
+        """Starts a new server and retires an old one.
 
         Returns:
-            Seconds from the notice until the old one owned nothing.
+            Seconds from the notice until the old server owned no slice.
         """
         self.say(f"replace {old.name} by {name}")
         self.fleet.add_server(old.service, old.domain, name)
@@ -199,7 +202,7 @@
         processes.wait_until(
             lambda: not self.fleet.assignments()[-1].owned_by(old.name),
             20,
-            f"{old.name} owns nothing",
+            f"{old.name} owns no slices",
         )
         taken = clocks.monotonic() - begin
         old.process.send(signal.SIGTERM)
@@ -210,11 +213,11 @@
     def note_unable(
         self, server: members.Server, begin: float, end: float
     ) -> None:
-        """Notes that a server couldn't serve from `begin` to `end`."""
+        """Records that a server was unavailable from `begin` to `end`."""
         self._unable.setdefault(server.name, []).append((begin, end))
 
     def idle_use(self) -> measures.ControlUse:
-        """Returns what control costs while there is no load."""
+        """Measures the control overhead without load."""
         before = measures.sample(self.fleet)
         begin = clocks.monotonic()
         time.sleep(_IDLE_S)
@@ -273,7 +276,10 @@
         )
 
     def _unavailable(self, records, journals, positions, window):
-        """Time without an able owner, of the keys that were without one."""
+        """Returns the source and the percentiles of keys' unavailable time.
+
+        Only affected keys are counted.
+        """
         if not self.fleet.organisation.checks_fence:
             first = self.fleet.assignments()[0]
             waits = measures.waits_by_key(records, positions, first)
@@ -288,7 +294,7 @@
         return "grants", measures.percentiles(affected or [0.0])
 
     def sends_per_request(self, requests: int) -> float | None:
-        """Returns attempts at servers for each request so far."""
+        """Returns the mean number of sends to servers per request."""
         sends = 0.0
         for vm in self.fleet.vms.values():
             state = self.fleet.status(vm.router_metrics)
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios: what goes wrong while the load runs."""
+"""Scenarios: the faults that are injected while the load runs."""
 
 import abc
 import concurrent.futures
@@ -12,12 +12,12 @@
 
 __all__ = ["BY_NAME", "Scenario", "TwoFaults"]
 
-# Load before the disturbance, so that there is something to compare with.
+# Load before the fault, as the baseline.
 _BEFORE_S = 3.0
 
 
 class Scenario(abc.ABC):
-    """One thing that goes wrong, or nothing."""
+    """Base class of scenarios; each injects one kind of fault or none."""
 
     name = ""
     seconds = 12.0
@@ -28,14 +28,14 @@
         return run.plan()
 
     def conclude(self, run: run_lib.Run, begin: float, end: float) -> None:
-        """Adds figures of its own to `run.extra`, after the load."""
+        """Adds metrics of the scenario to `run.extra` after the load."""
 
     @abc.abstractmethod
     def disturb(self, run: run_lib.Run) -> None:
-        """Does the damage; runs while the load does."""
+        """Injects the faults while the load runs."""
 
     def describe(self) -> str:
-        """Returns one line for the list of scenarios."""
+        """Returns the description in the list of scenarios."""
         return (self.__doc__ or "").splitlines()[0]
 
 
@@ -50,7 +50,7 @@
 
 
 class Steady(Scenario):
-    """Nothing goes wrong; measures speed with the router on one core."""
+    """No faults; also measures the speed of a router on one core."""
 
     name = "steady"
     seconds = 6.0
@@ -60,7 +60,7 @@
 
 
 class CrashServer(Scenario):
-    """A server of the keyed service is killed and doesn't come back."""
+    """A server of the keyed service is killed and not restarted."""
 
     name = "crash-server"
 
@@ -71,7 +71,7 @@
 
 
 class FreezeServer(Scenario):
-    """A server freezes past its lease, and returns believing it owns."""
+    """A server is paused beyond its lease and resumes as a stale owner."""
 
     name = "freeze-server"
 
@@ -82,7 +82,7 @@
 
 
 class PauseCoordinator(Scenario):
-    """The coordinator freezes past its lease, and returns."""
+    """The coordinator is paused beyond its lease and resumes."""
 
     name = "pause-coordinator"
 
@@ -93,7 +93,7 @@
 
 
 class CrashCoordinator(Scenario):
-    """The coordinator is killed and doesn't come back."""
+    """The coordinator is killed and not restarted."""
 
     name = "crash-coordinator"
 
@@ -118,7 +118,7 @@
 
 
 class CutDomainFromPlatform(Scenario):
-    """One failure domain loses the platform, and gets it back."""
+    """One failure domain can't reach the platform for a time."""
 
     name = "cut-domain-from-platform"
     seconds = 16.0
@@ -131,9 +131,9 @@
 
 
 class CutDomainFromAll(Scenario):
-    """One failure domain loses the others and the platform, and returns.
+    """One failure domain is isolated from the others and the platform.
 
-    Its callers still reach its routers.
+    Its callers can still reach its routers.
     """
 
     name = "cut-domain-from-all"
@@ -147,7 +147,7 @@
 
 
 class StoreOutage(Scenario):
-    """The platform refuses everything for most of the run."""
+    """The platform refuses all requests for most of the run."""
 
     name = "store-outage"
     seconds = 24.0
@@ -159,7 +159,7 @@
 
 
 class StoreSlow(Scenario):
-    """The platform takes seconds for an answer, while a server is killed."""
+    """The platform responds 1.5 s late while a server is killed."""
 
     name = "store-slow"
     seconds = 24.0
@@ -173,7 +173,7 @@
 
 
 class LostAnswers(Scenario):
-    """Half of the platform's answers to writes are lost, as a server dies."""
+    """Half of the platform's write responses are lost; a server is killed."""
 
     name = "lost-answers"
 
@@ -186,7 +186,7 @@
 
 
 class DomainLoss(Scenario):
-    """A failure domain is lost with all its VMs and servers."""
+    """All entry VMs and servers of a failure domain are killed."""
 
     name = "domain-loss"
     seconds = 14.0
@@ -199,7 +199,7 @@
 
 
 class RollingReplacement(Scenario):
-    """Servers leave one after the other, and new ones take their place."""
+    """Servers leave one after the other and are replaced by new ones."""
 
     name = "rolling-replacement"
     seconds = 26.0
@@ -214,7 +214,7 @@
 
 
 class TwoFaults(Scenario):
-    """Any two scenarios at once: --faults A,B."""
+    """Two scenarios at the same time: --faults A,B."""
 
     name = "two-faults"
     seconds = 26.0
@@ -233,7 +233,7 @@
 
 
 class HotKeys(Scenario):
-    """Fifteen keys draw half of the load, and others after a while."""
+    """Fifteen hot keys get half of the load, and change during the run."""
 
     name = "hot-keys"
     seconds = 36.0
@@ -248,7 +248,7 @@
         )
 
     def disturb(self, run: run_lib.Run) -> None:
-        """See base class. The load does it."""
+        """See base class. The load itself changes the hot keys."""
 
     def conclude(self, run: run_lib.Run, begin: float, end: float) -> None:
         """See base class."""
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,7 +1,7 @@
-"""How the cost of control grows: sweeps sizes, measures daemons, fits lines.
+"""Measures how control overhead grows with size, and fits lines to it.
 
 `python -m benchmarks.slopes [FILE]` writes the raw points and the fits as
-JSON; docs/CAPACITY.md is worked out from them.
+JSON; docs/CAPACITY.md is derived from them.
 """
 
 import json
@@ -21,8 +21,7 @@
 _SAMPLE_S = 8.0
 _MAX_SLICES = 256
 
-# What is varied, and the sizes: (VMs in a domain, keyed servers, slices of a
-# server). Everything else stays.
+# Sizes of each sweep: (entry VMs per domain, keyed servers, slices per server).
 SWEEPS: dict[str, list[tuple[int, int, int]]] = {
     "servers": [(1, 5, 16), (1, 15, 16), (1, 30, 16), (1, 45, 16)],
     "vms": [(1, 10, 16), (2, 10, 16), (4, 10, 16), (6, 10, 16)],
@@ -33,7 +32,7 @@
 
 
 def main() -> int:
-    """Runs all sweeps and writes the result."""
+    """Runs all sweeps and writes the results."""
     result: dict[str, object] = {}
     for fenced in (True, False):
         for name, sizes in SWEEPS.items():
@@ -101,7 +100,7 @@
 
 
 def _fits(name: str, points: list[dict]) -> dict:
-    """Returns base, slope and largest residual of each figure, by role."""
+    """Returns base, slope and largest residual of each metric, by role."""
     axis = _AXES[name]
     sizes = [p["size"][axis] * (_DOMAINS if axis == 0 else 1) for p in points]
     fits: dict[str, dict] = {}
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -1,4 +1,4 @@
-"""Speed of one router pinned to one core, against going straight."""
+"""Speed of one router pinned to a core, compared with direct requests."""
 
 import os
 import time
@@ -15,11 +15,11 @@
 
 
 def measure(run: run_lib.Run) -> dict[str, object]:
-    """Returns requests/s a core, and what the router adds at half of it.
+    """Measures requests/s per core, and the added latency at half that rate.
 
-    One VM's router runs on one core alone and reaches the servers without
-    the fault proxy; load and servers share the others. Both halves of the
-    comparison run side by side, half of the rate each.
+    One VM's router has a core of its own and reaches the servers without the
+    fault proxy; load and servers share the other cores. For the comparison,
+    routed and direct requests are sent at the same time.
     """
     vm = next(iter(run.fleet.vms.values()))
     cpus = sorted(os.sched_getaffinity(0))
@@ -27,12 +27,12 @@
     others = set(cpus[1:])
     for process in run.fleet.all_processes():
         process.pin({cpus[0]} if process is vm.router else others)
-    # Callers inherit it, so that the router has its core alone.
+    # Load processes inherit this affinity and stay off the router's core.
     os.sched_setaffinity(0, others)
     try:
-        run.say("speed: as many requests as one router answers")
+        run.say("speed: measuring the maximum rate of one router")
         top_rate, busy = _top_rate(run, vm)
-        run.say(f"speed: {top_rate:.0f} requests/s; half of it, and direct")
+        run.say(f"speed: {top_rate:.0f} requests/s; comparing half with direct")
         half = _side_by_side(run, vm, top_rate * _HALF)
     finally:
         os.sched_setaffinity(0, cpus)
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -1,20 +1,20 @@
-"""The demo's table."""
+"""Renders the result table of the demo."""
 
 from benchmarks import measures
 
 __all__ = ["is_clean", "render"]
 
 _ZEROS = {
-    "lost": "protected requests answered that no server ran",
+    "lost": "protected requests answered but run by no server",
     "doubled": "protected actions that ran more than once",
-    "crossed": "answers that were another's, or partial",
+    "crossed": "answers that were for another request, or partial",
     "two_owner_intervals": "times that two servers owned a key at once",
-    "false_not_run": "requests refused as not run that ran",
+    "false_not_run": "requests reported as not run that did run",
 }
 
 
 def is_clean(report: measures.Report) -> bool:
-    """Returns whether all that must be zero is zero, and requests ran."""
+    """Returns whether requests were answered and no guarantee was violated."""
     return report.answered > 0 and not any(
         getattr(report, name) for name in _ZEROS
     )
@@ -32,14 +32,14 @@
         ("imbalance, busiest / mean", report.imbalance),
         ("churn, keys that changed owner", report.churn_keys),
         ("unavailable p50 / max, s", f"{gap.p50} / {gap.max}"),
-        ("control, bytes/s of a VM", report.control_bytes_per_s),
-        ("control, % of a core of a VM", report.control_cpu_percent),
+        ("control, bytes/s per VM", report.control_bytes_per_s),
+        ("control, % of a core per VM", report.control_cpu_percent),
     ]
     lines = [f"{report.organisation}: one server killed under load", ""]
     lines += [f"  {name:<34}{value}" for name, value in rows]
-    lines += ["", "  must be zero, from journals and callers' records:"]
+    lines += ["", "  must be zero, by journals and callers' records:"]
     for name, text in _ZEROS.items():
         lines.append(f"  {getattr(report, name):>6}  {text}")
     lines.append("")
-    lines.append("  " + ("all zero" if is_clean(report) else "NOT ALL ZERO"))
+    lines.append("  " + ("passed" if is_clean(report) else "FAILED"))
     return "\n".join(lines)
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, the upstreams and a bad network."""
+"""Stand-ins for the platform, the upstream servers and a faulty network."""
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -1,7 +1,7 @@
-"""TCP proxy between the processes of a test, which injects faults.
+"""TCP proxy between the processes of a test that injects network faults.
 
-Each link has a name like `a>server-3`: who calls, and whom. `POST /links`
-adds links, `POST /faults` sets the fault of all links that match a pattern.
+Each link is named `SOURCE>TARGET`, such as `a>server-3`. `POST /links` adds
+links; `POST /faults` sets the fault of all links that match a pattern.
 """
 
 import argparse
@@ -17,26 +17,26 @@
 
 
 class FaultKind(enum.Enum):
-    """What happens to a link."""
+    """Kind of fault on a link."""
 
     NONE = "none"
-    # Connections break and new ones are refused.
+    # Open connections are reset and new ones are refused.
     RESET = "reset"
-    # Nothing passes, on old connections and new ones; nothing breaks.
+    # Drops all data on open and new connections without closing them.
     BLACKHOLE = "blackhole"
-    # Connections that are open now stay silent; new ones work.
+    # Drops all data on connections that are open now; new ones work.
     SILENT = "silent"
-    # Everything passes later.
+    # Delays all data.
     DELAY = "delay"
 
 
 class Fault(msgspec.Struct):
-    """A fault for all links whose names match.
+    """A fault for all links whose names match a pattern.
 
     Attributes:
-        pattern: As in a shell: `*` and `?`.
-        kind: What happens.
-        delay_s: For `DELAY`: by how much, in seconds.
+        pattern: Shell-style pattern, as for `fnmatch`.
+        kind: Kind of fault.
+        delay_s: Delay for `DELAY`, in seconds.
     """
 
     pattern: str
@@ -45,7 +45,7 @@
 
 
 class Link(msgspec.Struct):
-    """Listens on a port of loopback and passes on to another."""
+    """A loopback port that is forwarded to another one."""
 
     name: str
     port: int
@@ -53,7 +53,7 @@
 
 
 class _Pipe(asyncio.Protocol):
-    """One end of a connection; `other` is the end it passes data to."""
+    """One end of a proxied connection; `other` is the opposite end."""
 
     def __init__(self, route: "_Route", other: "_Pipe | None"):
         self.route = route
@@ -85,7 +85,8 @@
     def data_received(self, data):
         fault = self.route.fault
         if self.is_silent or fault.kind is FaultKind.BLACKHOLE:
-            # What was dropped can't be made up for: the stream stays silent.
+            # Dropped bytes can't be restored, so the stream stays stalled even
+            # after the fault is cleared.
             self.is_silent = True
         elif fault.kind is FaultKind.DELAY:
             loop = asyncio.get_running_loop()
@@ -134,7 +135,7 @@
         return _Pipe(self, None)
 
     async def set_fault(self, fault: Fault) -> None:
-        """Applies a fault to the connections there are, and to new ones."""
+        """Applies a fault to open connections and to new ones."""
         if fault.kind is FaultKind.SILENT:
             for pipe in self.pipes:
                 pipe.is_silent = True
@@ -177,7 +178,7 @@
 
 
 def main() -> None:
-    """Serves until it is killed."""
+    """Serves until the process is killed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     args = parser.parse_args()
--- a/standins/journal.py
+++ b/standins/journal.py
@@ -1,6 +1,6 @@
-"""The journal of an upstream stand-in: what ran, and what was owned when.
+"""Journal of an upstream stand-in: executed requests and owned slices.
 
-Lines of JSON, each written at once, so that they outlive a kill.
+Each entry is a line of JSON, written unbuffered so that it survives SIGKILL.
 """
 
 import os
@@ -12,9 +12,10 @@
 
 
 class Run(msgspec.Struct, tag="run", array_like=True):
-    """A request ran: it took effect at `commit`.
+    """An executed request; it took effect at `commit`.
 
-    Times are seconds on the clock that all processes of a machine share.
+    Times are seconds on the monotonic clock, which all processes of a machine
+    share.
     """
 
     request_id: str
@@ -27,10 +28,10 @@
 
 
 class Own(msgspec.Struct, tag="own", array_like=True):
-    """A grant gave the server another set of slices.
+    """A grant changed the set of slices that the server owns.
 
     Attributes:
-        at: When.
+        at: Time of the change.
         until: End of the lease.
         slices: (start, end, fence) of each.
         service: The service.
@@ -43,14 +44,14 @@
 
 
 class Renew(msgspec.Struct, tag="renew", array_like=True):
-    """A grant extended the lease of the same set."""
+    """A grant extended the lease of an unchanged set of slices."""
 
     at: float
     until: float
 
 
 class Draining(msgspec.Struct, tag="draining", array_like=True):
-    """The last request on slices that were released has ended."""
+    """The last request in flight on released slices has ended."""
 
     at: float
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform: table, object store and VM list over HTTP.
 
-Everything is in memory. `POST /faults` makes it fail: an outage, slow
-answers, answers that are lost after the write took effect, lagging reads.
+All data is in memory. `POST /faults` injects faults: an outage, delayed
+responses, responses lost after a write took effect, stale reads.
 """
 
 import argparse
@@ -19,15 +19,15 @@
 
 
 class Faults(msgspec.Struct):
-    """How the platform misbehaves.
+    """Faults that the platform injects.
 
     Attributes:
-        outage: Refuse everything.
-        refuse_writes: Refuse transactions, and answer reads.
-        delay_s: Wait before each answer, in seconds.
-        lose_answers: Share of writes whose answer is lost, from 0 to 1.
-        lag_reads: Share of reads that show the row before the last write.
-        frozen_vms: Keep showing the VM list as it is now.
+        outage: Refuse all requests.
+        refuse_writes: Refuse transactions; serve reads.
+        delay_s: Delay of each response, in seconds.
+        lose_answers: Share of writes whose response is lost, from 0 to 1.
+        lag_reads: Share of reads that return the previous version of a row.
+        frozen_vms: Ignore updates of the VM list.
     """
 
     outage: bool = False
@@ -39,7 +39,7 @@
 
 
 class PlatformStandin:
-    """Keeps rows, objects and VM lists, and injects faults."""
+    """Stores rows, objects and VM lists, and injects faults."""
 
     def __init__(self, seed: int):
         self.faults = Faults()
@@ -159,7 +159,7 @@
         return _json({})
 
     async def _show_history(self, request: web.Request) -> web.Response:
-        """All values that a row had, oldest first, in base64."""
+        """Responds with all values a row has had, oldest first, in base64."""
         return _json(self._history.get(request.query["key"], []))
 
     async def _stats(self, _request: web.Request) -> web.Response:
@@ -177,7 +177,7 @@
 
 
 def main() -> None:
-    """Serves until it is killed."""
+    """Serves until the process is killed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--seed", type=int, default=1)
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,7 +1,7 @@
-"""Stand-in for an upstream server: slots, fenced grants and a journal.
+"""Stand-in for an upstream server with slots, fenced grants and a journal.
 
-It answers any path. Query parameters shape the answer: `ms` is the time that
-a request takes, `bytes` the length of the answer.
+It serves any path. Query parameters control the response: `ms` is the service
+time, `bytes` the length of the body.
 """
 
 import argparse
@@ -27,11 +27,12 @@
 
 
 class Ownership:
-    """What a server owns, under fenced grants.
+    """Slices that a server owns under fenced grants.
 
     Attributes:
-        ignores_fence: Accepts any grant, and any request for what it ever
-            held; for proving that a broken server is found out.
+        ignores_fence: Accepts any grant, and any request for a slice that it
+            has ever owned. Tests use it to check that a server that doesn't
+            enforce fences is detected.
     """
 
     def __init__(self, journal: journal_lib.Journal, ignores_fence: bool):
@@ -43,17 +44,17 @@
         self._digest = ""
         self._expires = 0.0
         self._slices: tuple[grants.GrantedSlice, ...] = ()
-        # What it held before, if it ignores that it is held no more.
+        # Slices owned earlier; only filled if fences are ignored.
         self._former: tuple[grants.GrantedSlice, ...] = ()
         self._draining: dict[grants.GrantedSlice, float] = {}
         self._in_flight: dict[grants.GrantedSlice, int] = {}
 
     def look(self) -> grants.GrantReply:
-        """Returns the clock and what is held."""
+        """Returns the clock and a digest of the owned slices."""
         return self._reply(True)
 
     def grant(self, grant: grants.Grant) -> grants.GrantReply:
-        """Accepts a grant unless it is old, late or for another run."""
+        """Accepts a grant unless stale, expired or for another instance."""
         now = clocks.monotonic()
         problem = self._problem(grant, now)
         if problem and not self.ignores_fence:
@@ -69,7 +70,7 @@
     def find(
         self, position: int, fence: int, now: float
     ) -> grants.GrantedSlice | None:
-        """Returns the slice that allows a new request, or None."""
+        """Returns the owned slice that admits a new request, or None."""
         if now >= self._expires and not self.ignores_fence:
             return None
         for piece in self._slices + self._former:
@@ -79,7 +80,7 @@
         return None
 
     def may_commit(self, piece: grants.GrantedSlice, now: float) -> bool:
-        """Returns whether a request on a slice may still take effect."""
+        """Returns whether a running request on a slice may still commit."""
         if self.ignores_fence:
             return True
         if piece in self._draining:
@@ -87,11 +88,11 @@
         return piece in self._slices and now < self._expires
 
     def enter(self, piece: grants.GrantedSlice) -> None:
-        """Notes a request in flight on a slice."""
+        """Counts a request in flight on a slice."""
         self._in_flight[piece] = self._in_flight.get(piece, 0) + 1
 
     def leave(self, piece: grants.GrantedSlice) -> None:
-        """Notes that a request on a slice ended."""
+        """Removes a request in flight on a slice that has ended."""
         self._in_flight[piece] -= 1
         if not self._in_flight[piece]:
             del self._in_flight[piece]
@@ -100,13 +101,13 @@
 
     def _problem(self, grant: grants.Grant, now: float) -> str:
         if grant.instance != self.instance:
-            return "another run of this server"
+            return "grant is for another instance of this server"
         if (grant.epoch, grant.sequence) <= (self.epoch, self._sequence):
-            return "a newer grant was seen"
+            return "a newer grant was accepted"
         if grant.expires <= now:
-            return "the lease is over"
+            return "lease has expired"
         if grant.slices is None and grant.digest != self._digest:
-            return "another set of slices is held"
+            return "digest doesn't match the owned slices"
         return ""
 
     def _take(self, grant: grants.Grant, now: float) -> None:
@@ -136,7 +137,7 @@
 
 
 class UpstreamStandin:
-    """Answers requests of one service within its slots."""
+    """Serves requests of one service with a limited number of slots."""
 
     def __init__(
         self,
@@ -156,7 +157,7 @@
         self._waiting = 0
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers one request."""
+        """Serves one request."""
         if request.path == upstream_http.GRANT_PATH and self._ownership:
             grant = msgspec.json.decode(await request.read(), type=grants.Grant)
             return _json(self._ownership.grant(grant))
@@ -200,13 +201,14 @@
         try:
             service_s = float(request.query.get("ms", -1)) / 1000
             await asyncio.sleep(self._service_s if service_s < 0 else service_s)
-            # One reading of the clock both for the check and the journal: a
-            # pause after it can't make the effect look allowed.
+            # The same clock reading is checked and written to the journal, so
+            # that a pause in between can't record a commit time that the check
+            # didn't see.
             commit = clocks.monotonic()
             if piece and not self._ownership.may_commit(piece, commit):
-                return _not_run(request, 421, "not the owner any more")
+                return _not_run(request, 421, "no longer the owner")
             if time.time_ns() // 1_000_000 >= deadline_ms:
-                return _not_run(request, 503, "deadline past")
+                return _not_run(request, 503, "deadline exceeded")
             self._journal.write(
                 journal_lib.Run(
                     headers.get(outcomes.REQUEST_ID_HEADER, ""),
@@ -248,7 +250,7 @@
 
 
 def main() -> None:
-    """Serves until it is killed."""
+    """Serves until the process is killed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--journal", required=True)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data."""
+"""Builders of test data of the router, coordinator and benchmarks."""
 
 from benchmarks import load
 from benchmarks import organisations
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: fleets of real processes, started once for each module."""
+"""Fixtures: fleets of real processes, started once per module."""
 
 import hypothesis
 import pytest
@@ -6,7 +6,7 @@
 from benchmarks import fleet as fleet_lib
 from tests import builders
 
-# The same examples at every run, so that CI gives the same verdict.
+# Uses the same examples in every run, so that CI results are reproducible.
 hypothesis.settings.register_profile("fixed", derandomize=True, deadline=None)
 hypothesis.settings.load_profile("fixed")
 
--- a/tests/event_clock.py
+++ b/tests/event_clock.py
@@ -1,4 +1,4 @@
-"""A clock of events for players: time goes on from one event to the next."""
+"""Event queue with virtual time for simulations."""
 
 import collections.abc
 import heapq
@@ -6,7 +6,7 @@
 
 
 class EventClock:
-    """Does what is due, in the order of time; at the same time, in turn."""
+    """Runs events in order of time; simultaneous events in FIFO order."""
 
     def __init__(self):
         self._events: list[tuple] = []
@@ -15,12 +15,12 @@
     def at(
         self, when: float, action: collections.abc.Callable, *arguments
     ) -> None:
-        """Calls an action at a time, with that time and the arguments."""
+        """Schedules a call of `action(when, *arguments)`."""
         entry = (when, next(self._order), action, arguments)
         heapq.heappush(self._events, entry)
 
     def run(self) -> None:
-        """Goes on until nothing is left to do."""
+        """Runs until no events are left."""
         while self._events:
             now, _, action, arguments = heapq.heappop(self._events)
             action(now, *arguments)
--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -1,4 +1,4 @@
-"""Test data of the gateway."""
+"""Builders of the gateway's test data."""
 
 import asyncio
 
@@ -79,7 +79,7 @@
 
 
 class FixedOwner(admission.OwnerLookup):
-    """An owner that stays, or none for a known time."""
+    """Looks up a fixed owner, or none with a fixed time until there is one."""
 
     def __init__(self, owner: targets.Target | None, ready_in_s: float = 0.0):
         self._owner = owner
@@ -146,12 +146,13 @@
 
 
 class MemoryTable(interfaces.StateTable):
-    """A table in memory, whose answers can be lost or late.
+    """An in-memory table that can lose answers, delay writes and refuse calls.
 
     Attributes:
-        lose_answers: So many next writes are done, and their answers lost.
-        delay_writes: So many next writes get no answer and are kept in `late`.
-        refuse: So many next calls are refused.
+        lose_answers: Number of next writes that are applied without an answer.
+        delay_writes: Number of next writes that are kept in `late` unapplied
+            and get no answer.
+        refuse: Number of next calls that are refused.
     """
 
     def __init__(self):
--- a/tests/integration/callers.py
+++ b/tests/integration/callers.py
@@ -1,4 +1,4 @@
-"""A small caller for tests, which can also send what no client would."""
+"""HTTP client for tests that can also send malformed requests."""
 
 import http.client
 import json
@@ -9,7 +9,7 @@
 
 
 class Answer:
-    """Status, headers and body of an answer."""
+    """Status, headers and body of a response."""
 
     def __init__(self, status, headers, body):
         self.status = status
@@ -26,7 +26,7 @@
 
 
 def ask(port, path, method="GET", body=None, headers=None, timeout=15):
-    """Sends one request on a connection of its own."""
+    """Sends one request on a new connection and returns the response."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout)
     try:
         connection.request(method, path, body, headers or {})
@@ -37,7 +37,7 @@
 
 
 def ask_raw(port: int, data: bytes) -> Answer:
-    """Sends bytes as they are and reads an answer."""
+    """Sends raw bytes and reads one response."""
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(data)
         response = http.client.HTTPResponse(sock)
@@ -46,7 +46,7 @@
 
 
 def runs_of(fleet: fleet_lib.Fleet, request_id: str) -> list[journal.Run]:
-    """Returns the runs of one request in all journals."""
+    """Returns the journal entries of all runs of a request."""
     return [
         entry
         for entries in fleet.journals().values()
--- a/tests/integration/gateways.py
+++ b/tests/integration/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways as processes, and callers of them."""
+"""Runs sites of gateway processes with stand-ins and callers."""
 
 import asyncio
 import collections
@@ -20,12 +20,12 @@
 
 _ROOT = pathlib.Path(__file__).resolve().parents[2]
 ZONES = ("z1", "z2", "z3")
-# Of the log of a process that ended while it should have served.
+# Length of the log excerpt shown for a gateway that exited unexpectedly.
 _TOLD_CHARS = 2000
 
 
 def render(template: str, fields: dict) -> str:
-    """Fills in a settings template, as far as ours goes."""
+    """Fills in a settings template; supports only `{{a.b.0}}` fields."""
 
     def value(match: re.Match) -> str:
         found = fields
@@ -113,7 +113,7 @@
 
 
 class Callers:
-    """Sends requests and keeps what came of them."""
+    """Sends requests and records their outcomes."""
 
     def __init__(self, gateways: list[Gateway], seed: int = 1):
         self._gateways = gateways
@@ -162,7 +162,7 @@
         return outcome
 
     async def pipeline(self, gateway: Gateway, count: int) -> None:
-        """Sends reads on one connection at once; answers come in order."""
+        """Pipelines reads on one connection; responses arrive in order."""
         attempts = [uuid.uuid4().hex[:16] for _ in range(count)]
         heads = [
             f"GET /read/x HTTP/1.1\r\nHost: a.example\r\n"
@@ -181,11 +181,11 @@
                     self.outcomes.append(outcome)
                 writer.close()
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            # Whatever wasn't answered may have been lost with the VM.
+            # The requests without a response may have been lost with the VM.
             return
 
     async def load(self, per_s: float, until: asyncio.Event) -> None:
-        """Calls at a steady rate until told to stop."""
+        """Sends requests at a constant rate until the event is set."""
         calls = set()
         while not until.is_set():
             call = asyncio.create_task(self.call())
@@ -200,7 +200,7 @@
 
 
 async def _read_answer(reader, attempt: str) -> Outcome:
-    """Reads one answer of a connection, which should be to this attempt."""
+    """Reads the next response of a connection, expected for an attempt."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     status, *lines = head.rstrip().split("\r\n")
     pairs = (line.split(":", 1) for line in lines)
@@ -265,11 +265,11 @@
         self.gateways.append(gateway)
 
     async def add_server(self, service: str, zone: str):
-        """Starts a server that holds no keys yet."""
+        """Starts a server; it owns no keys yet."""
         return await self.world.start(service, zone)
 
     async def is_serving(self) -> bool:
-        """Whether keys all over the key space are served by all gateways."""
+        """Returns whether all gateways serve a sample of the keys."""
         for gateway in self.gateways:
             assert gateway.is_running, gateway.log.read_text()[-_TOLD_CHARS:]
             for key in range(0, users_standins.KEYS, 8192):
@@ -285,13 +285,13 @@
                 await asyncio.sleep(0.02)
 
     async def play(self, scenario, start_s: float = 30) -> None:
-        """Plays a scenario on the running site; all promises must hold."""
+        """Runs a scenario and checks that no guarantee was violated."""
         async with self.running(start_s=start_s):
             await scenario(self)
         assert self.broken_promises() == []
 
     def broken_promises(self) -> list[str]:
-        """Returns what callers and servers saw that mustn't be."""
+        """Returns the violated guarantees that callers or servers observed."""
         ran = {run.attempt for run in self.world.runs}
         faults = list(self.world.faults)
         for outcome in self.callers.outcomes:
--- a/tests/integration/narrow_link.py
+++ b/tests/integration/narrow_link.py
@@ -1,28 +1,29 @@
-"""A link of little bandwidth, as a TCP proxy in the test's own process."""
+"""A low-bandwidth link, simulated by a TCP proxy in the test process."""
 
 import asyncio
 import contextlib
 
-# The narrowest link that the users' VMs have, 5 Mbit/s, in bytes/s.
+# The slowest link of the users' VMs, 5 Mbit/s, in bytes/s.
 NARROW_BYTES_PER_S = 625_000
-# Passed on at once; the pause after it makes the bandwidth.
+# Forwarded at a time; a pause before each chunk limits the bandwidth.
 _CHUNK_BYTES = 8192
 
 
 class NarrowLink:
-    """Passes connections on to an address, no faster than a bandwidth.
+    """Forwards connections to an address with limited response bandwidth.
 
     Attributes:
-        address: Where it listens, as `host:port`.
-        passed: Bytes that it passed on to those who connected.
-        stop_after: So many such bytes pass, and nothing after them; None for
-            no end. Nothing breaks then, as on a connection that went silent.
+        address: Listening address, as `host:port`.
+        forwarded: Number of response bytes that were forwarded.
+        stall_after: Number of response bytes after which nothing more is
+            forwarded; None for no limit. Connections stay open then, as if
+            the peer had become unresponsive.
     """
 
     def __init__(self, target: str, bytes_per_s: float = NARROW_BYTES_PER_S):
         self._target = target
         self._bytes_per_s = bytes_per_s
-        # All connections share the link; when it is free for more.
+        # Time at which the link, which all connections share, is free again.
         self._free_at = 0.0
         self._tasks: set[asyncio.Task] = set()
         self._server: asyncio.Server | None = None
--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -1,13 +1,13 @@
-"""A randomized soak: real gateways, with faults injected from outside.
-
-`python -m tests.integration.soak --seeds 1-50 --seconds 20` plays one site for
-each seed and prints what broke; the exit status is 0 if nothing did. Faults
-come in series and overlap: processes are killed, paused, stopped in order and
-started again by signals; connections to servers pass a proxy that delays,
-resets, silences them or cuts one way; the store turns VMs away, loses answers,
-does writes late and drops its history; servers crash, leave, join, start again
-under their id and leave orders unanswered; callers pipeline. Checked is what
-callers and servers see.
+"""Randomized soak test: real gateways under injected faults.
+
+`python -m tests.integration.soak --seeds 1-50 --seconds 20` runs one site for
+each seed and prints violated guarantees; the exit status is 0 if there are
+none. Overlapping faults are injected: gateways are killed, paused, shut down
+gracefully and restarted; a proxy delays, resets or stalls connections to
+servers, or drops one direction; the store refuses VMs, loses answers, applies
+writes late and drops its history; servers crash, leave, join, restart under the
+same id and don't answer grants; callers pipeline. The checks use only what
+callers and servers observe.
 """
 
 import argparse
@@ -21,22 +21,22 @@
 
 from tests.integration import gateways
 
-# Between two faults, in seconds: short enough that they overlap.
+# Time between two faults, in seconds: short enough that they overlap.
 _GAP_S = (0.2, 2.0)
-# How long a fault lasts.
+# Duration of a fault, in seconds.
 _LENGTH_S = (0.5, 5.0)
-# Requests a second during the faults.
+# Requests per second during the faults.
 _RATE = 40
-# After the last fault all keys must be served again within this time.
+# Time after the last fault within which all keys must be served again.
 _RECOVERY_S = 30.0
 
 
 class Proxy:
-    """Passes connections on to one server, or harms them.
+    """Forwards connections to one server, or injects a fault.
 
     Attributes:
-        mode: `pass`, `delay`, `reset`, `silent` or `one-way` (what the server
-            sends is lost).
+        mode: `pass`, `delay`, `reset`, `stalled` or `one-way` (data from the
+            server is dropped).
     """
 
     def __init__(self, target: str):
@@ -92,13 +92,14 @@
 
 
 class Soak:
-    """One seed's faults on one site.
+    """Injects the faults of one seed into one site.
 
     Args:
         site: The site.
-        seed: Draws the faults.
-        has_all: Whether all kinds are drawn; otherwise those of the seeds that
-            were played before servers started again and callers pipelined.
+        seed: Seed that the faults are drawn from.
+        has_all: Whether all kinds of faults are drawn; False excludes server
+            restarts and pipelining, which were added later, so that older seeds
+            still draw the same faults.
     """
 
     def __init__(self, site: gateways.Site, seed: int, has_all: bool = True):
@@ -110,7 +111,7 @@
         self.history: list[str] = []
 
     async def run(self, seconds: float) -> None:
-        """Injects faults for a time, then waits until all are over."""
+        """Injects faults for a time, then waits until all have ended."""
         faults = [
             self._kill,
             self._pause,
@@ -144,9 +145,9 @@
 
     @contextlib.contextmanager
     def _gateway(self):
-        """Chooses a gateway that no other fault has stopped."""
+        """Selects a gateway without a current fault and reserves it."""
         free = [g for g in self._site.gateways if g.number not in self._busy]
-        # One is left alone: the loss of all is a scenario of its own.
+        # One gateway always stays up: other tests cover the loss of all.
         if len(free) < 2:
             yield None
             return
@@ -179,7 +180,7 @@
         with self._gateway() as gateway:
             if gateway is None:
                 return
-            self._note(f"stop vm-{gateway.number} in order")
+            self._note(f"shut down vm-{gateway.number}")
             await gateway.end(signal.SIGTERM)
             await gateway.start()
 
@@ -242,7 +243,7 @@
         server = self._server()
         if server is None:
             return
-        self._note(f"{server.name} ignores orders for {length_s:.1f}")
+        self._note(f"{server.name} delays grants for {length_s:.1f}")
         server.late_share = 0.4
         await asyncio.sleep(length_s)
         server.late_share = 0.0
@@ -252,7 +253,7 @@
         if server is None:
             return
         pause_s = min(length_s, 1.0)
-        self._note(f"{server.name} starts again after {pause_s:.1f}")
+        self._note(f"{server.name} restarts after {pause_s:.1f}")
         await server.start_again(pause_s)
 
     async def _pipeline(self, length_s: float) -> None:
@@ -265,7 +266,7 @@
 
 
 class ProxiedSite(gateways.Site):
-    """A site whose servers stand behind proxies."""
+    """A site whose servers are behind proxies."""
 
     def __init__(self, folder: pathlib.Path, count: int, seed: int):
         super().__init__(folder, count, seed)
@@ -283,7 +284,7 @@
 async def play(
     seed: int, seconds: float, folder: pathlib.Path, has_all: bool = True
 ) -> list[str]:
-    """Plays one seed and returns the promises that were broken."""
+    """Runs one seed and returns the violated guarantees."""
     site = ProxiedSite(folder, 4, seed)
     async with site.running():
         soak = Soak(site, seed, has_all)
@@ -296,7 +297,7 @@
         try:
             await site.until(site.is_serving, _RECOVERY_S)
         except TimeoutError:
-            broken.append(f"not all keys are served {_RECOVERY_S} s later")
+            broken.append(f"not all keys are served after {_RECOVERY_S} s")
         broken += site.broken_promises()
         for proxy in site.proxies:
             proxy.close()
@@ -311,7 +312,7 @@
 
 
 def main() -> int:
-    """Plays seeds and returns the exit status."""
+    """Runs the seeds and returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=_seeds, default=range(1, 6))
     parser.add_argument("--seconds", type=float, default=20.0)
@@ -324,11 +325,11 @@
         place.mkdir(parents=True, exist_ok=True)
         broken = asyncio.run(play(seed, args.seconds, place))
         counts = (place / "counts").read_text()
-        print(f"seed {seed}: {'BROKEN' if broken else 'ok'} {counts}")
+        print(f"seed {seed}: {'FAILED' if broken else 'ok'} {counts}")
         for line in broken[:5]:
             print(f"  {line}")
         failed += bool(broken)
-    print(f"{len(args.seeds)} seeds, {failed} broken; logs in {folder}")
+    print(f"{len(args.seeds)} seeds, {failed} failed; logs in {folder}")
     return 1 if failed else 0
 
 
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak, and seeds that once failed."""
+"""Short soak runs with fixed seeds, among them seeds that once failed."""
 
 import asyncio
 
@@ -6,9 +6,10 @@
 
 from tests.integration import soak
 
-# Seed and cause of each that ever failed, of the kinds of faults of its time.
+# Seeds that once failed, with the cause. They use the kinds of faults that
+# existed then.
 _REGRESSIONS: dict[int, str] = {
-    3: "tries to fence off a silent owner kept its slots from coming free",
+    3: "attempts to fence an unresponsive owner kept its slots from expiring",
 }
 
 
--- a/tests/integration/users_standins.py
+++ b/tests/integration/users_standins.py
@@ -1,7 +1,7 @@
 """Stand-ins for the users' platform: its store and its servers.
 
-They run in the test's own process, so that a test can make them fail and can
-look into them; the gateways under test are processes of their own.
+They run in the test process, so that tests can inject faults and inspect
+state; the gateways under test are separate processes.
 """
 
 import asyncio
@@ -24,12 +24,12 @@
 
 
 class Store:
-    """The platform's store, with a door for each gateway.
+    """The platform's store, with an endpoint for each gateway.
 
     Attributes:
-        mode_by_door: What callers at a door meet: `busy`, `silent`, `lost`
-            (done, not answered), `late` (not answered, done later) or `deaf`
-            (nothing is said of the operator's changes).
+        mode_by_endpoint: Fault of each endpoint: `busy`, `unresponsive`, `lost`
+            (applied without an answer), `late` (applied later without an
+            answer) or `stale` (no feed of the operator's changes).
     """
 
     def __init__(self):
@@ -176,7 +176,7 @@
         )
 
 
-# How long a server is away that a request crashed.
+# Time until a server that a request crashed is restarted.
 CRASHED_S = 2.0
 
 
@@ -190,14 +190,14 @@
 
 
 class World:
-    """Servers, what they ran, and who held which keys.
+    """Servers, their runs of requests, and checks of exclusive ownership.
 
     Attributes:
-        runs: Everything that servers began to work on.
-        faults: Broken promises, in words.
-        crashing_paths: Requests with such a path crash the server that runs
-            them; it is back after `CRASHED_S` under its id.
-        crashes_by_path: When they did, by path.
+        runs: All requests that servers began to run.
+        violations: Violated guarantees, as messages.
+        crashing_paths: Paths of requests that crash the server that runs them;
+            it restarts under the same id after `CRASH_DOWNTIME_S`.
+        crashes_by_path: Times of these crashes, by path.
     """
 
     def __init__(self, store: Store):
@@ -228,7 +228,7 @@
         self.runs.append(run)
 
     def note_crash(self, server: "Server", path: str) -> None:
-        """A request crashes the server that begins to run it."""
+        """Records a crash caused by a request and schedules the restart."""
         self.crashes_by_path.setdefault(path, []).append(_now())
         restart = asyncio.create_task(server.start_again(CRASHED_S))
         self._restarts.add(restart)
@@ -253,7 +253,7 @@
 
 
 class Server:
-    """One server that holds keys."""
+    """One server that owns keys."""
 
     def __init__(
         self,
@@ -275,7 +275,7 @@
         self.is_up = False
         self.is_leaving = False
         self.late_share = 0.0
-        # Which of its lives this is; it remembers nothing of earlier ones.
+        # Counts restarts; no state is kept across them.
         self.life = 1
         self.until = [0.0] * KEYS
         self.seen = [0] * KEYS
@@ -295,7 +295,7 @@
             app, access_log=None, handler_cancellation=True, shutdown_timeout=0
         )
         await self._runner.setup()
-        # One that starts again does so at its address.
+        # A restarted server listens at the same address.
         site = web.TCPSite(
             self._runner, "127.0.0.1", self._port, reuse_address=True
         )
@@ -323,7 +323,7 @@
         )
 
     async def start_again(self, pause_s: float) -> None:
-        """Crashes and starts once more under its id, at its address."""
+        """Crashes the server and restarts it with the same id and address."""
         if self._is_restarting:
             return
         self._is_restarting = True
@@ -339,7 +339,7 @@
         self._is_restarting = False
 
     def _break_connections(self) -> None:
-        """Ends all connections at once, as the end of a process does."""
+        """Aborts all connections, as the exit of a process does."""
         for connection in list(self._runner.server.connections):
             if connection.transport is not None:
                 connection.transport.abort()
@@ -348,7 +348,7 @@
         self.world.store.remove("servers", self.name)
 
     async def stop(self) -> None:
-        """Crashes: its registration stays until somebody removes it."""
+        """Stops the server like a crash: its registration remains."""
         if self.is_up:
             self.is_up = False
             await self._runner.cleanup()
@@ -453,7 +453,7 @@
 
 
 def plain_route(prefix: str, kind: str) -> dict:
-    """Returns one more route, to the plain service, sent once."""
+    """Returns an additional route to the plain service, with one attempt."""
     return _entry(
         "routes",
         "new",
@@ -467,7 +467,7 @@
 
 
 def config(version: int, *extra: dict) -> dict:
-    """Returns the operator's configuration: one keyed service, one plain."""
+    """Returns the operator's configuration with a keyed and a plain service."""
 
     common = {"timeout": "2000ms", "objective": "600ms", "max_attempts": 2}
     return {
--- a/tests/unit/test_ablate.py
+++ b/tests/unit/test_ablate.py
@@ -1,4 +1,4 @@
-"""Each mechanism of the ablation table can still be taken out."""
+"""Each mechanism of the ablation table can still be disabled."""
 
 import pathlib
 import shutil
--- a/tests/unit/test_evidence.py
+++ b/tests/unit/test_evidence.py
@@ -1,4 +1,4 @@
-"""The measuring tool must be able to find each fault it counts."""
+"""The benchmarks must detect each kind of violation that they count."""
 
 import pathlib
 
--- a/tests/unit/test_free_ports.py
+++ b/tests/unit/test_free_ports.py
@@ -1,9 +1,9 @@
-"""Ports of processes that tests start.
+"""Ports of processes that tests start are distinct.
 
-A site of a test didn't come to serve within 30 s, in one run of many: two of
-the four ports that were drawn for a process were the same, as each was given
-back before the next was drawn. Evidence: its settings named one port for its
-ready page and for its peers, and it ended with "Address in use".
+Guards against drawing the same port twice for one process: each port was
+released before the next was drawn. Its settings then had the same port for the
+ready page and for peers, the process exited with "Address in use", and the
+test's site wasn't ready within 30 s, in one of many runs.
 """
 
 from benchmarks import processes
@@ -19,7 +19,8 @@
 
 
 def test_ports_drawn_together_differ():
-    # Drawn one by one and given back, some list would hold a port twice.
+    # If each port were released before the next is drawn, some of these lists
+    # would very likely contain a duplicate.
     for _ in range(60):
         ports = processes.free_ports(50, "127.99.99.2")
         assert len(set(ports)) == len(ports)
--- a/tests/unit/test_lost_worth.py
+++ b/tests/unit/test_lost_worth.py
@@ -1,4 +1,4 @@
-"""What the tool for lost worth makes of lines."""
+"""Classification of log lines by `tools/lost_worth.py`."""
 
 import json
 import pathlib
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -1,15 +1,17 @@
-"""Switches mechanisms off one by one and measures what each is worth.
+"""Disables mechanisms one at a time and measures what each contributes.
 
-Plays days of a bench on copies of this checkout, each with one mechanism taken
-out by an edit of the source, and writes worths by mechanism, site and seed:
+Runs a bench's workloads on copies of this checkout, each with one mechanism
+disabled by an edit of the source, and writes the worth by mechanism, site and
+seed:
 
     python tools/ablate.py measure --bench PATH --site A.toml --site B.toml
     python tools/ablate.py table docs/measures/ablation.json
     python tools/ablate.py plot docs/measures/ablation.json --out ablation.png
 
-An edit must fit exactly once, so that a mechanism that changed is noticed
-(tests/unit/test_ablate.py). What keeps promises isn't listed: fencing grants,
-waits for holds and conditions of writes are no matter of worth.
+The text that an edit replaces must occur exactly once, so that a changed
+mechanism is detected (tests/unit/test_ablate.py). Mechanisms that guarantee
+correctness aren't listed, as no gain in worth could justify removing them:
+fenced grants, waits for holds to expire and preconditions of writes.
 """
 
 import argparse
@@ -32,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Edit:
-    """One replacement in a source file, which must fit exactly once."""
+    """A replacement in a source file; `old` must occur exactly once."""
 
     path: str
     old: str
@@ -41,11 +43,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Mechanism:
-    """A mechanism and how it is taken out.
+    """A mechanism and the edits that disable it.
 
     Attributes:
         name: Short name, for the table.
-        edits: What takes it out.
+        edits: Replacements that disable it.
     """
 
     name: str
@@ -243,25 +245,25 @@
 
 
 def apply(mechanism: Mechanism, root: pathlib.Path) -> None:
-    """Takes a mechanism out of a checkout.
+    """Disables a mechanism in a checkout.
 
     Raises:
-        ValueError: An edit doesn't fit exactly once.
+        ValueError: The text to replace doesn't occur exactly once.
     """
     for edit in mechanism.edits:
         path = root / edit.path
         text = path.read_text()
         if text.count(edit.old) != 1:
             raise ValueError(
-                f"{mechanism.name}: {text.count(edit.old)} places in"
-                f" {edit.path}, expected 1"
+                f"{mechanism.name}: expected 1 match in {edit.path},"
+                f" found {text.count(edit.old)}"
             )
         path.write_text(text.replace(edit.old, edit.new))
 
 
 @dataclasses.dataclass(frozen=True)
 class _Play:
-    """One day of one site, with one mechanism taken out."""
+    """One day of one site with one mechanism disabled."""
 
     mechanism: Mechanism
     site: pathlib.Path
@@ -270,7 +272,7 @@
 
 
 class _Workers:
-    """Copies of the checkout, one for each play at a time."""
+    """Copies of the checkout, each used by one simulation at a time."""
 
     def __init__(self, folder: pathlib.Path, count: int):
         self._free: queue.Queue[pathlib.Path] = queue.Queue()
@@ -284,7 +286,7 @@
             self._free.put(copy)
 
     def play(self, play: _Play, options) -> dict:
-        """Returns the bench's report of one play."""
+        """Runs one simulation and returns the bench's report."""
         copy = self._free.get()
         try:
             subprocess.run(["git", "checkout", "-q", "."], cwd=copy, check=True)
@@ -361,7 +363,7 @@
 
 
 def _differences(results: list[dict]) -> dict[str, dict[str, list[float]]]:
-    """Returns what is lost without each mechanism, by site, seed by seed."""
+    """Returns the worth lost without each mechanism, by site, for each seed."""
     by_play = {
         (entry["mechanism"], entry["site"], entry["seed"]): entry["worth"]
         for entry in results
@@ -416,7 +418,7 @@
         axes.barh(rows, means, height=0.24, label=site)
     axes.set_yticks(range(len(names)), names)
     axes.axvline(0, color="black", linewidth=0.8)
-    axes.set_xlabel("worth that is lost without it (mean of the seeds)")
+    axes.set_xlabel("worth lost without the mechanism (mean of the seeds)")
     axes.legend(loc="lower right")
     figure.tight_layout()
     figure.savefig(options.out, dpi=110)
@@ -426,22 +428,28 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     verbs = parser.add_subparsers(required=True)
-    measure = verbs.add_parser("measure", help="play and write results")
-    measure.add_argument("--bench", required=True, help="the bench's program")
+    measure = verbs.add_parser(
+        "measure", help="run simulations and write results"
+    )
+    measure.add_argument(
+        "--bench", required=True, help="executable of the bench"
+    )
     measure.add_argument("--site", action="append", required=True)
     measure.add_argument("--day", default="scale-1")
     measure.add_argument("--seeds", type=int, default=3)
     measure.add_argument("--first-seed", type=int, default=1)
-    measure.add_argument("--until", type=float, default=0, help="seconds")
+    measure.add_argument(
+        "--until", type=float, default=0, help="end of the day, in seconds"
+    )
     measure.add_argument("--jobs", type=int, default=4)
     measure.add_argument("--only", action="append", default=[])
-    measure.add_argument("--work", required=True, help="folder for copies")
+    measure.add_argument("--work", required=True, help="folder for the copies")
     measure.add_argument("--out", required=True)
     measure.set_defaults(run=_measure)
     table = verbs.add_parser("table", help="print results as a table")
     table.add_argument("results")
     table.set_defaults(run=_table)
-    plot = verbs.add_parser("plot", help="draw results")
+    plot = verbs.add_parser("plot", help="plot results")
     plot.add_argument("results")
     plot.add_argument("--out", required=True)
     plot.set_defaults(run=_plot)
--- a/tools/check_boundary.py
+++ b/tools/check_boundary.py
@@ -1,8 +1,8 @@
-"""Checks that the users' platform's words stay in its adapter.
+"""Checks that names of the users' platform are used only in its adapter.
 
 Usage: `python tools/check_boundary.py FOLDER...`; exits 1 if any file fails.
-Names of headers, paths and tables on that platform's wire may stand in the
-adapter (`platform/`) and in tests of it, nowhere else.
+Names of headers, paths and fields of that platform's protocol are allowed in
+the adapter (`platform/`) and its tests only.
 """
 
 import pathlib
@@ -18,17 +18,17 @@
 
 
 def problems(path: pathlib.Path) -> list[str]:
-    """Returns a line for each word of the platform in a file."""
+    """Returns a message for each line that uses a name of the platform."""
     lines = path.read_text().splitlines()
     return [
-        f"{path}:{number}: {found[0]} belongs into the adapter"
+        f"{path}:{number}: {found[0]} belongs in the adapter"
         for number, line in enumerate(lines, 1)
         if (found := _WORDS.search(line))
     ]
 
 
 def main() -> int:
-    """Checks all files below the folders that are named."""
+    """Checks all Python files below the given folders."""
     files = [
         path
         for name in sys.argv[1:]
@@ -36,7 +36,9 @@
         if path.name != pathlib.Path(__file__).name
     ]
     found = [line for path in sorted(files) for line in problems(path)]
-    print("\n".join(found) or f"{len(files)} files keep to their side")
+    print(
+        "\n".join(found) or f"{len(files)} files use no names of the platform"
+    )
     return 1 if found else 0
 
 
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -1,4 +1,4 @@
-"""Checks that modules are imported, not names from them.
+"""Checks that only modules are imported, not names defined in them.
 
 Usage: `python tools/check_imports.py FOLDER...`; exits 1 if any file fails.
 As in the Google Python Style Guide, typing and collections.abc are exempt.
@@ -10,7 +10,7 @@
 import sys
 
 _EXEMPT = {"typing", "collections.abc"}
-# `logger` is the whole of loguru: the module holds nothing else to use.
+# `logger` is loguru's whole interface.
 _EXEMPT_NAMES = {("loguru", "logger")}
 
 
@@ -22,7 +22,7 @@
 
 
 def problems(path: pathlib.Path) -> list[str]:
-    """Returns a line for each imported name that isn't a module."""
+    """Returns a message for each imported name that isn't a module."""
     found = []
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.ImportFrom) or node.module in _EXEMPT:
@@ -37,9 +37,9 @@
 
 
 def main() -> int:
-    """Checks all files below the folders that are named."""
+    """Checks all Python files below the given folders."""
     sys.path.insert(0, str(pathlib.Path.cwd()))
-    # The adapter runs from its own folder, which is on the path then.
+    # The adapter is run from its own folder, which is then on the path.
     sys.path.insert(0, str(pathlib.Path.cwd() / "platform"))
     files = [
         path
--- a/tools/lost_worth.py
+++ b/tools/lost_worth.py
@@ -1,12 +1,13 @@
-"""Tells where the worth of a play went, from the gateways' lines.
+"""Breaks down by cause the worth that a simulation lost.
 
     python tools/lost_worth.py play.log --report report.json \
         --objective SERVICE=MILLISECONDS ...
 
-`play.log` holds lines of all VMs, as a play with `--log all` prints them; the
-report says what callers got. Late answers are divided by where their time went,
-refusals and failures by the reason of the tries. A caller that came back is one
-loss but several tries, so the losses of a kind are shared out by its tries.
+`play.log` holds the log lines of all VMs, as the bench prints them with
+`--log all`; the report holds the outcomes that callers saw. Late answers are
+classified by where the time was spent, refusals and failures by the reason of
+each attempt. A caller that retries is one loss but several attempts, so the
+losses of each kind are divided in proportion to the attempts.
 """
 
 import argparse
@@ -18,10 +19,11 @@
 
 __all__ = ["Line", "Losses", "read"]
 
-# Part of the time of a late answer that makes a cause the main one.
+# A late answer that spent more than this part of its time queued is classified
+# as having waited for a slot.
 _MAIN_PART = 0.5
-# What a late answer is worth to its caller, of one in time; by the report's
-# classes, where it is the same for all.
+# Worth of a late answer relative to one in time; the same for all classes of
+# the report.
 LATE_WORTH = 0.5
 _WINDOW_S = 4
 _CLASS_WINDOW = 2
@@ -29,14 +31,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Line:
-    """One line about a request: when, and what it says."""
+    """A log line about a request."""
 
     at_s: float
     told: dict
 
 
 def read(path: pathlib.Path) -> list[Line]:
-    """Returns the lines about requests; others are passed over."""
+    """Returns the lines about requests; skips all others."""
     found = []
     for text in path.read_text(errors="replace").splitlines():
         head, brace, tail = text.partition("{")
@@ -53,7 +55,7 @@
 
 
 class Losses:
-    """Tries that were late, refused or failed, by cause.
+    """Counts of late, refused and failed attempts, by cause.
 
     Args:
         objective_ms: Objective of each service, in milliseconds.
@@ -65,11 +67,11 @@
         self.late: collections.Counter[str] = collections.Counter()
         self.refused: collections.Counter[str] = collections.Counter()
         self.failed: collections.Counter[str] = collections.Counter()
-        # Losses of all kinds, by window.
+        # Losses of all kinds, by start of the window in seconds.
         self.by_window: dict[int, collections.Counter[str]] = {}
 
     def note(self, line: Line) -> None:
-        """Takes in one line; those of a request have to come in order."""
+        """Counts one line; the lines of a request must be in order."""
         told = line.told
         if told["event"] == "sent":
             self._sent.setdefault(told["id"], told)
@@ -131,17 +133,17 @@
     failed = _shares(everyone["failed"], losses.failed)
     for cause, part in failed.items():
         causes[cause] = causes.get(cause, 0.0) + part
-    print("| cause | lost, in requests | part |")
+    print("| cause | lost, in requests | share |")
     print("|---|---|---|")
     for cause, part in sorted(causes.items(), key=lambda item: -item[1]):
         print(f"| {cause} | {part:.0f} | {part / lost:.3f} |")
     explained = sum(causes.values())
-    print(f"| all of these, of {lost:.0f} | | {explained / lost:.3f} |")
+    print(f"| total, of {lost:.0f} | | {explained / lost:.3f} |")
 
 
 def _print_windows(losses: Losses) -> None:
     print()
-    print("| from second | tries late, refused or failed | most of them |")
+    print("| from second | attempts late, refused or failed | main causes |")
     print("|---|---|---|")
     for window, counter in sorted(losses.by_window.items()):
         most = ", ".join(
