--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -93,31 +93,31 @@
     run = run_lib.Run(
         fleet, folder, args.seed, seconds, args.rate or scenario.rate
     )
-    run.say(
+    run.log_progress(
         f"starting {len(fleet.vms)} entry VMs and {len(fleet.servers)} servers"
     )
     with fleet:
-        run.say("fleet ready; measuring control overhead without load")
-        use = run.idle_use()
+        run.log_progress("fleet ready; measuring control overhead without load")
+        use = run.measure_idle_control()
         store_before = fleet.platform.stats()
         begin = clocks.monotonic()
-        run.say(f"sending load for {seconds} s")
+        run.log_progress(f"sending load for {seconds} s")
         callers = run.start_load(scenario.load(run))
         try:
-            scenario.disturb(run)
+            scenario.inject_faults(run)
             records = callers.records()
         finally:
             callers.kill()
         end = clocks.monotonic()
         store_after = fleet.platform.stats()
-        scenario.conclude(run, begin, min(end, begin + seconds))
+        scenario.add_metrics(run, begin, min(end, begin + seconds))
         sends = run.sends_per_request(len(records))
         direct = []
         if scenario.name == "steady":
-            run.say("sending the same load directly to the servers")
+            run.log_progress("sending the same load directly to the servers")
             direct = run.start_load(run.direct_plan()).records()
             run.extra |= speed.measure(run)
-        run.say("computing the report")
+        run.log_progress("computing the report")
         window = (begin + 0.5, min(end, begin + seconds))
         return run.report(
             scenario.name,
--- a/benchmarks/evidence.py
+++ b/benchmarks/evidence.py
@@ -11,10 +11,10 @@
 
 __all__ = [
     "Interval",
-    "Verdict",
+    "Violations",
     "gaps_by_position",
     "intervals",
-    "judge",
+    "find_violations",
     "overlapping_intervals",
     "overlapping_runs",
 ]
@@ -31,7 +31,7 @@
     until: float
 
 
-class Verdict(msgspec.Struct):
+class Violations(msgspec.Struct):
     """Counts of violations, all zero in a correct run; see docs/measures.md."""
 
     lost: int = 0
@@ -45,17 +45,17 @@
         return not any(msgspec.structs.astuple(self))
 
 
-def judge(
+def find_violations(
     records: list[load.Record],
     journals: dict[str, list[journal_lib.Entry]],
-) -> Verdict:
+) -> Violations:
     """Compares the outcomes that callers saw with the servers' journals.
 
     Args:
         records: Records of all callers.
         journals: Journal of each server, by server.
     """
-    verdict = Verdict()
+    violations = Violations()
     run_count: collections.Counter[str] = collections.Counter()
     action_count: collections.Counter[str] = collections.Counter()
     for entries in journals.values():
@@ -64,19 +64,19 @@
                 run_count[entry.request_id] += 1
                 if entry.idempotency_key:
                     action_count[entry.idempotency_key] += 1
-    verdict.doubled = sum(count > 1 for count in action_count.values())
+    violations.doubled = sum(count > 1 for count in action_count.values())
     for record in records:
         ran = run_count[record.request_id]
         is_answered = record.outcome == outcomes.Outcome.ANSWERED.value
         if record.is_protected and is_answered and not ran:
-            verdict.lost += 1
+            violations.lost += 1
         if record.outcome == outcomes.Outcome.NOT_RUN.value and ran:
-            verdict.false_not_run += 1
-        verdict.crossed += record.is_crossed
-    verdict.two_owner_intervals = overlapping_runs(
+            violations.false_not_run += 1
+        violations.crossed += record.is_crossed
+    violations.two_owner_intervals = overlapping_runs(
         journals
     ) + overlapping_intervals(intervals(journals))
-    return verdict
+    return violations
 
 
 def overlapping_runs(journals: dict[str, list[journal_lib.Entry]]) -> int:
@@ -128,19 +128,19 @@
     draining: list[Interval] = []
     for entry in entries:
         match entry:
-            case journal_lib.Own():
-                wanted = {tuple(piece) for piece in entry.slices}
-                for piece in set(held) - wanted:
-                    interval = held.pop(piece)
+            case journal_lib.OwnershipChange():
+                granted = {tuple(slice_key) for slice_key in entry.slices}
+                for slice_key in set(held) - granted:
+                    interval = held.pop(slice_key)
                     interval.until = min(interval.until, entry.at)
                     draining.append(interval)
-                for piece in wanted - set(held):
-                    held[piece] = Interval(
-                        server, *piece, entry.at, entry.until
+                for slice_key in granted - set(held):
+                    held[slice_key] = Interval(
+                        server, *slice_key, entry.at, entry.until
                     )
-                    found.append(held[piece])
+                    found.append(held[slice_key])
                 _extend(held, found, entry)
-            case journal_lib.Renew():
+            case journal_lib.LeaseRenewal():
                 _extend(held, found, entry)
             case journal_lib.Run() if entry.fence:
                 # If the request was in flight when its slice was released,
@@ -156,39 +156,39 @@
 
 
 def _extend(held, found, entry) -> None:
-    for piece, interval in held.items():
+    for slice_key, interval in held.items():
         if interval.until < entry.at:
             # The lease had expired: a new interval begins.
-            held[piece] = Interval(
-                interval.server, *piece, entry.at, entry.until
+            held[slice_key] = Interval(
+                interval.server, *slice_key, entry.at, entry.until
             )
-            found.append(held[piece])
-        interval = held[piece]
+            found.append(held[slice_key])
+        interval = held[slice_key]
         interval.until = max(interval.until, entry.until)
 
 
 def overlapping_intervals(found: list[Interval]) -> int:
     """Counts times at which two servers owned the same range at once."""
-    cuts = sorted({i.start for i in found} | {i.end for i in found})
-    by_cut: dict[int, list[Interval]] = collections.defaultdict(list)
+    bounds = sorted({i.start for i in found} | {i.end for i in found})
+    by_range: dict[int, list[Interval]] = collections.defaultdict(list)
     for interval in found:
-        low = bisect.bisect_left(cuts, interval.start)
-        high = bisect.bisect_left(cuts, interval.end)
+        low = bisect.bisect_left(bounds, interval.start)
+        high = bisect.bisect_left(bounds, interval.end)
         for index in range(low, high):
-            by_cut[index].append(interval)
+            by_range[index].append(interval)
     count = 0
-    for pieces in by_cut.values():
-        pieces.sort(key=lambda interval: interval.since)
+    for range_intervals in by_range.values():
+        range_intervals.sort(key=lambda interval: interval.since)
         latest: dict[str, float] = {}
-        for piece in pieces:
+        for interval in range_intervals:
             others = [
                 until
                 for server, until in latest.items()
-                if server != piece.server
+                if server != interval.server
             ]
-            count += any(until > piece.since for until in others)
-            latest[piece.server] = max(
-                latest.get(piece.server, 0.0), piece.until
+            count += any(until > interval.since for until in others)
+            latest[interval.server] = max(
+                latest.get(interval.server, 0.0), interval.until
             )
     return count
 
@@ -198,7 +198,7 @@
     positions: list[int],
     since: float,
     until: float,
-    unable_by_server: dict[str, list[tuple[float, float]]],
+    unavailable_by_server: dict[str, list[tuple[float, float]]],
 ) -> list[float]:
     """Returns the longest time without an available owner for each position.
 
@@ -207,26 +207,32 @@
         positions: Positions of the keys in use.
         since: Start of the window, on the machine's monotonic clock.
         until: End of the window.
-        unable_by_server: Spans (from, to) in which a server was down or paused.
+        unavailable_by_server: Spans (from, to) in which a server was down or
+            paused, by server.
     """
-    able = [
+    available = [
         part
         for interval in found
-        for part in _able(interval, unable_by_server.get(interval.server, []))
+        for part in _available_parts(
+            interval, unavailable_by_server.get(interval.server, [])
+        )
     ]
-    able.sort(key=lambda interval: interval.since)
+    available.sort(key=lambda interval: interval.since)
     gaps = []
     for position in positions:
         covered, longest = since, 0.0
-        for piece in able:
-            if piece.start <= position < piece.end and piece.until > covered:
-                longest = max(longest, min(piece.since, until) - covered)
-                covered = max(covered, piece.until)
+        for interval in available:
+            if (
+                interval.start <= position < interval.end
+                and interval.until > covered
+            ):
+                longest = max(longest, min(interval.since, until) - covered)
+                covered = max(covered, interval.until)
         gaps.append(max(longest, until - covered, 0.0))
     return gaps
 
 
-def _able(interval: Interval, spans) -> list[Interval]:
+def _available_parts(interval: Interval, spans) -> list[Interval]:
     parts = [interval]
     for begin, end in spans:
         parts = [
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -69,9 +69,9 @@
         self._proxies: list[processes.Process] = []
         # Port by (domain of the caller, name of the target).
         self._links: dict[tuple[str, str], int] = {}
-        self._lay_out()
+        self._create_members()
 
-    def _lay_out(self) -> None:
+    def _create_members(self) -> None:
         domains = organisations.DOMAINS
         for index in range(self.organisation.vms_per_domain * len(domains)):
             domain = domains[index % len(domains)]
@@ -111,9 +111,9 @@
         try:
             processes.wait_until(self.is_ready, _READY_S, "fleet ready", 0.2)
         except TimeoutError as error:
-            raise TimeoutError(f"{error}\n{self.logs_of_dead()}") from error
+            raise TimeoutError(f"{error}\n{self.logs_of_exited()}") from error
 
-    def logs_of_dead(self) -> str:
+    def logs_of_exited(self) -> str:
         """Returns the last log lines of each process that has exited."""
         return "\n".join(
             f"{process.name}:\n{process.log_tail()}"
@@ -124,7 +124,7 @@
     def stop(self) -> None:
         """Kills all processes."""
         for process in self.all_processes():
-            process.send(signal.SIGKILL)
+            process.send_signal(signal.SIGKILL)
         for process in self.all_processes():
             process.wait(10)
 
@@ -159,7 +159,7 @@
             self.start_server(server)
         for number in [self._platform_port, *self._proxy_ports]:
             processes.wait_until(
-                lambda port=number: _answers(port), _READY_S, "stand-ins"
+                lambda port=number: _is_responding(port), _READY_S, "stand-ins"
             )
 
     def start_server(self, server: members.Server) -> None:
@@ -180,9 +180,9 @@
         targets = {"platform": self._platform_port}
         targets |= {s.name: s.port for s in self.servers.values()}
         targets |= {v.name: v.coordinator_port for v in self.vms.values()}
-        self._link(targets)
+        self._add_links_to(targets)
 
-    def _link(self, targets: dict[str, int]) -> None:
+    def _add_links_to(self, targets: dict[str, int]) -> None:
         """Adds a proxy link from each failure domain to each target."""
         for domain, control in zip(
             organisations.DOMAINS, self._proxy_ports, strict=True
@@ -192,8 +192,8 @@
             for (name, target), port in zip(
                 targets.items(), ports, strict=True
             ):
-                label = f"{domain}>{self.domain_of(name)}:{name}"
-                links.append(fault_proxy.Link(label, port, target))
+                link_name = f"{domain}>{self.domain_of(name)}:{name}"
+                links.append(fault_proxy.Link(link_name, port, target))
                 self._links[domain, name] = port
             processes.post(
                 f"http://127.0.0.1:{control}/links", msgspec.json.encode(links)
@@ -206,8 +206,8 @@
         server = members.Server(name, domain, service, port, journal_file)
         self.servers[name] = server
         self.start_server(server)
-        processes.wait_until(lambda: _answers(port), _READY_S, name)
-        self._link({name: port})
+        processes.wait_until(lambda: _is_responding(port), _READY_S, name)
+        self._add_links_to({name: port})
         self.publish_vms()
         return server
 
@@ -227,9 +227,9 @@
             self._publish_view(domain)
 
     def _publish_view(self, domain: str) -> None:
-        listed = [self._entry(vm, domain) for vm in self.vms.values()]
+        listed = [self._listed_entry_vm(vm, domain) for vm in self.vms.values()]
         listed += [
-            self._upstream(server, domain)
+            self._listed_server(server, domain)
             for server in self.servers.values()
             if server.state is not None
         ]
@@ -247,7 +247,7 @@
         vm.router = self._daemon(vm, "router", "direct")
         processes.wait_until(self.is_ready, _READY_S, "router ready", 0.2)
 
-    def _entry(self, vm: members.EntryVm, viewer: str) -> base.Vm:
+    def _listed_entry_vm(self, vm: members.EntryVm, viewer: str) -> base.Vm:
         return base.Vm(
             ids.VmId(vm.name),
             base.VmKind.ENTRY,
@@ -258,7 +258,7 @@
             organisations=(ids.OrganisationId(self.organisation.name),),
         )
 
-    def _upstream(self, server: members.Server, viewer: str) -> base.Vm:
+    def _listed_server(self, server: members.Server, viewer: str) -> base.Vm:
         return base.Vm(
             ids.VmId(server.name),
             base.VmKind.UPSTREAM,
@@ -315,8 +315,10 @@
     def run_cli(self, *args: str) -> dict:
         """Runs a `swiftstile` command and returns its JSON output."""
         settings = self.settings_file(next(iter(self.vms.values())))
-        words = [*args, "--settings", str(settings), "--json"]
-        process = processes.Process("cli", "swiftstile", words, self._folder)
+        arguments = [*args, "--settings", str(settings), "--json"]
+        process = processes.Process(
+            "cli", "swiftstile", arguments, self._folder
+        )
         log = self._folder / "cli.log"
         log.unlink(missing_ok=True)
         process.start()
@@ -410,7 +412,7 @@
         }
 
 
-def _answers(port: int) -> bool:
+def _is_responding(port: int) -> bool:
     try:
         urllib.request.urlopen(f"http://127.0.0.1:{port}/", timeout=1).close()
     except urllib.error.HTTPError:
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -126,8 +126,8 @@
         self._random = random.Random(plan.seed)
         self._records: list[Record] = []
         weights = [1 / (n + 1) ** plan.skew for n in range(plan.keys)]
-        self._key_weights = list(itertools.accumulate(weights))
-        self._shares = list(
+        self._cumulative_key_weights = list(itertools.accumulate(weights))
+        self._cumulative_shares = list(
             itertools.accumulate(service.share for service in plan.services)
         )
         self._ports = itertools.cycle(plan.ports)
@@ -142,40 +142,43 @@
             timeout=timeout, connector=connector
         ) as self._session:
             if self._plan.rate:
-                await self._run_open()
+                await self._run_open_loop()
             else:
                 end = clocks.monotonic() + self._plan.seconds
                 await asyncio.gather(
-                    *(self._run_caller(end) for _ in range(self._plan.callers))
+                    *(
+                        self._run_closed_caller(end)
+                        for _ in range(self._plan.callers)
+                    )
                 )
         return self._records
 
-    async def _run_open(self) -> None:
+    async def _run_open_loop(self) -> None:
         due = start = clocks.monotonic()
         running: set[asyncio.Task] = set()
         while due < start + self._plan.seconds:
             wait = due - clocks.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
-            task = asyncio.create_task(self._ask(due))
+            task = asyncio.create_task(self._send_request(due))
             running.add(task)
             task.add_done_callback(running.discard)
             due += self._random.expovariate(self._plan.rate)
         await asyncio.gather(*running)
 
-    async def _run_caller(self, end: float) -> None:
+    async def _run_closed_caller(self, end: float) -> None:
         while clocks.monotonic() < end:
-            await self._ask(clocks.monotonic())
+            await self._send_request(clocks.monotonic())
 
-    async def _ask(self, due: float) -> None:
+    async def _send_request(self, due: float) -> None:
         plan = self._plan
-        service = self._random.choices(plan.services, cum_weights=self._shares)[
-            0
-        ]
+        service = self._random.choices(
+            plan.services, cum_weights=self._cumulative_shares
+        )[0]
         is_protected = self._random.random() < service.protected_share
         request_id = f"{self._random.getrandbits(96):024x}"
         key = self._key() if service.keyed else ""
-        url, headers = self._address(service, key, request_id)
+        url, headers = self._url_and_headers(service, key, request_id)
         body = None
         if is_protected:
             body = self._random.randbytes(plan.body_bytes)
@@ -184,13 +187,15 @@
             request_id, service.name, key, is_protected, due, 0, 0, "", False
         )
         try:
-            await self._exchange(url, headers, body, record)
+            await self._exchange_with_failover(url, headers, body, record)
         except (aiohttp.ClientError, TimeoutError, OSError):
             record.outcome = _TRANSPORT_FAILED
         record.latency_s = clocks.monotonic() - due
         self._records.append(record)
 
-    async def _exchange(self, url, headers, body, record: Record) -> None:
+    async def _exchange_with_failover(
+        self, url, headers, body, record: Record
+    ) -> None:
         method = "POST" if body is not None else "GET"
         for tries_left in range(_BALANCER_TRIES, 0, -1):
             try:
@@ -202,12 +207,12 @@
                 # the connection.
                 if tries_left == 1 or not self._is_routed(url):
                     raise
-                url = self._other_router(url)
+                url = self._via_next_router(url)
 
     def _is_routed(self, url: str) -> bool:
         return "/direct" not in url
 
-    def _other_router(self, url: str) -> str:
+    def _via_next_router(self, url: str) -> str:
         parts = yarl.URL(url, encoded=True)
         return str(parts.with_port(next(self._ports)))
 
@@ -219,26 +224,28 @@
             record.status = response.status
             record.outcome = response.headers.get(outcomes.OUTCOME_HEADER, "")
             if record.outcome == outcomes.Outcome.ANSWERED.value:
-                record.is_crossed = not self._is_whole(
+                record.is_crossed = not self._is_expected_response(
                     answer, record.request_id, body
                 )
 
-    def _is_whole(self, answer: bytes, request_id: str, body) -> bool:
+    def _is_expected_response(
+        self, answer: bytes, request_id: str, body
+    ) -> bool:
         digest = hashlib.sha256(body or b"").hexdigest()
-        head = f"{request_id} {digest} ".encode()
-        return answer == head.ljust(self._plan.answer_bytes, b".")
+        prefix = f"{request_id} {digest} ".encode()
+        return answer == prefix.ljust(self._plan.answer_bytes, b".")
 
     def _key(self) -> str:
         plan = self._plan
         if self._random.random() < plan.hot_share:
-            turn = int((clocks.monotonic() - self._started) / plan.shift_s)
-            return f"hot-{turn}-{self._random.randrange(plan.hot_keys)}"
+            period = int((clocks.monotonic() - self._started) / plan.shift_s)
+            return f"hot-{period}-{self._random.randrange(plan.hot_keys)}"
         index = self._random.choices(
-            range(self._plan.keys), cum_weights=self._key_weights
+            range(self._plan.keys), cum_weights=self._cumulative_key_weights
         )[0]
         return f"key-{index}"
 
-    def _address(self, service: ServicePlan, key: str, request_id: str):
+    def _url_and_headers(self, service: ServicePlan, key: str, request_id: str):
         query = f"?bytes={self._plan.answer_bytes}"
         headers = {
             outcomes.REQUEST_ID_HEADER: request_id,
--- a/benchmarks/measures.py
+++ b/benchmarks/measures.py
@@ -23,13 +23,13 @@
     "latencies",
     "latencies_of_all",
     "percentiles",
-    "sample",
+    "sample_control",
     "waits_by_key",
 ]
 
 # Without grants ownership can't be observed: a request that took longer than
 # this is assumed to have waited for a key without an owner.
-_AFFECTED_S = 0.1
+_AFFECTED_LATENCY_S = 0.1
 
 
 class Percentiles(msgspec.Struct):
@@ -90,8 +90,8 @@
     """Returns the percentiles of values, scaled by a factor."""
     if not values:
         return Percentiles()
-    p50, p99, top = numpy.percentile(values, [50, 99, 100]) * factor
-    return Percentiles(*(round(float(x), 3) for x in (p50, p99, top)))
+    p50, p99, highest = numpy.percentile(values, [50, 99, 100]) * factor
+    return Percentiles(*(round(float(x), 3) for x in (p50, p99, highest)))
 
 
 def latencies(records: list[load.Record]) -> list[float]:
@@ -124,7 +124,7 @@
     end: float,
 ) -> float | None:
     """Returns the imbalance of the requests that committed in a window."""
-    cut = {
+    runs_in_window = {
         name: [
             entry
             for entry in entries
@@ -133,7 +133,7 @@
         ]
         for name, entries in journals.items()
     }
-    return imbalance(fleet, cut)
+    return imbalance(fleet, runs_in_window)
 
 
 def key_positions(
@@ -190,7 +190,7 @@
             end = record.sent_at + record.latency_s
             if record.outcome == answered:
                 next_answer = min(next_answer, end)
-                if record.latency_s < _AFFECTED_S:
+                if record.latency_s < _AFFECTED_LATENCY_S:
                     continue
             if next_answer < float("inf"):
                 wait = next_answer - record.sent_at
@@ -205,8 +205,8 @@
 
     Args:
         fleet: The fleet.
-        before: First result of `sample`.
-        after: Result of `sample` taken `seconds` later, without load between.
+        before: First result of `sample_control`.
+        after: Result of `sample_control` after `seconds` without load.
         seconds: Time between the samples.
     """
     names = set(before) & set(after)
@@ -224,7 +224,7 @@
     )
 
 
-def sample(fleet: fleet_lib.Fleet) -> dict[str, tuple[float, float]]:
+def sample_control(fleet: fleet_lib.Fleet) -> dict[str, tuple[float, float]]:
     """Returns the control bytes and CPU seconds used so far, by VM."""
     found = {}
     for name, vm in fleet.vms.items():
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -27,26 +27,26 @@
 _SERVERS = 20
 _SLICES_PER_SERVER = 16
 _KEYS = 4000
-_HOT = 15
+_HOT_KEYS = 15
 _HOT_SHARE = 0.5
 # Rounds between two changes of the hot keys: 3 minutes of 3 s rounds.
-_ROUNDS_PER_TURN = 60
-_TURNS = 4
-_REQUESTS = 3000
+_ROUNDS_PER_PHASE = 60
+_PHASES = 4
+_REQUESTS_PER_ROUND = 3000
 # Rounds after a change that are excluded: no policy can have detected the new
 # hot keys yet.
-_BLIND_ROUNDS = 3
+_IGNORED_ROUNDS = 3
 _BUDGETS = (0.003, 0.01, 0.03, 0.1, 0.3)
-_TARGET = 1.25
+_IMBALANCE_TARGET = 1.25
 _EPOCH = ids.Epoch(1)
 _POLICIES = {
     "even": placement.EvenPlacement,
-    "greedy": lambda: placement.GreedyPlacement(_TARGET),
-    "isolating": lambda: placement.IsolatingPlacement(_TARGET),
+    "greedy": lambda: placement.GreedyPlacement(_IMBALANCE_TARGET),
+    "isolating": lambda: placement.IsolatingPlacement(_IMBALANCE_TARGET),
 }
 
 
-class _World:
+class _Simulation:
     """Keys, the hot ones among them, and their assignment to servers."""
 
     def __init__(self, seed: int):
@@ -55,38 +55,38 @@
             self.random.randrange(hashing.HASH_SPACE) for _ in range(_KEYS)
         ]
         self.weights = [1 / (n + 1) ** 0.8 for n in range(_KEYS)]
-        self.hot = self.positions[:_HOT]
+        self.hot_positions = self.positions[:_HOT_KEYS]
         servers = [ids.ServerId(f"s{n}") for n in range(_SERVERS)]
         self.servers = set(servers)
         self.assignment = slices.initial(servers, _SLICES_PER_SERVER, _EPOCH)
         self.load = load_lib.LoadTable()
         self.now = 100.0
 
-    def change_hot(self) -> None:
+    def change_hot_keys(self) -> None:
         """Draws a new set of hot keys."""
-        self.hot = self.random.sample(self.positions, _HOT)
+        self.hot_positions = self.random.sample(self.positions, _HOT_KEYS)
 
-    def round(self) -> list[int]:
+    def simulate_round(self) -> list[int]:
         """Draws the requests of one round and records their load."""
-        count = int(_REQUESTS * _HOT_SHARE)
-        drawn = self.random.choices(self.hot, k=count)
-        drawn += self.random.choices(
-            self.positions, self.weights, k=_REQUESTS - count
+        count = int(_REQUESTS_PER_ROUND * _HOT_SHARE)
+        requests = self.random.choices(self.hot_positions, k=count)
+        requests += self.random.choices(
+            self.positions, self.weights, k=_REQUESTS_PER_ROUND - count
         )
         sketch = load_lib.LoadSketch()
-        self.random.shuffle(drawn)
-        for position in drawn:
+        self.random.shuffle(requests)
+        for position in requests:
             sketch.record(self.assignment.at(position).start, position)
         self.now += 3.0
         self.load.record(ids.Incarnation("r"), sketch.flush(3.0), self.now)
-        return drawn
+        return requests
 
-    def imbalance(self, drawn: list[int]) -> float:
+    def imbalance(self, requests: list[int]) -> float:
         """Returns the ratio of the largest to the mean load of one round."""
         counts = dict.fromkeys(self.servers, 0)
-        for position in drawn:
+        for position in requests:
             counts[self.assignment.at(position).server] += 1
-        return max(counts.values()) * _SERVERS / len(drawn)
+        return max(counts.values()) * _SERVERS / len(requests)
 
     def rebalance(self, policy, budget: float) -> int:
         """Applies one round of a policy; returns the number of moved keys."""
@@ -107,19 +107,19 @@
 
 def run(name: str, budget: float, seed: int) -> dict[str, float]:
     """Returns mean imbalance and the churn per change of the hot keys."""
-    world, policy = _World(seed), _POLICIES[name]()
+    simulation, policy = _Simulation(seed), _POLICIES[name]()
     imbalances, churn = [], 0
-    for _ in range(_TURNS):
-        world.change_hot()
-        for number in range(_ROUNDS_PER_TURN):
-            drawn = world.round()
-            if number >= _BLIND_ROUNDS:
-                imbalances.append(world.imbalance(drawn))
-            churn += world.rebalance(policy, budget)
+    for _ in range(_PHASES):
+        simulation.change_hot_keys()
+        for number in range(_ROUNDS_PER_PHASE):
+            requests = simulation.simulate_round()
+            if number >= _IGNORED_ROUNDS:
+                imbalances.append(simulation.imbalance(requests))
+            churn += simulation.rebalance(policy, budget)
     return {
         "imbalance": round(sum(imbalances) / len(imbalances), 3),
-        "churn": round(churn / _TURNS, 1),
-        "slices": len(world.assignment.slices),
+        "churn": round(churn / _PHASES, 1),
+        "slices": len(simulation.assignment.slices),
     }
 
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -14,8 +14,8 @@
 __all__ = ["Process", "free_ports", "post", "wait_until"]
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
-_PORTS = (10_000, 32_000)
-_given: set[int] = set()
+_PORT_RANGE = (10_000, 32_000)
+_returned_ports: set[int] = set()
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
@@ -42,14 +42,14 @@
                 stdin=subprocess.DEVNULL,
             )
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Sends a signal if the process is running."""
         if self._child is not None and self._child.poll() is None:
             self._child.send_signal(number)
 
     def kill(self) -> None:
         """Kills the process and waits until it has exited."""
-        self.send(signal.SIGKILL)
+        self.send_signal(signal.SIGKILL)
         self.wait(10)
 
     def wait(self, timeout_s: float) -> int | None:
@@ -99,17 +99,17 @@
     The ports are below the ephemeral range: the kernel could otherwise assign
     one to an outgoing connection before its process listens on it.
     """
-    found: list[int] = []
-    while len(found) < count:
-        port = random.randint(*_PORTS)
+    ports: list[int] = []
+    while len(ports) < count:
+        port = random.randint(*_PORT_RANGE)
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             with contextlib.suppress(OSError):
                 probe.bind((host, port))
-                if port not in _given:
-                    _given.add(port)
-                    found.append(port)
-    return found
+                if port not in _returned_ports:
+                    _returned_ports.add(port)
+                    ports.append(port)
+    return ports
 
 
 def post(url: str, body: bytes, method: str = "POST") -> bytes:
@@ -119,7 +119,9 @@
         return response.read()
 
 
-def wait_until(condition, timeout_s: float, what: str, look_s: float = 0.05):
+def wait_until(
+    condition, timeout_s: float, description: str, poll_interval_s: float = 0.05
+):
     """Polls `condition()` until it returns a true value and returns that.
 
     Raises:
@@ -131,5 +133,5 @@
         if result:
             return result
         if time.monotonic() > end:
-            raise TimeoutError(f"timed out after {timeout_s} s: {what}")
-        time.sleep(look_s)
+            raise TimeoutError(f"timed out after {timeout_s} s: {description}")
+        time.sleep(poll_interval_s)
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -80,10 +80,10 @@
         self.seed = seed
         self._folder = folder
         self._rate = rate
-        self._unable: dict[str, list[tuple[float, float]]] = {}
+        self._unavailable_spans: dict[str, list[tuple[float, float]]] = {}
         self._loads = 0
 
-    def say(self, text: str) -> None:
+    def log_progress(self, text: str) -> None:
         """Prints progress to standard error."""
         print(f"{time.strftime('%H:%M:%S')} {text}", file=sys.stderr)
 
@@ -122,15 +122,15 @@
 
     def kill_server(self, server: members.Server) -> None:
         """Kills a server and records the time."""
-        self.say(f"kill {server.name}")
+        self.log_progress(f"kill {server.name}")
         server.process.kill()
         # The proxy still listens: it has to refuse connections for the server.
         self.fleet.fault(f"*:{server.name}", "reset")
-        self.note_unable(server, clocks.monotonic(), float("inf"))
+        self.record_unavailable(server, clocks.monotonic(), float("inf"))
 
     def kill_domain(self, domain: str) -> None:
         """Kills every process of a failure domain."""
-        self.say(f"kill failure domain {domain}")
+        self.log_progress(f"kill failure domain {domain}")
         for vm in self.fleet.vms.values():
             if vm.domain == domain:
                 self.kill_vm(vm)
@@ -145,48 +145,48 @@
 
     def kill_coordinator(self, vm: members.EntryVm) -> None:
         """Kills the coordinator of an entry VM."""
-        self.say(f"kill coordinator of {vm.name}")
+        self.log_progress(f"kill coordinator of {vm.name}")
         vm.coordinator.kill()
         self.fleet.fault(f"*:{vm.name}", "reset")
 
-    def freeze_coordinator(self, vm: members.EntryVm, seconds: float) -> None:
+    def pause_coordinator(self, vm: members.EntryVm, seconds: float) -> None:
         """Pauses a coordinator for a time, as if its VM were paused."""
-        self.say(f"pause coordinator of {vm.name} for {seconds} s")
-        vm.coordinator.send(signal.SIGSTOP)
+        self.log_progress(f"pause coordinator of {vm.name} for {seconds} s")
+        vm.coordinator.send_signal(signal.SIGSTOP)
         time.sleep(seconds)
-        vm.coordinator.send(signal.SIGCONT)
+        vm.coordinator.send_signal(signal.SIGCONT)
 
-    def freeze_server(self, server: members.Server, seconds: float) -> None:
+    def pause_server(self, server: members.Server, seconds: float) -> None:
         """Pauses a server for a time, as if its VM were paused."""
-        self.say(f"pause {server.name} for {seconds} s")
+        self.log_progress(f"pause {server.name} for {seconds} s")
         begin = clocks.monotonic()
-        server.process.send(signal.SIGSTOP)
+        server.process.send_signal(signal.SIGSTOP)
         time.sleep(seconds)
-        server.process.send(signal.SIGCONT)
-        self.note_unable(server, begin, clocks.monotonic())
+        server.process.send_signal(signal.SIGCONT)
+        self.record_unavailable(server, begin, clocks.monotonic())
 
-    def cut(self, pattern: str, seconds: float) -> None:
+    def drop_traffic(self, pattern: str, seconds: float) -> None:
         """Drops all data on the matching links for a time."""
-        self.say(f"drop data on {pattern} for {seconds} s")
+        self.log_progress(f"drop data on {pattern} for {seconds} s")
         self.fleet.fault(pattern, "blackhole")
         time.sleep(seconds)
         self.fleet.fault(pattern, "none")
-        self.say(f"restored {pattern}")
+        self.log_progress(f"restored {pattern}")
 
-    def cut_domain(self, domain: str, seconds: float) -> None:
+    def isolate_domain(self, domain: str, seconds: float) -> None:
         """Isolates a failure domain from the others and the platform."""
         outward, inward = f"{domain}>[!{domain}]:*", f"[!{domain}]>{domain}:*"
         self.fleet.fault(inward, "blackhole")
-        self.cut(outward, seconds)
+        self.drop_traffic(outward, seconds)
         self.fleet.fault(inward, "none")
 
-    def disturb_platform(self, seconds: float, **faults) -> None:
+    def inject_platform_faults(self, seconds: float, **faults) -> None:
         """Injects platform faults for a time."""
-        self.say(f"platform faults {faults} for {seconds} s")
+        self.log_progress(f"platform faults {faults} for {seconds} s")
         self.fleet.platform.faults(**faults)
         time.sleep(seconds)
         self.fleet.platform.faults()
-        self.say("platform faults cleared")
+        self.log_progress("platform faults cleared")
 
     def replace_server(self, old: members.Server, name: str) -> float:
         """Starts a new server and retires an old one.
@@ -194,7 +194,7 @@
         Returns:
             Seconds from the notice until the old server owned no slice.
         """
-        self.say(f"replace {old.name} by {name}")
+        self.log_progress(f"replace {old.name} by {name}")
         self.fleet.add_server(old.service, old.domain, name)
         old.state = base.VmState.LEAVING
         self.fleet.publish_vms()
@@ -204,24 +204,24 @@
             20,
             f"{old.name} owns no slices",
         )
-        taken = clocks.monotonic() - begin
-        old.process.send(signal.SIGTERM)
+        duration_s = clocks.monotonic() - begin
+        old.process.send_signal(signal.SIGTERM)
         old.process.wait(5)
         self.fleet.remove_server(old)
-        return taken
+        return duration_s
 
-    def note_unable(
+    def record_unavailable(
         self, server: members.Server, begin: float, end: float
     ) -> None:
         """Records that a server was unavailable from `begin` to `end`."""
-        self._unable.setdefault(server.name, []).append((begin, end))
+        self._unavailable_spans.setdefault(server.name, []).append((begin, end))
 
-    def idle_use(self) -> measures.ControlUse:
+    def measure_idle_control(self) -> measures.ControlUse:
         """Measures the control overhead without load."""
-        before = measures.sample(self.fleet)
+        before = measures.sample_control(self.fleet)
         begin = clocks.monotonic()
         time.sleep(_IDLE_S)
-        after = measures.sample(self.fleet)
+        after = measures.sample_control(self.fleet)
         return measures.control_use(
             self.fleet, before, after, clocks.monotonic() - begin
         )
@@ -238,10 +238,10 @@
     ) -> measures.Report:
         """Computes the report from records and journals."""
         journals = self.fleet.journals()
-        verdict = evidence.judge(records, journals)
+        violations = evidence.find_violations(records, journals)
         positions = measures.key_positions(self.fleet, records)
         outcome = [record.outcome for record in records]
-        source, unavailable = self._unavailable(
+        source, unavailable = self._unavailable_percentiles(
             records, journals, positions, window
         )
         seconds = window[1] - window[0]
@@ -255,7 +255,7 @@
             unknown=len(records)
             - outcome.count(outcomes.Outcome.ANSWERED.value)
             - outcome.count(outcomes.Outcome.NOT_RUN.value),
-            **msgspec.structs.asdict(verdict),
+            **msgspec.structs.asdict(violations),
             latency_ms=measures.percentiles(measures.latencies(records), 1000),
             direct_latency_ms=measures.percentiles(
                 measures.latencies_of_all(direct), 1000
@@ -275,7 +275,7 @@
             extra=self.extra,
         )
 
-    def _unavailable(self, records, journals, positions, window):
+    def _unavailable_percentiles(self, records, journals, positions, window):
         """Returns the source and the percentiles of keys' unavailable time.
 
         Only affected keys are counted.
@@ -288,7 +288,7 @@
             evidence.intervals(journals),
             list(positions.values()),
             *window,
-            self._unable,
+            self._unavailable_spans,
         )
         affected = [gap for gap in gaps if gap > 0]
         return "grants", measures.percentiles(affected or [0.0])
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -13,7 +13,7 @@
 __all__ = ["BY_NAME", "Scenario", "TwoFaults"]
 
 # Load before the fault, as the baseline.
-_BEFORE_S = 3.0
+_WARM_UP_S = 3.0
 
 
 class Scenario(abc.ABC):
@@ -27,11 +27,11 @@
         """Returns the load of this scenario."""
         return run.plan()
 
-    def conclude(self, run: run_lib.Run, begin: float, end: float) -> None:
+    def add_metrics(self, run: run_lib.Run, begin: float, end: float) -> None:
         """Adds metrics of the scenario to `run.extra` after the load."""
 
     @abc.abstractmethod
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """Injects the faults while the load runs."""
 
     def describe(self) -> str:
@@ -55,7 +55,7 @@
     name = "steady"
     seconds = 6.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
 
 
@@ -64,9 +64,9 @@
 
     name = "crash-server"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.kill_server(busiest_server(run.fleet))
 
 
@@ -75,10 +75,10 @@
 
     name = "freeze-server"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
-        run.freeze_server(busiest_server(run.fleet), 4.0)
+        time.sleep(_WARM_UP_S)
+        run.pause_server(busiest_server(run.fleet), 4.0)
 
 
 class PauseCoordinator(Scenario):
@@ -86,10 +86,10 @@
 
     name = "pause-coordinator"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
-        run.freeze_coordinator(run.fleet.keyed_holder(), 4.0)
+        time.sleep(_WARM_UP_S)
+        run.pause_coordinator(run.fleet.keyed_holder(), 4.0)
 
 
 class CrashCoordinator(Scenario):
@@ -97,9 +97,9 @@
 
     name = "crash-coordinator"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.kill_coordinator(run.fleet.keyed_holder())
 
 
@@ -108,11 +108,11 @@
 
     name = "crash-both"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
         holder = run.fleet.keyed_holder()
         server = busiest_server(run.fleet)
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.kill_coordinator(holder)
         run.kill_server(server)
 
@@ -123,11 +123,11 @@
     name = "cut-domain-from-platform"
     seconds = 16.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
         domain = run.fleet.keyed_holder().domain
-        time.sleep(_BEFORE_S)
-        run.cut(f"{domain}>-:platform", 8.0)
+        time.sleep(_WARM_UP_S)
+        run.drop_traffic(f"{domain}>-:platform", 8.0)
 
 
 class CutDomainFromAll(Scenario):
@@ -139,11 +139,11 @@
     name = "cut-domain-from-all"
     seconds = 18.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
         domain = run.fleet.keyed_holder().domain
-        time.sleep(_BEFORE_S)
-        run.cut_domain(domain, 8.0)
+        time.sleep(_WARM_UP_S)
+        run.isolate_domain(domain, 8.0)
 
 
 class StoreOutage(Scenario):
@@ -152,10 +152,10 @@
     name = "store-outage"
     seconds = 24.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
-        run.disturb_platform(self.seconds - 8.0, outage=True)
+        time.sleep(_WARM_UP_S)
+        run.inject_platform_faults(self.seconds - 8.0, outage=True)
 
 
 class StoreSlow(Scenario):
@@ -164,12 +164,12 @@
     name = "store-slow"
     seconds = 24.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.fleet.platform.faults(delay_s=1.5)
         run.kill_server(busiest_server(run.fleet))
-        run.disturb_platform(12.0, delay_s=1.5)
+        run.inject_platform_faults(12.0, delay_s=1.5)
 
 
 class LostAnswers(Scenario):
@@ -177,12 +177,12 @@
 
     name = "lost-answers"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.fleet.platform.faults(lose_answers=0.5, lag_reads=0.2)
         run.kill_server(busiest_server(run.fleet))
-        run.disturb_platform(6.0, lose_answers=0.5, lag_reads=0.2)
+        run.inject_platform_faults(6.0, lose_answers=0.5, lag_reads=0.2)
 
 
 class DomainLoss(Scenario):
@@ -191,10 +191,10 @@
     name = "domain-loss"
     seconds = 14.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
         domain = run.fleet.keyed_holder().domain
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.kill_domain(domain)
 
 
@@ -204,9 +204,9 @@
     name = "rolling-replacement"
     seconds = 26.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         slowest = 0.0
         for index, old in enumerate(run.fleet.keyed_servers()[:3]):
             slowest = max(slowest, run.replace_server(old, f"new-{index}"))
@@ -224,10 +224,12 @@
         if self._parts:
             self.seconds = max(part.seconds for part in self._parts)
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
         with concurrent.futures.ThreadPoolExecutor(2) as pool:
-            waits = [pool.submit(part.disturb, run) for part in self._parts]
+            waits = [
+                pool.submit(part.inject_faults, run) for part in self._parts
+            ]
             for wait in waits:
                 wait.result()
 
@@ -238,19 +240,19 @@
     name = "hot-keys"
     seconds = 36.0
     rate = 500.0
-    _turns = 2
+    _phases = 2
     _window_s = 3.0
 
     def load(self, run: run_lib.Run) -> load.Plan:
         """See base class."""
         return run.plan(
-            hot_keys=15, hot_share=0.5, shift_s=run.seconds / self._turns
+            hot_keys=15, hot_share=0.5, shift_s=run.seconds / self._phases
         )
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class. The load itself changes the hot keys."""
 
-    def conclude(self, run: run_lib.Run, begin: float, end: float) -> None:
+    def add_metrics(self, run: run_lib.Run, begin: float, end: float) -> None:
         """See base class."""
         journals = run.fleet.journals()
         at, series = begin, []
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -75,12 +75,12 @@
     before = {role: _read(fleet, *pair) for role, pair in daemons.items()}
     begin = time.monotonic()
     time.sleep(_SAMPLE_S)
-    taken = time.monotonic() - begin
+    duration_s = time.monotonic() - begin
     found = {}
     for role, pair in daemons.items():
         after = _read(fleet, *pair)
         pairs = zip(before[role], after, strict=True)
-        rates = [(new - old) / taken for old, new in pairs]
+        rates = [(new - old) / duration_s for old, new in pairs]
         found[role] = {
             "bytes_per_s": round(rates[0], 1),
             "messages_per_s": round(rates[1], 2),
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -4,7 +4,7 @@
 
 __all__ = ["is_clean", "render"]
 
-_ZEROS = {
+_VIOLATIONS = {
     "lost": "protected requests answered but run by no server",
     "doubled": "protected actions that ran more than once",
     "crossed": "answers that were for another request, or partial",
@@ -16,7 +16,7 @@
 def is_clean(report: measures.Report) -> bool:
     """Returns whether requests were answered and no guarantee was violated."""
     return report.answered > 0 and not any(
-        getattr(report, name) for name in _ZEROS
+        getattr(report, name) for name in _VIOLATIONS
     )
 
 
@@ -38,7 +38,7 @@
     lines = [f"{report.organisation}: one server killed under load", ""]
     lines += [f"  {name:<34}{value}" for name, value in rows]
     lines += ["", "  must be zero, by journals and callers' records:"]
-    for name, text in _ZEROS.items():
+    for name, text in _VIOLATIONS.items():
         lines.append(f"  {getattr(report, name):>6}  {text}")
     lines.append("")
     lines.append("  " + ("passed" if is_clean(report) else "FAILED"))
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -52,25 +52,25 @@
     target: int
 
 
-class _Pipe(asyncio.Protocol):
+class _Endpoint(asyncio.Protocol):
     """One end of a proxied connection; `other` is the opposite end."""
 
-    def __init__(self, route: "_Route", other: "_Pipe | None"):
+    def __init__(self, route: "_Route", other: "_Endpoint | None"):
         self.route = route
         self.other = other
         self.transport: asyncio.Transport | None = None
-        self.is_silent = False
-        self._early: list[bytes] = []
+        self.is_stalled = False
+        self._pending: list[bytes] = []
 
     def connection_made(self, transport):
         self.transport = transport
-        self.route.pipes.add(self)
+        self.route.endpoints.add(self)
         if self.other is None:
-            self.other = _Pipe(self.route, self)
+            self.other = _Endpoint(self.route, self)
             self._connecting = asyncio.ensure_future(self._connect())
-        for data in self._early:
+        for data in self._pending:
             transport.write(data)
-        self._early.clear()
+        self._pending.clear()
 
     async def _connect(self):
         loop = asyncio.get_running_loop()
@@ -84,20 +84,20 @@
 
     def data_received(self, data):
         fault = self.route.fault
-        if self.is_silent or fault.kind is FaultKind.BLACKHOLE:
+        if self.is_stalled or fault.kind is FaultKind.BLACKHOLE:
             # Dropped bytes can't be restored, so the stream stays stalled even
             # after the fault is cleared.
-            self.is_silent = True
+            self.is_stalled = True
         elif fault.kind is FaultKind.DELAY:
             loop = asyncio.get_running_loop()
-            loop.call_later(fault.delay_s, self._pass_on, data)
+            loop.call_later(fault.delay_s, self._forward, data)
         else:
-            self._pass_on(data)
+            self._forward(data)
 
-    def _pass_on(self, data):
+    def _forward(self, data):
         other = self.other
         if other.transport is None:
-            other._early.append(data)
+            other._pending.append(data)
         elif not other.transport.is_closing():
             other.transport.write(data)
 
@@ -110,8 +110,8 @@
             self.other.transport.resume_reading()
 
     def connection_lost(self, exc):
-        self.route.pipes.discard(self)
-        if self.is_silent or self.route.fault.kind is FaultKind.BLACKHOLE:
+        self.route.endpoints.discard(self)
+        if self.is_stalled or self.route.fault.kind is FaultKind.BLACKHOLE:
             return
         if self.other and self.other.transport:
             self.other.transport.close()
@@ -122,7 +122,7 @@
     def __init__(self, link: Link):
         self.link = link
         self.fault = Fault("*", FaultKind.NONE)
-        self.pipes: set[_Pipe] = set()
+        self.endpoints: set[_Endpoint] = set()
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
@@ -132,24 +132,24 @@
         )
 
     def _accept(self) -> asyncio.Protocol:
-        return _Pipe(self, None)
+        return _Endpoint(self, None)
 
     async def set_fault(self, fault: Fault) -> None:
         """Applies a fault to open connections and to new ones."""
         if fault.kind is FaultKind.SILENT:
-            for pipe in self.pipes:
-                pipe.is_silent = True
+            for endpoint in self.endpoints:
+                endpoint.is_stalled = True
             return
-        was, self.fault = self.fault, fault
+        previous, self.fault = self.fault, fault
         if fault.kind is FaultKind.RESET and self._server is not None:
             self._server.close()
             self._server = None
-            for pipe in list(self.pipes):
-                pipe.transport.abort()
-        if was.kind is FaultKind.BLACKHOLE:
-            for pipe in list(self.pipes):
-                if pipe.is_silent:
-                    pipe.transport.abort()
+            for endpoint in list(self.endpoints):
+                endpoint.transport.abort()
+        if previous.kind is FaultKind.BLACKHOLE:
+            for endpoint in list(self.endpoints):
+                if endpoint.is_stalled:
+                    endpoint.transport.abort()
         if fault.kind is not FaultKind.RESET and self._server is None:
             await self.open()
 
--- a/standins/journal.py
+++ b/standins/journal.py
@@ -8,7 +8,15 @@
 
 import msgspec
 
-__all__ = ["Draining", "Entry", "Journal", "Own", "Renew", "Run", "read"]
+__all__ = [
+    "DrainCompleted",
+    "Entry",
+    "Journal",
+    "LeaseRenewal",
+    "OwnershipChange",
+    "Run",
+    "read",
+]
 
 
 class Run(msgspec.Struct, tag="run", array_like=True):
@@ -27,7 +35,7 @@
     commit: float
 
 
-class Own(msgspec.Struct, tag="own", array_like=True):
+class OwnershipChange(msgspec.Struct, tag="own", array_like=True):
     """A grant changed the set of slices that the server owns.
 
     Attributes:
@@ -43,20 +51,20 @@
     service: str
 
 
-class Renew(msgspec.Struct, tag="renew", array_like=True):
+class LeaseRenewal(msgspec.Struct, tag="renew", array_like=True):
     """A grant extended the lease of an unchanged set of slices."""
 
     at: float
     until: float
 
 
-class Draining(msgspec.Struct, tag="draining", array_like=True):
+class DrainCompleted(msgspec.Struct, tag="draining", array_like=True):
     """The last request in flight on released slices has ended."""
 
     at: float
 
 
-Entry = Run | Own | Renew | Draining
+Entry = Run | OwnershipChange | LeaseRenewal | DrainCompleted
 _DECODER = msgspec.json.Decoder(Entry)
 
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -48,7 +48,7 @@
         self.vm_lists = 0
         self._random = random.Random(seed)
         self._rows: dict[str, tuple[bytes, int]] = {}
-        self._older: dict[str, tuple[bytes, int]] = {}
+        self._previous_rows: dict[str, tuple[bytes, int]] = {}
         self._attempts: set[str] = set()
         self._history: dict[str, list[bytes]] = {}
         self._objects: dict[str, bytes] = {}
@@ -68,36 +68,36 @@
         app.router.add_get("/history", self._show_history)
         return app
 
-    async def _disturb(self) -> None:
+    async def _apply_faults(self) -> None:
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         if self.faults.outage:
             raise web.HTTPServiceUnavailable(text="outage")
 
     async def _read(self, request: web.Request) -> web.Response:
-        await self._disturb()
+        await self._apply_faults()
         self.reads += 1
         key = request.query.get("key")
         prefix = request.query.get("prefix", "")
         keys = [key] if key is not None else sorted(self._rows)
-        found = [
+        rows = [
             self._row_body(name)
             for name in keys
             if name in self._rows
             and (key is not None or name.startswith(prefix))
         ]
-        return _json([row for row in found if row is not None])
+        return _json([row for row in rows if row is not None])
 
     def _row_body(self, key: str) -> provider_http.RowBody | None:
         value, version = self._rows[key]
         if self._random.random() < self.faults.lag_reads:
-            if key not in self._older:
+            if key not in self._previous_rows:
                 return None
-            value, version = self._older[key]
+            value, version = self._previous_rows[key]
         return provider_http.RowBody(key, value, version)
 
     async def _transact(self, request: web.Request) -> web.Response:
-        await self._disturb()
+        await self._apply_faults()
         if self.faults.refuse_writes:
             raise web.HTTPServiceUnavailable(text="read only")
         self.writes += 1
@@ -120,19 +120,19 @@
         for write in body.writes:
             if write.value is not None:
                 if write.key in self._rows:
-                    self._older[write.key] = self._rows[write.key]
+                    self._previous_rows[write.key] = self._rows[write.key]
                 version = write.expected_version + 1
                 self._rows[write.key] = (write.value, version)
                 self._history.setdefault(write.key, []).append(write.value)
 
     async def _put(self, request: web.Request) -> web.Response:
-        await self._disturb()
+        await self._apply_faults()
         self.writes += 1
         self._objects[request.match_info["name"]] = await request.read()
         return _json({})
 
     async def _get(self, request: web.Request) -> web.Response:
-        await self._disturb()
+        await self._apply_faults()
         self.reads += 1
         body = self._objects.get(request.match_info["name"])
         if body is None:
@@ -140,7 +140,7 @@
         return web.Response(body=body)
 
     async def _vms(self, request: web.Request) -> web.Response:
-        await self._disturb()
+        await self._apply_faults()
         self.vm_lists += 1
         body = self._vms_by_view.get(request.match_info["view"], b"[]")
         headers = {"ETag": f'"{zlib.crc32(body):08x}"'}
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -45,61 +45,63 @@
         self._expires = 0.0
         self._slices: tuple[grants.GrantedSlice, ...] = ()
         # Slices owned earlier; only filled if fences are ignored.
-        self._former: tuple[grants.GrantedSlice, ...] = ()
+        self._released_slices: tuple[grants.GrantedSlice, ...] = ()
         self._draining: dict[grants.GrantedSlice, float] = {}
         self._in_flight: dict[grants.GrantedSlice, int] = {}
 
-    def look(self) -> grants.GrantReply:
+    def status(self) -> grants.GrantReply:
         """Returns the clock and a digest of the owned slices."""
         return self._reply(True)
 
     def grant(self, grant: grants.Grant) -> grants.GrantReply:
         """Accepts a grant unless stale, expired or for another instance."""
         now = clocks.monotonic()
-        problem = self._problem(grant, now)
-        if problem and not self.ignores_fence:
-            return self._reply(False, problem)
+        reason = self._rejection_reason(grant, now)
+        if reason and not self.ignores_fence:
+            return self._reply(False, reason)
         self.epoch, self._sequence = grant.epoch, grant.sequence
         if grant.slices is not None and grant.digest != self._digest:
-            self._take(grant, now)
+            self._apply_grant(grant, now)
         else:
             self._expires = grant.expires
-            self._journal.write(journal_lib.Renew(now, grant.expires))
+            self._journal.write(journal_lib.LeaseRenewal(now, grant.expires))
         return self._reply(True)
 
-    def find(
+    def admitting_slice(
         self, position: int, fence: int, now: float
     ) -> grants.GrantedSlice | None:
         """Returns the owned slice that admits a new request, or None."""
         if now >= self._expires and not self.ignores_fence:
             return None
-        for piece in self._slices + self._former:
-            if piece.start <= position < piece.end:
-                is_allowed = piece.fence == fence or self.ignores_fence
-                return piece if is_allowed else None
+        for owned_slice in self._slices + self._released_slices:
+            if owned_slice.start <= position < owned_slice.end:
+                is_allowed = owned_slice.fence == fence or self.ignores_fence
+                return owned_slice if is_allowed else None
         return None
 
-    def may_commit(self, piece: grants.GrantedSlice, now: float) -> bool:
+    def may_commit(self, owned_slice: grants.GrantedSlice, now: float) -> bool:
         """Returns whether a running request on a slice may still commit."""
         if self.ignores_fence:
             return True
-        if piece in self._draining:
-            return now < self._draining[piece]
-        return piece in self._slices and now < self._expires
+        if owned_slice in self._draining:
+            return now < self._draining[owned_slice]
+        return owned_slice in self._slices and now < self._expires
 
-    def enter(self, piece: grants.GrantedSlice) -> None:
+    def begin_request(self, owned_slice: grants.GrantedSlice) -> None:
         """Counts a request in flight on a slice."""
-        self._in_flight[piece] = self._in_flight.get(piece, 0) + 1
+        self._in_flight[owned_slice] = self._in_flight.get(owned_slice, 0) + 1
 
-    def leave(self, piece: grants.GrantedSlice) -> None:
+    def end_request(self, owned_slice: grants.GrantedSlice) -> None:
         """Removes a request in flight on a slice that has ended."""
-        self._in_flight[piece] -= 1
-        if not self._in_flight[piece]:
-            del self._in_flight[piece]
-            if self._draining.pop(piece, None) and not self._draining:
-                self._journal.write(journal_lib.Draining(clocks.monotonic()))
+        self._in_flight[owned_slice] -= 1
+        if not self._in_flight[owned_slice]:
+            del self._in_flight[owned_slice]
+            if self._draining.pop(owned_slice, None) and not self._draining:
+                self._journal.write(
+                    journal_lib.DrainCompleted(clocks.monotonic())
+                )
 
-    def _problem(self, grant: grants.Grant, now: float) -> str:
+    def _rejection_reason(self, grant: grants.Grant, now: float) -> str:
         if grant.instance != self.instance:
             return "grant is for another instance of this server"
         if (grant.epoch, grant.sequence) <= (self.epoch, self._sequence):
@@ -110,18 +112,20 @@
             return "digest doesn't match the owned slices"
         return ""
 
-    def _take(self, grant: grants.Grant, now: float) -> None:
+    def _apply_grant(self, grant: grants.Grant, now: float) -> None:
         released = set(self._slices) - set(grant.slices)
-        for piece in released & set(self._in_flight):
-            self._draining[piece] = self._expires
+        for owned_slice in released & set(self._in_flight):
+            self._draining[owned_slice] = self._expires
         if self.ignores_fence:
-            self._former = self._slices + self._former
+            self._released_slices = self._slices + self._released_slices
         self._slices = tuple(grant.slices)
         self._digest = grant.digest
         self._expires = grant.expires
-        parts = [(p.start, p.end, p.fence) for p in self._slices]
+        slices = [(p.start, p.end, p.fence) for p in self._slices]
         service = f"{grant.organisation}/{grant.service}"
-        self._journal.write(journal_lib.Own(now, grant.expires, parts, service))
+        self._journal.write(
+            journal_lib.OwnershipChange(now, grant.expires, slices, service)
+        )
 
     def _reply(self, accepted: bool, reason: str = "") -> grants.GrantReply:
         draining = sum(self._in_flight.get(p, 0) for p in self._draining)
@@ -162,7 +166,7 @@
             grant = msgspec.json.decode(await request.read(), type=grants.Grant)
             return _json(self._ownership.grant(grant))
         if request.path == upstream_http.CLOCK_PATH and self._ownership:
-            return _json(self._ownership.look())
+            return _json(self._ownership.status())
         if request.path == "/":
             return web.Response(text="ok")
         digest = hashlib.sha256()
@@ -174,7 +178,7 @@
         headers = request.headers
         deadline_ms = int(headers.get(outcomes.DEADLINE_HEADER, 1 << 60))
         if self._waiting >= _QUEUE_LIMIT:
-            return _not_run(request, 503, "busy")
+            return _not_run_response(request, 503, "busy")
         self._waiting += 1
         try:
             await self._slots.acquire()
@@ -191,13 +195,15 @@
         fence = int(headers.get(outcomes.FENCE_HEADER, 0))
         position = hashing.key_hash(self._organisation, self._service, key)
         start = clocks.monotonic()
-        piece = None
+        owned_slice = None
         is_direct = request.path.startswith("/direct")
         if self._ownership and not is_direct:
-            piece = self._ownership.find(position, fence, start)
-            if piece is None:
-                return _not_run(request, 421, "not the owner")
-            self._ownership.enter(piece)
+            owned_slice = self._ownership.admitting_slice(
+                position, fence, start
+            )
+            if owned_slice is None:
+                return _not_run_response(request, 421, "not the owner")
+            self._ownership.begin_request(owned_slice)
         try:
             service_s = float(request.query.get("ms", -1)) / 1000
             await asyncio.sleep(self._service_s if service_s < 0 else service_s)
@@ -205,10 +211,12 @@
             # that a pause in between can't record a commit time that the check
             # didn't see.
             commit = clocks.monotonic()
-            if piece and not self._ownership.may_commit(piece, commit):
-                return _not_run(request, 421, "no longer the owner")
+            if owned_slice and not self._ownership.may_commit(
+                owned_slice, commit
+            ):
+                return _not_run_response(request, 421, "no longer the owner")
             if time.time_ns() // 1_000_000 >= deadline_ms:
-                return _not_run(request, 503, "deadline exceeded")
+                return _not_run_response(request, 503, "deadline exceeded")
             self._journal.write(
                 journal_lib.Run(
                     headers.get(outcomes.REQUEST_ID_HEADER, ""),
@@ -220,23 +228,23 @@
                     commit,
                 )
             )
-            return _answer(request, digest)
+            return _response(request, digest)
         finally:
-            if piece:
-                self._ownership.leave(piece)
+            if owned_slice:
+                self._ownership.end_request(owned_slice)
 
 
-def _answer(request, digest: str) -> web.Response:
+def _response(request, digest: str) -> web.Response:
     request_id = request.headers.get(outcomes.REQUEST_ID_HEADER, "")
     size = int(request.query.get("bytes", 0))
-    head = f"{request_id} {digest} ".encode()
+    prefix = f"{request_id} {digest} ".encode()
     return web.Response(
-        body=head.ljust(size, b"."),
+        body=prefix.ljust(size, b"."),
         headers={outcomes.REQUEST_ID_HEADER: request_id},
     )
 
 
-def _not_run(request, status: int, text: str) -> web.Response:
+def _not_run_response(request, status: int, text: str) -> web.Response:
     request_id = request.headers.get(outcomes.REQUEST_ID_HEADER, "")
     headers = {
         outcomes.REQUEST_ID_HEADER: request_id,
@@ -267,7 +275,7 @@
         ownership = None
         if args.fenced:
             ownership = Ownership(journal, args.ignores_fence)
-        standin = UpstreamStandin(
+        upstream = UpstreamStandin(
             ownership,
             journal,
             args.organisation,
@@ -276,7 +284,7 @@
             args.service_ms / 1000,
         )
         server = web.Server(
-            standin.handle, access_log=None, handler_cancellation=True
+            upstream.handle, access_log=None, handler_cancellation=True
         )
         runner = web.ServerRunner(server)
         await runner.setup()
--- a/tests/integration/callers.py
+++ b/tests/integration/callers.py
@@ -25,7 +25,7 @@
         return json.loads(self.body)["reason"]
 
 
-def ask(port, path, method="GET", body=None, headers=None, timeout=15):
+def send(port, path, method="GET", body=None, headers=None, timeout=15):
     """Sends one request on a new connection and returns the response."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout)
     try:
@@ -36,7 +36,7 @@
         connection.close()
 
 
-def ask_raw(port: int, data: bytes) -> Answer:
+def send_raw(port: int, data: bytes) -> Answer:
     """Sends raw bytes and reads one response."""
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(data)
--- a/tests/integration/test_bad_input.py
+++ b/tests/integration/test_bad_input.py
@@ -24,7 +24,7 @@
 @pytest.fixture(autouse=True)
 def lives_on(fleet, port):
     yield
-    answer = callers.ask(port, "/tiny/store/x", headers=KEY)
+    answer = callers.send(port, "/tiny/store/x", headers=KEY)
     assert (answer.status, answer.outcome) == (200, "answered")
     assert all(process.is_running() for process in fleet.all_processes())
 
@@ -63,7 +63,7 @@
 )
 def test_refused_and_not_run(fleet, port, path, headers, status, reason):
     before = run_count(fleet)
-    answer = callers.ask(port, path, headers=headers)
+    answer = callers.send(port, path, headers=headers)
     assert (answer.status, answer.reason) == (status, reason)
     assert answer.outcome == "not-run"
     assert run_count(fleet) == before
@@ -83,7 +83,7 @@
         "POST /tiny/store/x HTTP/1.1\r\nHost: h\r\nSwiftstile-Key: k\r\n"
         f"Content-Length: {length}\r\n\r\n"
     )
-    answer = callers.ask_raw(port, head.encode() + b"start")
+    answer = callers.send_raw(port, head.encode() + b"start")
     assert (answer.status, answer.reason) == (413, "body-too-large")
     assert answer.outcome == "not-run"
 
@@ -108,7 +108,7 @@
     ],
 )
 def test_malformed_heads_are_refused(port, head, status):
-    answer = callers.ask_raw(port, head.encode() + b"\r\n\r\n")
+    answer = callers.send_raw(port, head.encode() + b"\r\n\r\n")
     assert answer.status == status
     assert answer.outcome == "not-run"
 
@@ -124,7 +124,7 @@
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(head.encode() + b"x" * (length // 2))
     # A later request through the same router has passed after it.
-    assert callers.ask(port, "/tiny/store/x", headers=KEY).status == 200
+    assert callers.send(port, "/tiny/store/x", headers=KEY).status == 200
     assert not callers.runs_of(fleet, request_id)
 
 
@@ -154,7 +154,7 @@
         "Swiftstile-Epoch": "999",
         "Swiftstile-Request-Id": "forged",
     }
-    answer = callers.ask(port, "/tiny/store/x", headers=forged)
+    answer = callers.send(port, "/tiny/store/x", headers=forged)
     assert answer.status == 200
     (run,) = callers.runs_of(fleet, "forged")
     assert run.fence == 1
--- a/tests/integration/test_ownership.py
+++ b/tests/integration/test_ownership.py
@@ -40,7 +40,7 @@
 def ask(fleet, key, port=None, method="GET"):
     port = port or next(iter(fleet.vms.values())).router_port
     headers = {"Swiftstile-Key": key}
-    return callers.ask(port, "/tiny/store/x", method, headers=headers)
+    return callers.send(port, "/tiny/store/x", method, headers=headers)
 
 
 def overlaps(fleet) -> int:
@@ -54,12 +54,12 @@
     server = fleet.servers[owner_of(fleet, key)]
     fence = fence_of(fleet, key)
     assert ask(fleet, key).status == 200
-    server.process.send(signal.SIGSTOP)
+    server.process.send_signal(signal.SIGSTOP)
     wait_moved(fleet, key, server.name)
     assert ask(fleet, key).status == 200
-    server.process.send(signal.SIGCONT)
+    server.process.send_signal(signal.SIGCONT)
     headers = {"Swiftstile-Key": key, "Swiftstile-Fence": str(fence)}
-    return callers.ask(server.port, "/x", headers=headers)
+    return callers.send(server.port, "/x", headers=headers)
 
 
 def test_resumed_server_rejects_requests_of_moved_keys(fleet):
@@ -153,14 +153,14 @@
 def test_two_coordinators_never_both_hold(fleet):
     """A coordinator that was paused past its lease steps down."""
     holder = fleet.keyed_holder()
-    holder.coordinator.send(signal.SIGSTOP)
+    holder.coordinator.send_signal(signal.SIGSTOP)
     others = [vm for vm in fleet.vms.values() if vm is not holder]
 
     def taken_over():
         return any(holds(fleet, vm) for vm in others)
 
     processes.wait_until(taken_over, 20, "take-over")
-    holder.coordinator.send(signal.SIGCONT)
+    holder.coordinator.send_signal(signal.SIGCONT)
 
     def stepped_down():
         return holds(fleet, holder) is False
@@ -191,7 +191,7 @@
 
 def test_coordinator_shutdown_hands_over_at_once(fleet):
     holder = fleet.keyed_holder()
-    holder.coordinator.send(signal.SIGTERM)
+    holder.coordinator.send_signal(signal.SIGTERM)
     assert holder.coordinator.wait(10) == 0
     fleet.fault(f"*:{holder.name}", "reset")
     assert fleet.keyed_holder() is not holder
--- a/tests/integration/test_path.py
+++ b/tests/integration/test_path.py
@@ -28,7 +28,7 @@
                 "Swiftstile-Key": f"key-{number}",
                 "Swiftstile-Request-Id": f"owner-{number}-{port}",
             }
-            answer = callers.ask(port, "/tiny/store/x", headers=headers)
+            answer = callers.send(port, "/tiny/store/x", headers=headers)
             assert (answer.status, answer.outcome) == (200, "answered")
     owners: dict[str, set[str]] = {}
     for server, entries in fleet.journals().items():
@@ -45,22 +45,22 @@
     for size in (0, 1, 70_000, 3_000_000):
         body = bytes(size)
         path = f"/tiny/forms/x?bytes={size}"
-        answer = callers.ask(port, path, "POST", body)
+        answer = callers.send(port, path, "POST", body)
         assert answer.status == 200
         assert len(answer.body) >= size
-        chunked = callers.ask(port, path, "POST", iter([body, b"end"]))
+        chunked = callers.send(port, path, "POST", iter([body, b"end"]))
         assert chunked.status == 200
 
 
 def test_head_has_no_body(fleet):
-    answer = callers.ask(router_ports(fleet)[0], "/tiny/forms/x", "HEAD")
+    answer = callers.send(router_ports(fleet)[0], "/tiny/forms/x", "HEAD")
     assert (answer.status, answer.body) == (200, b"")
 
 
 def test_deadline_passes_to_the_server_and_ends_the_wait(fleet):
     port = router_ports(fleet)[0]
     headers = KEY | {"Swiftstile-Timeout-Ms": "200"}
-    answer = callers.ask(port, "/tiny/store/x?ms=3000", headers=headers)
+    answer = callers.send(port, "/tiny/store/x?ms=3000", headers=headers)
     # The request was sent, so it may have run.
     assert (answer.status, answer.outcome) == (502, "unknown")
 
@@ -70,7 +70,7 @@
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         waits = [
             pool.submit(
-                callers.ask,
+                callers.send,
                 port,
                 "/tiny/store/x?ms=20000",
                 headers=KEY,
@@ -81,7 +81,7 @@
         assert all(isinstance(w.exception(), TimeoutError) for w in waits)
     # Those callers had taken all three slots of the key's owner.
     headers = KEY | {"Swiftstile-Timeout-Ms": "3000"}
-    answer = callers.ask(port, "/tiny/store/x", headers=headers)
+    answer = callers.send(port, "/tiny/store/x", headers=headers)
     assert answer.status == 200
 
 
@@ -153,14 +153,14 @@
     with concurrent.futures.ThreadPoolExecutor(4) as pool:
         slow = [
             pool.submit(
-                callers.ask, vm.router_port, f"/tiny/forms/x?ms=1500&n={n}"
+                callers.send, vm.router_port, f"/tiny/forms/x?ms=1500&n={n}"
             )
             for n in range(4)
         ]
         processes.wait_until(
             lambda: _in_flight(fleet, vm) >= 4, 5, "requests in flight"
         )
-        vm.router.send(signal.SIGTERM)
+        vm.router.send_signal(signal.SIGTERM)
         answers = [future.result() for future in slow]
     assert [answer.status for answer in answers] == [200] * 4
     assert vm.router.wait(10) == 0
--- a/tests/integration/test_platform_faults.py
+++ b/tests/integration/test_platform_faults.py
@@ -19,7 +19,7 @@
     processes.wait_until(
         lambda: fleet.platform.stats()["vm_lists"] >= seen + 12, 15, "reads"
     )
-    answer = callers.ask(
+    answer = callers.send(
         next(iter(fleet.vms.values())).router_port,
         "/tiny/store/x",
         headers=KEY,
@@ -40,7 +40,7 @@
         return all(s and not s["platform_reachable"] for s in states)
 
     processes.wait_until(nobody_reaches_it, 15, "outage noticed")
-    answer = callers.ask(vms[0].router_port, "/tiny/store/x", headers=KEY)
+    answer = callers.send(vms[0].router_port, "/tiny/store/x", headers=KEY)
     assert answer.status == 200
     with pytest.raises(RuntimeError, match="ended with 4"):
         fleet.run_cli("bundle", "approve", str(path))
--- a/tests/unit/test_ablate.py
+++ b/tests/unit/test_ablate.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("mechanism", ablate.MECHANISMS, ids=lambda m: m.name)
-def test_the_edits_of_a_mechanism_fit_and_compile(mechanism, tmp_path):
+def test_the_edits_of_a_mechanism_match_and_compile(mechanism, tmp_path):
     for edit in mechanism.edits:
         copy = tmp_path / edit.path
         copy.parent.mkdir(parents=True, exist_ok=True)
@@ -21,7 +21,7 @@
         compile((tmp_path / edit.path).read_text(), edit.path, "exec")
 
 
-def test_an_edit_that_does_not_fit_is_noticed(tmp_path):
+def test_an_edit_that_matches_twice_is_rejected(tmp_path):
     (tmp_path / "a.py").write_text("x = 1\nx = 1\n")
     twice = ablate.Mechanism("twice", (ablate.Edit("a.py", "x = 1", "x = 2"),))
     with pytest.raises(ValueError):
--- a/tests/unit/test_evidence.py
+++ b/tests/unit/test_evidence.py
@@ -13,12 +13,14 @@
 
 
 def own(at, until, *pieces):
-    return journal.Own(at, until, list(pieces), "tiny/store")
+    return journal.OwnershipChange(at, until, list(pieces), "tiny/store")
 
 
 def test_clean_run_has_no_faults():
-    verdict = evidence.judge([builders.record()], {"s": [builders.run()]})
-    assert verdict.is_clean()
+    violations = evidence.find_violations(
+        [builders.record()], {"s": [builders.run()]}
+    )
+    assert violations.is_clean()
 
 
 @pytest.mark.parametrize(
@@ -57,9 +59,9 @@
         ),
     ],
 )
-def test_each_fault_is_found(fault, record, journals):
-    verdict = evidence.judge([record], journals)
-    assert getattr(verdict, fault) == 1
+def test_each_violation_is_detected(fault, record, journals):
+    violations = evidence.find_violations([record], journals)
+    assert getattr(violations, fault) == 1
 
 
 def test_release_ends_ownership_but_a_request_in_flight_extends_it():
@@ -76,7 +78,7 @@
     found = evidence.intervals(
         {
             "s": [own(1.0, 5.0, (0, 100, 1))],
-            "t": [own(5.5, 9.0, (0, 50, 2)), journal.Renew(8.0, 20.0)],
+            "t": [own(5.5, 9.0, (0, 50, 2)), journal.LeaseRenewal(8.0, 20.0)],
         }
     )
     gaps = evidence.gaps_by_position(found, [10, 70], 2, 10, {"s": [(4, 99)]})
@@ -84,7 +86,11 @@
 
 
 def test_journal_reads_what_it_wrote(tmp_path: pathlib.Path):
-    entries = [builders.run(), own(1.0, 2.0, (0, 9, 1)), journal.Renew(1, 2)]
+    entries = [
+        builders.run(),
+        own(1.0, 2.0, (0, 9, 1)),
+        journal.LeaseRenewal(1, 2),
+    ]
     path = tmp_path / "j"
     writer = journal.Journal(str(path))
     for entry in entries:
--- a/tests/unit/test_free_ports.py
+++ b/tests/unit/test_free_ports.py
@@ -9,11 +9,11 @@
 from benchmarks import processes
 
 
-def test_no_port_is_given_twice(monkeypatch):
+def test_no_port_is_returned_twice(monkeypatch):
     first, second = processes.free_ports(2)
     drawn = iter([first, first, second, second + 1, second + 1, second + 2])
     monkeypatch.setattr("random.randint", lambda *_: next(drawn))
-    monkeypatch.setattr(processes, "_given", set())
+    monkeypatch.setattr(processes, "_returned_ports", set())
     found = processes.free_ports(3, "127.99.99.1")
     assert found == [first, second, second + 1]
 
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -29,7 +29,7 @@
 
 _ROOT = pathlib.Path(__file__).resolve().parents[1]
 _GATEWAY = "src/swiftstile/gateway"
-_BASE = "all on"
+_BASELINE = "all on"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -54,94 +54,94 @@
     edits: tuple[Edit, ...] = ()
 
 
-def _off(name: str, module: str, old: str, new: str) -> Mechanism:
+def _mechanism(name: str, module: str, old: str, new: str) -> Mechanism:
     return Mechanism(name, (Edit(f"{_GATEWAY}/{module}.py", old, new),))
 
 
 MECHANISMS = (
-    Mechanism(_BASE),
-    _off(
+    Mechanism(_BASELINE),
+    _mechanism(
         "requests overlap on a connection",
         "callers",
         "MAX_CONCURRENT_REQUESTS = 8",
         "MAX_CONCURRENT_REQUESTS = 1",
     ),
-    _off(
+    _mechanism(
         "permits from one VM an owner",
         "permits",
         "                arbiter = self._selector.arbiter_of(target, now)",
         "                pass",
     ),
-    _off(
+    _mechanism(
         "one VM of a domain assigns slots without owners",
         "permits",
         "        if self._gate.admission.vm_count"
         " > admission.MAX_VMS_WITHOUT_SAMPLING:",
         "        if False:",
     ),
-    _off(
+    _mechanism(
         "slowdowns that upstreams report",
         "targets",
         "SLOWDOWN_TTL_S = 0.2",
         "SLOWDOWN_TTL_S = 0.0",
     ),
-    _off(
+    _mechanism(
         "ranges as wide as links ask for",
         "renewal_budget",
         "RENEWAL_SHARE = 0.005",
         "RENEWAL_SHARE = 1.0",
     ),
-    _off(
+    _mechanism(
         "returning callers are known",
         "caller_retries",
         "        if not matches:",
         "        if matches or not matches:",
     ),
-    _off(
+    _mechanism(
         "lookups wait beyond their objective",
         "admission",
         "if waiter.is_centrally_decided and not"
         " self._is_contended(waiter, now):",
         "if False:",
     ),
-    _off(
+    _mechanism(
         "late with a reserve, not by the mean work",
         "admission",
         "LATENESS_MARGIN, MAX_MARGIN_OF_SLACK = 0.6, 0.5",
         "LATENESS_MARGIN, MAX_MARGIN_OF_SLACK = 0.0, 0.5",
     ),
-    _off(
+    _mechanism(
         "late lookups go to idle slots only",
         "admission",
         "if waiter.owner is not None and waiter.is_late(now):",
         "if False:",
     ),
-    _off(
+    _mechanism(
         "late requests after those in time",
         "admission",
         "            self.is_late(now),\n            self.route.priority,",
         "            False,\n            self.route.priority,",
     ),
-    _off(
+    _mechanism(
         "starved late requests are refused",
         "admission",
         "return waiter.queue_key in contested and"
         " self._is_contended(waiter, now)",
         "return False",
     ),
-    _off(
+    _mechanism(
         "slow only beyond three times the usual",
         "targets",
         "STALL_FACTOR = 3.0",
         "STALL_FACTOR = 1.4",
     ),
-    _off(
+    _mechanism(
         "sheds with room return soon",
         "exchange",
         "load is not None and load.running < load.slots",
         "False",
     ),
-    _off(
+    _mechanism(
         "cut-off owners are refused at once",
         "owners",
         "return self._peers.is_domain_unreachable(\n"
@@ -149,37 +149,37 @@
         "        )",
         "return False",
     ),
-    _off(
+    _mechanism(
         "hot slots move to faster upstreams",
         "slotplan",
         "        return list(found)",
         "        return []",
     ),
-    _off(
+    _mechanism(
         "keys beside a hot slot move away",
         "slotplan",
         "minimum, remaining[owner] - share * weights[owner]",
         "minimum, remaining[owner]",
     ),
-    _off(
+    _mechanism(
         "one slow owner of many is relieved",
         "keyplan",
         "OVERLOAD_TOLERANCE = 0.4",
         "OVERLOAD_TOLERANCE = 1e9",
     ),
-    _off(
+    _mechanism(
         "shares by measured speed",
         "slotplan",
         "return max(1, target.upstream.slots) * speed",
         "return max(1, target.upstream.slots) * min(1.0, max(1.0, speed))",
     ),
-    _off(
+    _mechanism(
         "speeds from all VMs' answers",
         "speeds",
         "        self._peers.receive(node, samples, now)",
         "        del node, samples, now",
     ),
-    _off(
+    _mechanism(
         "counts from other VMs",
         "targets",
         "            if now - reported_at < PEER_COUNT_TTL_S\n        )\n\n"
@@ -187,55 +187,55 @@
         "            if now < reported_at\n        )\n\n"
         "    def waiting_elsewhere",
     ),
-    _off(
+    _mechanism(
         "home first",
         "admission",
         "CROSS_DOMAIN_COST = 0.2",
         "CROSS_DOMAIN_COST = 0.0",
     ),
-    _off(
+    _mechanism(
         "large bodies stay home",
         "admission",
         "CROSS_DOMAIN_COST_LARGE = 0.75",
         "CROSS_DOMAIN_COST_LARGE = 0.2",
     ),
-    _off(
+    _mechanism(
         "spread of Retry-After",
         "admission",
         "RETRY_JITTER = 0.4",
         "RETRY_JITTER = 0.0",
     ),
-    _off(
+    _mechanism(
         "hand-over tokens",
         "renewals",
         "                slot.token,\n                is_due,",
         '                "",\n                is_due,',
     ),
-    _off(
+    _mechanism(
         "penalties after failures",
         "targets",
         "        self._penalty_until = now + penalty",
         "        self._penalty_until = now",
     ),
-    _off(
+    _mechanism(
         "second sends",
         "budget",
         "        return retries + 1 <= SAFETY_FACTOR * bound",
         "        return retries + 1 <= 0 * bound",
     ),
-    _off(
+    _mechanism(
         "a successor knows its predecessor's marks",
         "succession",
         "        return times[position] + authority.STOPPED_AFTER_S",
         "        return None",
     ),
-    _off(
+    _mechanism(
         "silent VMs aren't waited for",
         "moves",
         "        stop = min(stopped_at, _latest_stop_at(peer, quorum_since))",
         "        stop = stopped_at",
     ),
-    _off(
+    _mechanism(
         "our own table through readers",
         "readers",
         "MAX_INDEPENDENT_VMS_FOR_STATE = 2",
@@ -262,7 +262,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Play:
+class _Simulation:
     """One day of one site with one mechanism disabled."""
 
     mechanism: Mechanism
@@ -271,7 +271,7 @@
     seed: int
 
 
-class _Workers:
+class _CheckoutPool:
     """Copies of the checkout, each used by one simulation at a time."""
 
     def __init__(self, folder: pathlib.Path, count: int):
@@ -285,78 +285,81 @@
             )
             self._free.put(copy)
 
-    def play(self, play: _Play, options) -> dict:
+    def run(self, simulation: _Simulation, options) -> dict:
         """Runs one simulation and returns the bench's report."""
         copy = self._free.get()
         try:
             subprocess.run(["git", "checkout", "-q", "."], cwd=copy, check=True)
-            apply(play.mechanism, copy)
-            return _run(play, copy, options)
+            apply(simulation.mechanism, copy)
+            return _run_bench(simulation, copy, options)
         finally:
             self._free.put(copy)
 
 
-def _run(play: _Play, copy: pathlib.Path, options) -> dict:
+def _run_bench(simulation: _Simulation, copy: pathlib.Path, options) -> dict:
     report = copy / "target" / "report.json"
     report.parent.mkdir(exist_ok=True)
     report.unlink(missing_ok=True)
     command = [
         options.bench,
         "run",
-        str(play.site),
-        play.day,
+        str(simulation.site),
+        simulation.day,
         "--seed",
-        str(play.seed),
+        str(simulation.seed),
         "--no-cpu",
         "--report",
         str(report),
         "--why",
-        f"ablation: {play.mechanism.name}, seed {play.seed}",
+        f"ablation: {simulation.mechanism.name}, seed {simulation.seed}",
     ]
     if options.until:
         command += ["--until", str(options.until)]
-    done = subprocess.run(command, cwd=copy, capture_output=True, text=True)
+    process = subprocess.run(command, cwd=copy, capture_output=True, text=True)
     if not report.exists():
-        raise RuntimeError(f"{play}: {done.stdout[-500:]}{done.stderr[-500:]}")
+        raise RuntimeError(
+            f"{simulation}: {process.stdout[-500:]}{process.stderr[-500:]}"
+        )
     return json.loads(report.read_text())
 
 
-def _summary(play: _Play, told: dict) -> dict:
+def _summary(simulation: _Simulation, report: dict) -> dict:
     return {
-        "mechanism": play.mechanism.name,
-        "site": play.site.stem,
-        "day": play.day,
-        "seed": play.seed,
-        "worth": told["G"],
-        "served": told["served"],
-        "broken": sorted(told["breaks"]),
-        "prices": {name: price for name, _, price in told["prices"] if price},
+        "mechanism": simulation.mechanism.name,
+        "site": simulation.site.stem,
+        "day": simulation.day,
+        "seed": simulation.seed,
+        "worth": report["G"],
+        "served": report["served"],
+        "broken": sorted(report["breaks"]),
+        "prices": {name: price for name, _, price in report["prices"] if price},
     }
 
 
 def _measure(options) -> int:
-    chosen = [
+    mechanisms = [
         entry
         for entry in MECHANISMS
-        if not options.only or entry.name in (_BASE, *options.only)
+        if not options.only or entry.name in (_BASELINE, *options.only)
     ]
-    plays = [
-        _Play(mechanism, pathlib.Path(site), options.day, seed)
-        for mechanism in chosen
+    simulations = [
+        _Simulation(mechanism, pathlib.Path(site), options.day, seed)
+        for mechanism in mechanisms
         for seed in range(
             options.first_seed, options.first_seed + options.seeds
         )
         for site in options.site
     ]
-    workers = _Workers(pathlib.Path(options.work), options.jobs)
+    checkouts = _CheckoutPool(pathlib.Path(options.work), options.jobs)
     results = []
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
         futures = {
-            pool.submit(workers.play, play, options): play for play in plays
+            pool.submit(checkouts.run, simulation, options): simulation
+            for simulation in simulations
         }
         for future in concurrent.futures.as_completed(futures):
-            play = futures[future]
-            results.append(_summary(play, future.result()))
+            simulation = futures[future]
+            results.append(_summary(simulation, future.result()))
             print(json.dumps(results[-1]), flush=True)
     pathlib.Path(options.out).write_text(json.dumps(results, indent=1) + "\n")
     return 0
@@ -364,29 +367,29 @@
 
 def _differences(results: list[dict]) -> dict[str, dict[str, list[float]]]:
     """Returns the worth lost without each mechanism, by site, for each seed."""
-    by_play = {
+    by_simulation = {
         (entry["mechanism"], entry["site"], entry["seed"]): entry["worth"]
         for entry in results
     }
-    found: dict[str, dict[str, list[float]]] = {}
-    for (name, site, seed), worth in sorted(by_play.items()):
-        base = by_play.get((_BASE, site, seed))
-        if name != _BASE and base is not None:
-            sites = found.setdefault(name, {})
+    differences: dict[str, dict[str, list[float]]] = {}
+    for (name, site, seed), worth in sorted(by_simulation.items()):
+        base = by_simulation.get((_BASELINE, site, seed))
+        if name != _BASELINE and base is not None:
+            sites = differences.setdefault(name, {})
             sites.setdefault(site, []).append(base - worth)
-    return found
+    return differences
 
 
 def _table(options) -> int:
     results = json.loads(pathlib.Path(options.results).read_text())
-    found = _differences(results)
+    differences = _differences(results)
     sites = sorted({entry["site"] for entry in results})
     print("| without | " + " | ".join(sites) + " |")
     print("|---|" + "---|" * len(sites))
-    for name in sorted(found, key=lambda key: -_mean(found[key])):
+    for name in sorted(differences, key=lambda key: -_mean(differences[key])):
         cells = []
         for site in sites:
-            lost = found[name].get(site, [])
+            lost = differences[name].get(site, [])
             spread = f" ({min(lost):+.3f} to {max(lost):+.3f})" if lost else ""
             cells.append(
                 f"{statistics.mean(lost):+.3f}{spread}" if lost else "not run"
@@ -408,12 +411,14 @@
     from matplotlib import pyplot
 
     results = json.loads(pathlib.Path(options.results).read_text())
-    found = _differences(results)
-    names = sorted(found, key=lambda key: _mean(found[key]))
+    differences = _differences(results)
+    names = sorted(differences, key=lambda key: _mean(differences[key]))
     sites = sorted({entry["site"] for entry in results})
     figure, axes = pyplot.subplots(figsize=(9, 0.34 * len(names) + 1.5))
     for offset, site in enumerate(sites):
-        means = [statistics.mean(found[n].get(site, [0.0])) for n in names]
+        means = [
+            statistics.mean(differences[n].get(site, [0.0])) for n in names
+        ]
         rows = [row + 0.25 * (offset - 1) for row in range(len(names))]
         axes.barh(rows, means, height=0.24, label=site)
     axes.set_yticks(range(len(names)), names)
@@ -427,8 +432,8 @@
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    verbs = parser.add_subparsers(required=True)
-    measure = verbs.add_parser(
+    commands = parser.add_subparsers(required=True)
+    measure = commands.add_parser(
         "measure", help="run simulations and write results"
     )
     measure.add_argument(
@@ -446,10 +451,10 @@
     measure.add_argument("--work", required=True, help="folder for the copies")
     measure.add_argument("--out", required=True)
     measure.set_defaults(run=_measure)
-    table = verbs.add_parser("table", help="print results as a table")
+    table = commands.add_parser("table", help="print results as a table")
     table.add_argument("results")
     table.set_defaults(run=_table)
-    plot = verbs.add_parser("plot", help="plot results")
+    plot = commands.add_parser("plot", help="plot results")
     plot.add_argument("results")
     plot.add_argument("--out", required=True)
     plot.set_defaults(run=_plot)
--- a/tools/check_boundary.py
+++ b/tools/check_boundary.py
@@ -9,7 +9,7 @@
 import re
 import sys
 
-_WORDS = re.compile(
+_PLATFORM_NAMES = re.compile(
     r"X-(Attempt-Id|Deadline-Ms|Expect-Instance|Instance-(Id|Load)|Shard-Key"
     r"|Not-Executed|Server-Signature|Handover)"
     r"|rows-(tx|get|feed|parts)|blob-(put|get|drop|list)"
@@ -17,13 +17,13 @@
 )
 
 
-def problems(path: pathlib.Path) -> list[str]:
+def find_errors(path: pathlib.Path) -> list[str]:
     """Returns a message for each line that uses a name of the platform."""
     lines = path.read_text().splitlines()
     return [
         f"{path}:{number}: {found[0]} belongs in the adapter"
         for number, line in enumerate(lines, 1)
-        if (found := _WORDS.search(line))
+        if (found := _PLATFORM_NAMES.search(line))
     ]
 
 
@@ -35,7 +35,7 @@
         for path in pathlib.Path(name).rglob("*.py")
         if path.name != pathlib.Path(__file__).name
     ]
-    found = [line for path in sorted(files) for line in problems(path)]
+    found = [line for path in sorted(files) for line in find_errors(path)]
     print(
         "\n".join(found) or f"{len(files)} files use no names of the platform"
     )
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -21,9 +21,9 @@
         return False
 
 
-def problems(path: pathlib.Path) -> list[str]:
+def find_errors(path: pathlib.Path) -> list[str]:
     """Returns a message for each imported name that isn't a module."""
-    found = []
+    errors = []
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.ImportFrom) or node.module in _EXEMPT:
             continue
@@ -32,8 +32,8 @@
                 continue
             if not _is_module(f"{node.module}.{alias.name}"):
                 where = f"{path}:{node.lineno}"
-                found.append(f"{where}: {alias.name} isn't a module")
-    return found
+                errors.append(f"{where}: {alias.name} isn't a module")
+    return errors
 
 
 def main() -> int:
@@ -46,9 +46,9 @@
         for name in sys.argv[1:]
         for path in pathlib.Path(name).rglob("*.py")
     ]
-    found = [line for path in sorted(files) for line in problems(path)]
-    print("\n".join(found) or f"{len(files)} files import modules only")
-    return 1 if found else 0
+    errors = [line for path in sorted(files) for line in find_errors(path)]
+    print("\n".join(errors) or f"{len(files)} files import modules only")
+    return 1 if errors else 0
 
 
 if __name__ == "__main__":
--- a/tools/lost_worth.py
+++ b/tools/lost_worth.py
@@ -17,41 +17,41 @@
 import pathlib
 import sys
 
-__all__ = ["Line", "Losses", "read"]
+__all__ = ["LogLine", "Losses", "read"]
 
 # A late answer that spent more than this part of its time queued is classified
 # as having waited for a slot.
-_MAIN_PART = 0.5
+_QUEUED_PART_OF_LATE = 0.5
 # Worth of a late answer relative to one in time; the same for all classes of
 # the report.
 LATE_WORTH = 0.5
 _WINDOW_S = 4
-_CLASS_WINDOW = 2
+_CAUSES_SHOWN = 2
 
 
 @dataclasses.dataclass(frozen=True)
-class Line:
+class LogLine:
     """A log line about a request."""
 
     at_s: float
-    told: dict
+    fields: dict
 
 
-def read(path: pathlib.Path) -> list[Line]:
+def read(path: pathlib.Path) -> list[LogLine]:
     """Returns the lines about requests; skips all others."""
-    found = []
+    lines = []
     for text in path.read_text(errors="replace").splitlines():
         head, brace, tail = text.partition("{")
-        words = head.split()
-        if not brace or len(words) != 2:
+        columns = head.split()
+        if not brace or len(columns) != 2:
             continue
         try:
-            told, at_s = json.loads(brace + tail), float(words[0])
+            fields, at_s = json.loads(brace + tail), float(columns[0])
         except ValueError:
             continue
-        if "id" in told:
-            found.append(Line(at_s, told))
-    return found
+        if "id" in fields:
+            lines.append(LogLine(at_s, fields))
+    return lines
 
 
 class Losses:
@@ -70,28 +70,28 @@
         # Losses of all kinds, by start of the window in seconds.
         self.by_window: dict[int, collections.Counter[str]] = {}
 
-    def note(self, line: Line) -> None:
+    def record(self, line: LogLine) -> None:
         """Counts one line; the lines of a request must be in order."""
-        told = line.told
-        if told["event"] == "sent":
-            self._sent.setdefault(told["id"], told)
-        elif told["event"] == "answered":
-            self._note_answered(line)
-        elif told["event"] == "refused":
-            self._count(self.refused, _reason(told), line)
-        elif told["event"] in ("failed", "abandoned"):
-            self._count(self.failed, _reason(told), line)
-
-    def _note_answered(self, line: Line) -> None:
-        told = line.told
-        first = self._sent.pop(told["id"], None)
-        objective_ms = self._objective_ms.get(told["service"])
-        waited_ms = told.get("waited_ms", 0)
+        fields = line.fields
+        if fields["event"] == "sent":
+            self._sent.setdefault(fields["id"], fields)
+        elif fields["event"] == "answered":
+            self._record_answered(line)
+        elif fields["event"] == "refused":
+            self._count(self.refused, _reason(fields), line)
+        elif fields["event"] in ("failed", "abandoned"):
+            self._count(self.failed, _reason(fields), line)
+
+    def _record_answered(self, line: LogLine) -> None:
+        fields = line.fields
+        first = self._sent.pop(fields["id"], None)
+        objective_ms = self._objective_ms.get(fields["service"])
+        waited_ms = fields.get("waited_ms", 0)
         if objective_ms is None or waited_ms <= objective_ms:
             return
         queued_ms = (first or {}).get("waited_ms", 0)
         occupied = (first or {}).get("occupied", 0)
-        if queued_ms > _MAIN_PART * waited_ms:
+        if queued_ms > _QUEUED_PART_OF_LATE * waited_ms:
             cause = "waited for a slot"
         elif occupied > 2:
             cause = "queued at its upstream"
@@ -99,23 +99,23 @@
             cause = "worked on for long"
         self._count(self.late, f"late: {cause}", line)
 
-    def _count(self, counter, cause: str, line: Line) -> None:
+    def _count(self, counter, cause: str, line: LogLine) -> None:
         counter[cause] += 1
         window = int(line.at_s // _WINDOW_S * _WINDOW_S)
         windows = self.by_window.setdefault(window, collections.Counter())
         windows[cause] += 1
 
 
-def _reason(told: dict) -> str:
-    if told["event"] == "abandoned":
+def _reason(fields: dict) -> str:
+    if fields["event"] == "abandoned":
         return "caller left"
-    kind, _, text = told.get("reason", "?").partition(":")
+    kind, _, text = fields.get("reason", "?").partition(":")
     if kind == "overloaded":
         if "no owner" in text:
             return "refused: key without owner"
-        when = "after a wait" if told.get("waited_ms", 0) > 20 else "at once"
+        when = "after a wait" if fields.get("waited_ms", 0) > 20 else "at once"
         return f"refused: no slot, {when}"
-    return f"{told['event']}: {kind}"
+    return f"{fields['event']}: {kind}"
 
 
 def _shares(lost: float, counter: collections.Counter[str]) -> dict:
@@ -126,11 +126,11 @@
 
 
 def _print_causes(report: dict, losses: Losses) -> None:
-    everyone = report["all"]
+    totals = report["all"]
     lost = sum(entry["n"] * (1 - entry["worth"]) for entry in report["classes"])
-    causes = _shares((1 - LATE_WORTH) * everyone["late"], losses.late)
-    causes |= _shares(everyone["refused"], losses.refused)
-    failed = _shares(everyone["failed"], losses.failed)
+    causes = _shares((1 - LATE_WORTH) * totals["late"], losses.late)
+    causes |= _shares(totals["refused"], losses.refused)
+    failed = _shares(totals["failed"], losses.failed)
     for cause, part in failed.items():
         causes[cause] = causes.get(cause, 0.0) + part
     print("| cause | lost, in requests | share |")
@@ -146,11 +146,11 @@
     print("| from second | attempts late, refused or failed | main causes |")
     print("|---|---|---|")
     for window, counter in sorted(losses.by_window.items()):
-        most = ", ".join(
+        causes = ", ".join(
             f"{cause} {count}"
-            for cause, count in counter.most_common(_CLASS_WINDOW)
+            for cause, count in counter.most_common(_CAUSES_SHOWN)
         )
-        print(f"| {window} | {sum(counter.values())} | {most} |")
+        print(f"| {window} | {sum(counter.values())} | {causes} |")
 
 
 def _main() -> int:
@@ -165,7 +165,7 @@
         objectives[service] = float(value)
     losses = Losses(objectives)
     for line in read(options.log):
-        losses.note(line)
+        losses.record(line)
     _print_causes(json.loads(options.report.read_text()), losses)
     _print_windows(losses)
     return 0
