--- a/tests/integration/gateways.py
+++ b/tests/integration/gateways.py
@@ -21,7 +21,7 @@
 _ROOT = pathlib.Path(__file__).resolve().parents[2]
 ZONES = ("z1", "z2", "z3")
 # Length of the log excerpt shown for a gateway that exited unexpectedly.
-_TOLD_CHARS = 2000
+_LOG_TAIL_CHARS = 2000
 
 
 def render(template: str, fields: dict) -> str:
@@ -93,12 +93,12 @@
     def is_running(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         if self.is_running:
             self.process.send_signal(number)
 
-    async def end(self, number: signal.Signals) -> int:
-        self.send(number)
+    async def stop(self, number: signal.Signals) -> int:
+        self.send_signal(number)
         async with asyncio.timeout(20):
             return await self.process.wait()
 
@@ -218,12 +218,12 @@
         folder: pathlib.Path,
         gateways: int,
         seed: int = 1,
-        has_narrow_doors: bool = False,
+        has_narrow_links: bool = False,
     ):
-        self._has_narrow_doors = has_narrow_doors
+        self._has_narrow_links = has_narrow_links
         self._links = contextlib.AsyncExitStack()
         self.store = users_standins.Store()
-        self.world = users_standins.World(self.store)
+        self.cluster = users_standins.Cluster(self.store)
         self._folder = folder
         self._count = gateways
         self.gateways: list[Gateway] = []
@@ -247,31 +247,33 @@
         finally:
             for gateway in self.gateways:
                 if gateway.is_running:
-                    gateway.send(signal.SIGCONT)
-                    await gateway.end(signal.SIGKILL)
+                    gateway.send_signal(signal.SIGCONT)
+                    await gateway.stop(signal.SIGKILL)
             await self._links.aclose()
-            await self.world.close()
+            await self.cluster.close()
             await self.store.close()
 
     async def _add(self, number: int) -> None:
         run = f"{os.getpid() % 200 + 1}.{self._seed % 200 + 1}"
         host = f"127.{run}.{number + 1}"
-        door = await self.store.open_door(number)
-        if self._has_narrow_doors:
-            link = narrow_link.NarrowLink(door)
-            door = (await self._links.enter_async_context(link)).address
-        gateway = Gateway(number, host, door, self._folder)
+        endpoint = await self.store.open_endpoint(number)
+        if self._has_narrow_links:
+            link = narrow_link.NarrowLink(endpoint)
+            endpoint = (await self._links.enter_async_context(link)).address
+        gateway = Gateway(number, host, endpoint, self._folder)
         await gateway.start()
         self.gateways.append(gateway)
 
     async def add_server(self, service: str, zone: str):
         """Starts a server; it owns no keys yet."""
-        return await self.world.start(service, zone)
+        return await self.cluster.start(service, zone)
 
     async def is_serving(self) -> bool:
         """Returns whether all gateways serve a sample of the keys."""
         for gateway in self.gateways:
-            assert gateway.is_running, gateway.log.read_text()[-_TOLD_CHARS:]
+            assert gateway.is_running, gateway.log.read_text()[
+                -_LOG_TAIL_CHARS:
+            ]
             for key in range(0, users_standins.KEYS, 8192):
                 outcome = await self.callers.call("/read/x", key, gateway)
                 if outcome.status != 200:
@@ -284,24 +286,24 @@
             while not await condition():
                 await asyncio.sleep(0.02)
 
-    async def play(self, scenario, start_s: float = 30) -> None:
+    async def run_scenario(self, scenario, start_s: float = 30) -> None:
         """Runs a scenario and checks that no guarantee was violated."""
         async with self.running(start_s=start_s):
             await scenario(self)
-        assert self.broken_promises() == []
+        assert self.violated_guarantees() == []
 
-    def broken_promises(self) -> list[str]:
+    def violated_guarantees(self) -> list[str]:
         """Returns the violated guarantees that callers or servers observed."""
-        ran = {run.attempt for run in self.world.runs}
-        faults = list(self.world.faults)
+        ran = {run.attempt for run in self.cluster.runs}
+        violations = list(self.cluster.violations)
         for outcome in self.callers.outcomes:
             if outcome.echoed != outcome.attempt:
-                faults.append(f"{outcome.attempt} got {outcome.echoed}")
+                violations.append(f"{outcome.attempt} got {outcome.echoed}")
             is_own = outcome.body.startswith(outcome.attempt.encode())
             if outcome.status == 200 and not is_own:
-                faults.append(f"{outcome.attempt} got {outcome.body!r}")
+                violations.append(f"{outcome.attempt} got {outcome.body!r}")
             is_refused = outcome.status in (408, 421, 429, 503)
             is_once = outcome.method != "GET"
             if is_once and is_refused and outcome.attempt in ran:
-                faults.append(f"{outcome.attempt} was refused and ran")
-        return faults
+                violations.append(f"{outcome.attempt} was refused and ran")
+        return violations
--- a/tests/integration/narrow_link.py
+++ b/tests/integration/narrow_link.py
@@ -28,8 +28,8 @@
         self._tasks: set[asyncio.Task] = set()
         self._server: asyncio.Server | None = None
         self.address = ""
-        self.passed = 0
-        self.stop_after: int | None = None
+        self.forwarded = 0
+        self.stall_after: int | None = None
 
     async def __aenter__(self) -> "NarrowLink":
         self._server = await asyncio.start_server(
@@ -52,35 +52,37 @@
         task.add_done_callback(self._tasks.discard)
         host, _, port = self._target.rpartition(":")
         with contextlib.suppress(OSError, asyncio.CancelledError):
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 host, int(port), limit=_CHUNK_BYTES
             )
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._ask(reader, far_writer))
-                group.create_task(self._answer(far_reader, writer))
+                group.create_task(self._forward_requests(reader, target_writer))
+                group.create_task(
+                    self._forward_responses(target_reader, writer)
+                )
         writer.close()
 
     @staticmethod
-    async def _ask(reader, writer) -> None:
+    async def _forward_requests(reader, writer) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(_CHUNK_BYTES):
                 writer.write(data)
                 await writer.drain()
         writer.close()
 
-    async def _answer(self, reader, writer) -> None:
+    async def _forward_responses(self, reader, writer) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(_CHUNK_BYTES):
-                await self._take_turn(len(data))
+                await self._wait_for_bandwidth(len(data))
                 writer.write(data)
                 await writer.drain()
-                self.passed += len(data)
+                self.forwarded += len(data)
         writer.close()
 
-    async def _take_turn(self, size: int) -> None:
+    async def _wait_for_bandwidth(self, size: int) -> None:
         loop = asyncio.get_running_loop()
-        stop = self.stop_after
-        if stop is not None and self.passed + size > stop:
+        limit = self.stall_after
+        if limit is not None and self.forwarded + size > limit:
             await loop.create_future()
         begin = max(loop.time(), self._free_at)
         self._free_at = begin + size / self._bytes_per_s
--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -22,9 +22,9 @@
 from tests.integration import gateways
 
 # Time between two faults, in seconds: short enough that they overlap.
-_GAP_S = (0.2, 2.0)
+_INTERVAL_S = (0.2, 2.0)
 # Duration of a fault, in seconds.
-_LENGTH_S = (0.5, 5.0)
+_DURATION_S = (0.5, 5.0)
 # Requests per second during the faults.
 _RATE = 40
 # Time after the last fault within which all keys must be served again.
@@ -70,20 +70,20 @@
             to_reader, to_writer = await asyncio.open_connection(*self._target)
             self._writers.add(to_writer)
             await asyncio.gather(
-                self._pump(reader, to_writer, is_back=False),
-                self._pump(to_reader, writer, is_back=True),
+                self._forward(reader, to_writer, is_response=False),
+                self._forward(to_reader, writer, is_response=True),
             )
             self._writers.discard(to_writer)
         self._writers.discard(writer)
 
-    async def _pump(self, reader, writer, is_back: bool) -> None:
+    async def _forward(self, reader, writer, is_response: bool) -> None:
         try:
             while data := await reader.read(65536):
                 if self.mode == "delay":
                     await asyncio.sleep(0.3)
-                while self.mode == "silent":
+                while self.mode == "stalled":
                     await asyncio.sleep(0.05)
-                if self.mode == "one-way" and is_back:
+                if self.mode == "one-way" and is_response:
                     continue
                 writer.write(data)
                 await writer.drain()
@@ -97,16 +97,18 @@
     Args:
         site: The site.
         seed: Seed that the faults are drawn from.
-        has_all: Whether all kinds of faults are drawn; False excludes server
-            restarts and pipelining, which were added later, so that older seeds
-            still draw the same faults.
+        has_all_kinds: Whether all kinds of faults are drawn; False excludes
+            server restarts and pipelining, which were added later, so that
+            older seeds still draw the same faults.
     """
 
-    def __init__(self, site: gateways.Site, seed: int, has_all: bool = True):
+    def __init__(
+        self, site: gateways.Site, seed: int, has_all_kinds: bool = True
+    ):
         self._site = site
-        self._has_all = has_all
+        self._has_all_kinds = has_all_kinds
         self._random = random.Random(seed)
-        self._undo: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task] = set()
         self._busy: set[int] = set()
         self.history: list[str] = []
 
@@ -115,31 +117,31 @@
         faults = [
             self._kill,
             self._pause,
-            self._stop_in_order,
-            self._harm_connections,
-            self._harm_store,
+            self._shut_down,
+            self._inject_connection_fault,
+            self._inject_store_fault,
             self._drop_history,
             self._crash_server,
-            self._empty_server,
-            self._ignore_orders,
+            self._drain_server,
+            self._delay_grants,
         ]
-        if self._has_all:
-            faults += [self._start_server_again, self._pipeline]
+        if self._has_all_kinds:
+            faults += [self._restart_server, self._pipeline]
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         while loop.time() < end:
             fault = self._random.choice(faults)
-            task = asyncio.create_task(fault(self._length_s()))
-            self._undo.add(task)
-            task.add_done_callback(self._undo.discard)
-            await asyncio.sleep(self._random.uniform(*_GAP_S))
-        if self._undo:
-            await asyncio.gather(*self._undo)
+            task = asyncio.create_task(fault(self._draw_duration_s()))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+            await asyncio.sleep(self._random.uniform(*_INTERVAL_S))
+        if self._tasks:
+            await asyncio.gather(*self._tasks)
 
-    def _length_s(self) -> float:
-        return self._random.uniform(*_LENGTH_S)
+    def _draw_duration_s(self) -> float:
+        return self._random.uniform(*_DURATION_S)
 
-    def _note(self, text: str) -> None:
+    def _record(self, text: str) -> None:
         now = asyncio.get_running_loop().time()
         self.history.append(f"{now:.2f} {text}")
 
@@ -158,108 +160,108 @@
         finally:
             self._busy.discard(chosen.number)
 
-    async def _kill(self, length_s: float) -> None:
+    async def _kill(self, duration_s: float) -> None:
         with self._gateway() as gateway:
             if gateway is None:
                 return
-            self._note(f"kill vm-{gateway.number} for {length_s:.1f}")
-            await gateway.end(signal.SIGKILL)
-            await asyncio.sleep(length_s)
+            self._record(f"kill vm-{gateway.number} for {duration_s:.1f}")
+            await gateway.stop(signal.SIGKILL)
+            await asyncio.sleep(duration_s)
             await gateway.start()
 
-    async def _pause(self, length_s: float) -> None:
+    async def _pause(self, duration_s: float) -> None:
         with self._gateway() as gateway:
             if gateway is None:
                 return
-            self._note(f"pause vm-{gateway.number} for {length_s:.1f}")
-            gateway.send(signal.SIGSTOP)
-            await asyncio.sleep(length_s)
-            gateway.send(signal.SIGCONT)
+            self._record(f"pause vm-{gateway.number} for {duration_s:.1f}")
+            gateway.send_signal(signal.SIGSTOP)
+            await asyncio.sleep(duration_s)
+            gateway.send_signal(signal.SIGCONT)
 
-    async def _stop_in_order(self, _length_s: float) -> None:
+    async def _shut_down(self, _duration_s: float) -> None:
         with self._gateway() as gateway:
             if gateway is None:
                 return
-            self._note(f"shut down vm-{gateway.number}")
-            await gateway.end(signal.SIGTERM)
+            self._record(f"shut down vm-{gateway.number}")
+            await gateway.stop(signal.SIGTERM)
             await gateway.start()
 
-    async def _harm_connections(self, length_s: float) -> None:
+    async def _inject_connection_fault(self, duration_s: float) -> None:
         proxy = self._random.choice(self._site.proxies)
-        mode = self._random.choice(("delay", "reset", "silent", "one-way"))
-        self._note(f"connections {mode} for {length_s:.1f}")
+        mode = self._random.choice(("delay", "reset", "stalled", "one-way"))
+        self._record(f"connections {mode} for {duration_s:.1f}")
         proxy.set_mode(mode)
-        await asyncio.sleep(length_s)
+        await asyncio.sleep(duration_s)
         proxy.set_mode("pass")
 
-    async def _harm_store(self, length_s: float) -> None:
-        doors = range(len(self._site.gateways))
+    async def _inject_store_fault(self, duration_s: float) -> None:
+        endpoints = range(len(self._site.gateways))
         if self._random.random() < 0.5:
-            doors = [self._random.choice(doors)]
-        mode = self._random.choice(("busy", "silent", "lost", "late"))
-        self._note(f"store {mode} at {list(doors)} for {length_s:.1f}")
-        for door in doors:
-            self._site.store.mode_by_door[door] = mode
-        await asyncio.sleep(length_s)
-        for door in doors:
-            self._site.store.mode_by_door.pop(door, None)
-
-    async def _drop_history(self, _length_s: float) -> None:
-        self._note("store drops its history")
-        self._site.store.forget_history()
+            endpoints = [self._random.choice(endpoints)]
+        mode = self._random.choice(("busy", "unresponsive", "lost", "late"))
+        self._record(f"store {mode} at {list(endpoints)} for {duration_s:.1f}")
+        for endpoint in endpoints:
+            self._site.store.mode_by_endpoint[endpoint] = mode
+        await asyncio.sleep(duration_s)
+        for endpoint in endpoints:
+            self._site.store.mode_by_endpoint.pop(endpoint, None)
+
+    async def _drop_history(self, _duration_s: float) -> None:
+        self._record("store drops its history")
+        self._site.store.drop_history()
 
     def _server(self):
-        up = [
+        running = [
             server
-            for server in self._site.world.by_id.values()
+            for server in self._site.cluster.by_id.values()
             if server.is_up and not server.is_leaving
         ]
-        of_service = [s for s in up if s.service == "keyed"]
-        return self._random.choice(of_service) if len(of_service) > 3 else None
+        keyed = [s for s in running if s.service == "keyed"]
+        return self._random.choice(keyed) if len(keyed) > 3 else None
 
-    async def _crash_server(self, length_s: float) -> None:
+    async def _crash_server(self, duration_s: float) -> None:
         server = self._server()
         if server is None:
             return
-        self._note(f"crash {server.name}")
+        self._record(f"crash {server.name}")
         await server.stop()
-        await asyncio.sleep(min(length_s, 2.0))
+        await asyncio.sleep(min(duration_s, 2.0))
         server.unregister()
         await self._site.add_server(server.service, server.zone)
 
-    async def _empty_server(self, length_s: float) -> None:
+    async def _drain_server(self, duration_s: float) -> None:
         server = self._server()
         if server is None:
             return
-        self._note(f"{server.name} leaves")
+        self._record(f"{server.name} leaves")
         server.is_leaving = True
         server.register("draining")
-        await asyncio.sleep(2.0 + length_s)
+        await asyncio.sleep(2.0 + duration_s)
         server.unregister()
         await server.stop()
         await self._site.add_server(server.service, server.zone)
 
-    async def _ignore_orders(self, length_s: float) -> None:
+    async def _delay_grants(self, duration_s: float) -> None:
         server = self._server()
         if server is None:
             return
-        self._note(f"{server.name} delays grants for {length_s:.1f}")
-        server.late_share = 0.4
-        await asyncio.sleep(length_s)
-        server.late_share = 0.0
+        self._record(f"{server.name} delays grants for {duration_s:.1f}")
+        server.delayed_grant_share = 0.4
+        await asyncio.sleep(duration_s)
+        server.delayed_grant_share = 0.0
 
-    async def _start_server_again(self, length_s: float) -> None:
+    async def _restart_server(self, duration_s: float) -> None:
         server = self._server()
         if server is None:
             return
-        pause_s = min(length_s, 1.0)
-        self._note(f"{server.name} restarts after {pause_s:.1f}")
-        await server.start_again(pause_s)
+        pause_s = min(duration_s, 1.0)
+        self._record(f"{server.name} restarts after {pause_s:.1f}")
+        await server.restart(pause_s)
 
-    async def _pipeline(self, length_s: float) -> None:
-        self._note(f"callers pipeline for {length_s:.1f}")
+    async def _pipeline(self, duration_s: float) -> None:
+        self._record(f"callers pipeline for {duration_s:.1f}")
         loop = asyncio.get_running_loop()
-        end = loop.time() + length_s
+        end = loop.time() + duration_s
         while loop.time() < end:
             gateway = self._random.choice(self._site.gateways)
             await self._site.callers.pipeline(gateway, 6)
@@ -281,29 +283,29 @@
         return server
 
 
-async def play(
-    seed: int, seconds: float, folder: pathlib.Path, has_all: bool = True
+async def run_seed(
+    seed: int, seconds: float, folder: pathlib.Path, has_all_kinds: bool = True
 ) -> list[str]:
     """Runs one seed and returns the violated guarantees."""
     site = ProxiedSite(folder, 4, seed)
     async with site.running():
-        soak = Soak(site, seed, has_all)
-        over = asyncio.Event()
-        load = asyncio.create_task(site.callers.load(_RATE, over))
+        soak = Soak(site, seed, has_all_kinds)
+        load_ended = asyncio.Event()
+        load = asyncio.create_task(site.callers.load(_RATE, load_ended))
         await soak.run(seconds)
-        over.set()
+        load_ended.set()
         await load
-        broken = site.broken_promises()
+        violations = site.violated_guarantees()
         try:
             await site.until(site.is_serving, _RECOVERY_S)
         except TimeoutError:
-            broken.append(f"not all keys are served after {_RECOVERY_S} s")
-        broken += site.broken_promises()
+            violations.append(f"not all keys are served after {_RECOVERY_S} s")
+        violations += site.violated_guarantees()
         for proxy in site.proxies:
             proxy.close()
     (folder / "history").write_text("\n".join(soak.history))
     (folder / "counts").write_text(str(site.callers.counts()))
-    return sorted(set(broken))
+    return sorted(set(violations))
 
 
 def _seeds(text: str) -> range:
@@ -321,14 +323,14 @@
     folder = args.folder or pathlib.Path(tempfile.mkdtemp(prefix="soak-"))
     failed = 0
     for seed in args.seeds:
-        place = folder / str(seed)
-        place.mkdir(parents=True, exist_ok=True)
-        broken = asyncio.run(play(seed, args.seconds, place))
-        counts = (place / "counts").read_text()
-        print(f"seed {seed}: {'FAILED' if broken else 'ok'} {counts}")
-        for line in broken[:5]:
+        seed_folder = folder / str(seed)
+        seed_folder.mkdir(parents=True, exist_ok=True)
+        violations = asyncio.run(run_seed(seed, args.seconds, seed_folder))
+        counts = (seed_folder / "counts").read_text()
+        print(f"seed {seed}: {'FAILED' if violations else 'ok'} {counts}")
+        for line in violations[:5]:
             print(f"  {line}")
-        failed += bool(broken)
+        failed += bool(violations)
     print(f"{len(args.seeds)} seeds, {failed} failed; logs in {folder}")
     return 1 if failed else 0
 
--- a/tests/integration/test_crashing_requests.py
+++ b/tests/integration/test_crashing_requests.py
@@ -76,7 +76,7 @@
 async def _run_callers(site: gateways.Site, kind: str, seconds: float, disturb):
     """Runs callers that crash servers beside ordinary ones."""
     crashers = [_Crasher(site, number, kind) for number in range(_CALLERS)]
-    site.world.crashing_paths = {one.path for one in crashers}
+    site.cluster.crashing_paths = {one.path for one in crashers}
     over = asyncio.Event()
     ordinary = asyncio.create_task(site.callers.load(_ORDINARY_PER_S, over))
     tasks = [asyncio.create_task(one.run()) for one in crashers]
@@ -96,7 +96,7 @@
     Contains only requests whose time limit has passed.
     """
     later = {}
-    for path, times in site.world.crashes_by_path.items():
+    for path, times in site.cluster.crashes_by_path.items():
         if len(times) >= _CRASHES:
             limit = times[_CRASHES - 1] + _STABLE_WINDOW_S
             if limit < end:
@@ -107,10 +107,10 @@
 def _check(site: gateways.Site, crashers, end: float) -> None:
     later = _crashes_after_limit(site, end)
     assert later, "no request crashed three servers"
-    assert max(later.values()) <= _MAX_LATER, site.world.crashes_by_path
+    assert max(later.values()) <= _MAX_LATER, site.cluster.crashes_by_path
     for one in crashers:
         # A request that was never alone at a crash may be sent until its fifth.
-        times = site.world.crashes_by_path.get(one.path, ())[
+        times = site.cluster.crashes_by_path.get(one.path, ())[
             _CERTAIN_AFTER - 1 :
         ]
         if times and times[0] + _STABLE_WINDOW_S < end:
@@ -125,24 +125,24 @@
         crashers = await _run_callers(site, kind, seconds, disturb)
         _check(site, crashers, asyncio.get_running_loop().time())
 
-    asyncio.run(gateways.Site(tmp_path, 3, seed=1).play(scenario))
+    asyncio.run(gateways.Site(tmp_path, 3, seed=1).run_scenario(scenario))
 
 
 async def _unrelated_crashes(site: gateways.Site) -> None:
     for name in ("i-0000", "i-0003", "i-0004"):
         await asyncio.sleep(2.0)
-        server = site.world.by_id[name]
+        server = site.cluster.by_id[name]
         if server.is_up:
-            await server.start_again(1.0)
+            await server.restart(1.0)
 
 
 async def _kill_leader(site: gateways.Site) -> None:
     await _unrelated_crashes(site)
-    await site.gateways[0].end(signal.SIGKILL)
+    await site.gateways[0].stop(signal.SIGKILL)
 
 
 async def _restart_one_vm(site: gateways.Site) -> None:
-    await site.gateways[2].end(signal.SIGKILL)
+    await site.gateways[2].stop(signal.SIGKILL)
     await _unrelated_crashes(site)
     await site.gateways[2].start()
 
--- a/tests/integration/test_gateway_evacuation.py
+++ b/tests/integration/test_gateway_evacuation.py
@@ -21,7 +21,7 @@
 
 
 def _run(tmp_path, scenario) -> None:
-    asyncio.run(gateways.Site(tmp_path, 3, seed=7).play(scenario))
+    asyncio.run(gateways.Site(tmp_path, 3, seed=7).run_scenario(scenario))
 
 
 def _now() -> float:
@@ -31,8 +31,8 @@
 def _ran_in(site, zone: str, since: float) -> list[users_standins.Run]:
     return [
         run
-        for run in site.world.runs
-        if run.started >= since and site.world.by_id[run.server].zone == zone
+        for run in site.cluster.runs
+        if run.started >= since and site.cluster.by_id[run.server].zone == zone
     ]
 
 
@@ -72,7 +72,7 @@
         async def is_back():
             await site.callers.call()
             services = {
-                site.world.by_id[run.server].service
+                site.cluster.by_id[run.server].service
                 for run in _ran_in(site, _ZONE, since)
             }
             return services == {"keyed", "plain"}
@@ -87,7 +87,7 @@
         site.store.put("op", _ROW, {})
         await _pass_bound(site, _now())
         gateway = site.gateways[0]
-        await gateway.end(gateways.signal.SIGKILL)
+        await gateway.stop(gateways.signal.SIGKILL)
         since = _now()
         await gateway.start()
 
@@ -112,7 +112,7 @@
             outcome = await site.callers.call(path)
             assert outcome.status == 503
             assert _now() - asked_at < 0.5
-        assert not any(run.started >= since for run in site.world.runs)
+        assert not any(run.started >= since for run in site.cluster.runs)
 
         for zone in gateways.ZONES:
             site.store.remove("op", f"evacuate/{zone}")
--- a/tests/integration/test_gateway_many.py
+++ b/tests/integration/test_gateway_many.py
@@ -27,7 +27,7 @@
         lost = sorted(zone, key=lambda g: f"vm-{g.number}")[:2]
         others = [g for g in site.gateways if g not in lost]
         for gateway in lost:
-            await gateway.end(signal.SIGKILL)
+            await gateway.stop(signal.SIGKILL)
         site.store.put("op", "config", users_standins.config(5, _NEW_ROUTE))
 
         def know() -> bool:
@@ -50,4 +50,4 @@
             assert outcome.status == 200
 
     site = gateways.Site(tmp_path, _COUNT)
-    asyncio.run(site.play(scenario, start_s=_START_S))
+    asyncio.run(site.run_scenario(scenario, start_s=_START_S))
--- a/tests/integration/test_gateway_site.py
+++ b/tests/integration/test_gateway_site.py
@@ -15,7 +15,7 @@
 
 
 def _run(tmp_path, scenario, count: int = 3, seed: int = 1) -> None:
-    asyncio.run(gateways.Site(tmp_path, count, seed).play(scenario))
+    asyncio.run(gateways.Site(tmp_path, count, seed).run_scenario(scenario))
 
 
 async def _all_served(site, timeout_s: float = 15) -> None:
@@ -92,7 +92,7 @@
 
 def test_keys_of_a_crashed_server_are_served_by_others(tmp_path):
     async def scenario(site):
-        server = site.world.by_id["i-0000"]
+        server = site.cluster.by_id["i-0000"]
         await server.stop()
         server.unregister()
         await _all_served(site)
@@ -104,19 +104,19 @@
 
 def test_a_leaving_server_hands_its_keys_over(tmp_path):
     async def scenario(site):
-        server = site.world.by_id["i-0000"]
+        server = site.cluster.by_id["i-0000"]
         server.register("draining")
 
         async def is_empty():
             now = asyncio.get_running_loop().time()
-            return not any(until > now for until in server.until)
+            return not any(until > now for until in server.held_until)
 
         await site.until(is_empty, 3)
-        before = len(site.world.runs)
+        before = len(site.cluster.runs)
         await _all_served(site, 5)
         for _ in range(40):
             await site.callers.call()
-        late = [run.server for run in site.world.runs[before:]]
+        late = [run.server for run in site.cluster.runs[before:]]
         assert server.name not in late
 
     _run(tmp_path, scenario)
@@ -124,14 +124,14 @@
 
 def test_keys_keep_their_owners_in_an_outage_of_the_store(tmp_path):
     async def scenario(site):
-        for door in range(len(site.gateways)):
-            site.store.mode_by_door[door] = "silent"
+        for endpoint in range(len(site.gateways)):
+            site.store.mode_by_endpoint[endpoint] = "unresponsive"
         end = asyncio.get_running_loop().time() + 8
         while asyncio.get_running_loop().time() < end:
             outcome = await site.callers.call()
             assert outcome.status == 200
             await asyncio.sleep(0.02)
-        site.store.mode_by_door.clear()
+        site.store.mode_by_endpoint.clear()
         await _all_served(site)
 
     _run(tmp_path, scenario)
@@ -139,9 +139,9 @@
 
 def test_a_vm_that_the_store_refuses_follows_its_peers(tmp_path):
     async def scenario(site):
-        site.store.mode_by_door[0] = "busy"
+        site.store.mode_by_endpoint[0] = "busy"
         await asyncio.sleep(1)
-        server = site.world.by_id["i-0000"]
+        server = site.cluster.by_id["i-0000"]
         await server.stop()
         server.unregister()
         site.store.put("op", "config", users_standins.config(7))
@@ -155,7 +155,7 @@
 def test_all_are_killed_and_serve_again(tmp_path):
     async def scenario(site):
         for gateway in site.gateways:
-            await gateway.end(signal.SIGKILL)
+            await gateway.stop(signal.SIGKILL)
         await asyncio.gather(*(gateway.start() for gateway in site.gateways))
         await _all_served(site)
 
@@ -167,8 +167,8 @@
         rows = site.store.rows["swiftstile", "leader"]
         name = rows.value.decode("latin-1")
         leader = next(g for g in site.gateways if f"vm-{g.number}#" in name)
-        site.world.by_id["i-0002"].register("draining")
-        await leader.end(signal.SIGKILL)
+        site.cluster.by_id["i-0002"].register("draining")
+        await leader.stop(signal.SIGKILL)
         await leader.start()
         await _all_served(site, 20)
 
@@ -180,12 +180,12 @@
         rows = site.store.rows["swiftstile", "leader"]
         name = rows.value.decode("latin-1")
         leader = next(g for g in site.gateways if f"vm-{g.number}#" in name)
-        leader.send(signal.SIGSTOP)
-        server = site.world.by_id["i-0004"]
+        leader.send_signal(signal.SIGSTOP)
+        server = site.cluster.by_id["i-0004"]
         await server.stop()
         server.unregister()
         await asyncio.sleep(9)
-        leader.send(signal.SIGCONT)
+        leader.send_signal(signal.SIGCONT)
         await _all_served(site, 20)
 
     _run(tmp_path, scenario)
@@ -193,7 +193,7 @@
 
 def test_sigterm_finishes_what_is_in_flight(tmp_path):
     async def scenario(site):
-        for server in site.world.by_id.values():
+        for server in site.cluster.by_id.values():
             server.work_s = 0.8
         gateway = site.gateways[1]
         calls = [
@@ -201,7 +201,7 @@
             for _ in range(6)
         ]
         await asyncio.sleep(0.3)
-        gateway.send(signal.SIGTERM)
+        gateway.send_signal(signal.SIGTERM)
         results = await asyncio.gather(*calls)
         assert [result.status for result in results] == [200] * 6
         assert await _ready_status(gateway) == 503
@@ -213,20 +213,20 @@
 
 def test_lost_and_late_writes_and_late_grants_do_no_harm(tmp_path):
     async def scenario(site):
-        for server in site.world.by_id.values():
-            server.late_share = 0.2
-        for door in range(len(site.gateways)):
-            site.store.mode_by_door[door] = "lost"
-        server = site.world.by_id["i-0000"]
+        for server in site.cluster.by_id.values():
+            server.delayed_grant_share = 0.2
+        for endpoint in range(len(site.gateways)):
+            site.store.mode_by_endpoint[endpoint] = "lost"
+        server = site.cluster.by_id["i-0000"]
         server.register("draining")
         await asyncio.sleep(2)
-        for door in range(len(site.gateways)):
-            site.store.mode_by_door[door] = "late"
-        site.world.by_id["i-0002"].register("draining")
+        for endpoint in range(len(site.gateways)):
+            site.store.mode_by_endpoint[endpoint] = "late"
+        site.cluster.by_id["i-0002"].register("draining")
         await asyncio.sleep(3)
-        site.store.mode_by_door.clear()
-        for other in site.world.by_id.values():
-            other.late_share = 0.0
+        site.store.mode_by_endpoint.clear()
+        for other in site.cluster.by_id.values():
+            other.delayed_grant_share = 0.0
         await _all_served(site, 25)
 
     _run(tmp_path, scenario)
@@ -250,7 +250,7 @@
         assert answered["status"] == 200
         assert (sent["vm"], sent["route"]) == ("vm-0", "writes")
         assert sent["upstream"] == answered["upstream"]
-        assert sent["upstream"] in site.world.by_id
+        assert sent["upstream"] in site.cluster.by_id
         assert sent["config"] == 1
         assert 0 <= answered["at_ms"] - sent["at_ms"] < 4000
 
@@ -284,7 +284,7 @@
 )
 def test_malformed_requests_reach_no_server(tmp_path, data):
     async def scenario(site):
-        before = len(site.world.runs)
+        before = len(site.cluster.runs)
         host, _, port = site.gateways[0].front.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(data)
@@ -292,7 +292,7 @@
             answer = await reader.read(200)
         assert re.match(rb"HTTP/1.[01] 4\d\d ", answer) or answer == b""
         writer.close()
-        assert len(site.world.runs) == before
+        assert len(site.cluster.runs) == before
 
     _run(tmp_path, scenario, count=1)
 
--- a/tests/integration/test_gateway_stale.py
+++ b/tests/integration/test_gateway_stale.py
@@ -36,7 +36,7 @@
         )
 
     for gateway in site.gateways:
-        site.store.mode_by_door[gateway.number] = "busy"
+        site.store.mode_by_endpoint[gateway.number] = "busy"
     # A change ends the long polls in progress.
     site.store.put("op", "other", {})
     await site.until(has_failed, 10)
@@ -64,13 +64,13 @@
         assert await _statuses(site, _PATH) == [503] * 3
         # Routes known before are served.
         assert await _statuses(site, "/read/x") == [200] * 3
-        site.store.mode_by_door.clear()
+        site.store.mode_by_endpoint.clear()
 
         await _until_all(site, _PATH, 200)
         # Rows may arrive from a peer before the store answers again.
         await _until_all(site, "/nowhere/x", 404)
 
-    asyncio.run(gateways.Site(tmp_path, 3).play(scenario))
+    asyncio.run(gateways.Site(tmp_path, 3).run_scenario(scenario))
 
 
 def test_with_an_invalid_configuration_no_404_is_final(tmp_path):
@@ -91,7 +91,7 @@
         await _until_all(site, _PATH, 200)
         await _until_all(site, "/nowhere/x", 404)
 
-    asyncio.run(gateways.Site(tmp_path, 3).play(scenario))
+    asyncio.run(gateways.Site(tmp_path, 3).run_scenario(scenario))
 
 
 def test_a_call_without_an_answer_keeps_no_vm_behind(tmp_path):
@@ -111,7 +111,7 @@
         # A change ends the long polls in progress; the next ones last long.
         site.store.put("op", "other", {})
         await asyncio.sleep(0.3)
-        site.store.mode_by_door[stalled.number] = "deaf"
+        site.store.mode_by_endpoint[stalled.number] = "stale"
         site.store.put("op", "config", users_standins.config(5, _NEW_ROUTE))
         written_at = asyncio.get_running_loop().time()
 
@@ -130,4 +130,4 @@
         await site.until(has_come, 2)
         assert asyncio.get_running_loop().time() - written_at < 2
 
-    asyncio.run(gateways.Site(tmp_path, 4).play(scenario))
+    asyncio.run(gateways.Site(tmp_path, 4).run_scenario(scenario))
--- a/tests/integration/test_gateway_stories.py
+++ b/tests/integration/test_gateway_stories.py
@@ -14,7 +14,7 @@
 
 
 def _run(tmp_path, scenario) -> None:
-    asyncio.run(gateways.Site(tmp_path, gateways=3).play(scenario))
+    asyncio.run(gateways.Site(tmp_path, gateways=3).run_scenario(scenario))
 
 
 async def _owner(site):
@@ -23,8 +23,8 @@
 
     async def is_held() -> bool:
         now = asyncio.get_running_loop().time()
-        servers = site.world.by_id.values()
-        holders[:] = [s for s in servers if s.until[_KEY] > now]
+        servers = site.cluster.by_id.values()
+        holders[:] = [s for s in servers if s.held_until[_KEY] > now]
         return len(holders) == 1
 
     await site.until(is_held, 30)
@@ -66,7 +66,7 @@
         assert "wait for a slot" in last["reason"]
         assert last["key"] == _KEY
         assert last["retry_after_ms"] > 0
-        others = [s for s in site.world.by_id.values() if s is not slow]
+        others = [s for s in site.cluster.by_id.values() if s is not slow]
         assert all(server.running < server.slots for server in others)
 
     _run(tmp_path, scenario)
@@ -74,17 +74,17 @@
 
 def test_unknown_outcome_of_a_request_that_may_not_be_repeated(tmp_path):
     async def scenario(site):
-        for server in site.world.by_id.values():
+        for server in site.cluster.by_id.values():
             server.work_s = 3.0
         call = asyncio.create_task(site.callers.call("/write/x"))
 
         async def is_running() -> bool:
-            return any(run.method == "POST" for run in site.world.runs)
+            return any(run.method == "POST" for run in site.cluster.runs)
 
-        before = len(site.world.runs)
+        before = len(site.cluster.runs)
         await site.until(is_running, 30)
-        run = site.world.runs[before:][-1]
-        await site.world.by_id[run.server].stop()
+        run = site.cluster.runs[before:][-1]
+        await site.cluster.by_id[run.server].stop()
         outcome = await call
         assert outcome.status in (502, 504)
         story = await _story(site, outcome.attempt, "failed")
--- a/tests/integration/test_links.py
+++ b/tests/integration/test_links.py
@@ -72,7 +72,7 @@
                 await _ping(link, 0.1)
             assert await asking == answerer.rows
             # Nothing was sent twice.
-            assert narrow.passed < 1.1 * _LARGE_BYTES
+            assert narrow.forwarded < 1.1 * _LARGE_BYTES
 
     asyncio.run(scenario())
 
@@ -81,10 +81,10 @@
     async def scenario():
         async with _answered() as (_, link, narrow):
             await _ping(link, 1)
-            narrow.stop_after = 0
+            narrow.stall_after = 0
             with pytest.raises(errors.PeerTimeoutError):
                 await _ping(link, 0.1)
-            narrow.stop_after = None
+            narrow.stall_after = None
             await _ping(link, 1)
 
     asyncio.run(scenario())
@@ -162,10 +162,10 @@
                 await _ask_rows(link, 5)
             [row] = answerer.rows.rows
             question = messages.Refused(row.value.hex())
-            passed = narrow.passed
+            passed = narrow.forwarded
             with pytest.raises(errors.ControlMessageError, match="bytes"):
                 await link.call(question, messages.Pong, 5)
-            assert narrow.passed == passed
+            assert narrow.forwarded == passed
             # The connection still serves others.
             await _ping(link, 1)
 
--- a/tests/integration/test_narrow_links.py
+++ b/tests/integration/test_narrow_links.py
@@ -54,8 +54,8 @@
 async def _store_table():
     """Yields a store, one of its tables, and the narrow link between them."""
     store = users_standins.Store()
-    door = await store.open_door(0)
-    async with narrow_link.NarrowLink(door) as link:
+    endpoint = await store.open_endpoint(0)
+    async with narrow_link.NarrowLink(endpoint) as link:
         client = store_lib.StoreClient(link.address)
         try:
             yield store, store_lib.StoreTable(client, _TABLE), link
@@ -91,7 +91,7 @@
     async def scenario():
         async with _store_table() as (store, table, link):
             store.write([(_TABLE, "config", _big_row())])
-            link.stop_after = 200_000
+            link.stall_after = 200_000
             async with asyncio.timeout(3):
                 with pytest.raises(errors.PlatformUnavailableError):
                     await table.read_all()
@@ -126,7 +126,7 @@
     async def scenario():
         async with _store_table() as (store, table, _):
             leader = assigner_parts.Parts(table=table).assigner
-            store.mode_by_door[0] = "busy"
+            store.mode_by_endpoint[0] = "busy"
             assert not await leader._store_answers()
 
     asyncio.run(scenario())
@@ -195,7 +195,7 @@
                 await _until_known(dependent, 5)
             assert dependent.rows["config"].value == value
             # No data was sent twice.
-            assert link.passed < 1.1 * len(value)
+            assert link.forwarded < 1.1 * len(value)
 
     asyncio.run(scenario())
 
@@ -226,7 +226,7 @@
         return len(lines) >= len(site.gateways)
 
     for gateway in site.gateways:
-        site.store.mode_by_door[gateway.number] = "busy"
+        site.store.mode_by_endpoint[gateway.number] = "busy"
     # A change ends the long polls in progress.
     site.store.put("op", "other", {})
     await site.until(has_failed, 10)
@@ -237,15 +237,15 @@
         await _start_store_outage(site)
         routes = _many_routes()
         site.store.put("op", "config", users_standins.config(5, *routes))
-        site.store.mode_by_door.clear()
+        site.store.mode_by_endpoint.clear()
         path = routes[700]["spec"]["prefix"] + "x"
         async with asyncio.timeout(_IN_FORCE_S):
             for gateway in site.gateways:
                 while not await _serves(site, gateway, path):
                     await asyncio.sleep(0.05)
 
-    site = gateways.Site(tmp_path, 3, has_narrow_doors=True)
-    asyncio.run(site.play(scenario))
+    site = gateways.Site(tmp_path, 3, has_narrow_links=True)
+    asyncio.run(site.run_scenario(scenario))
 
 
 def test_a_vm_starts_with_many_routes_over_a_narrow_link(tmp_path):
@@ -254,11 +254,11 @@
         site.store.put("op", "config", users_standins.config(5, *routes))
         path = routes[700]["spec"]["prefix"] + "x"
         gateway = site.gateways[0]
-        await gateway.end(signal.SIGKILL)
+        await gateway.stop(signal.SIGKILL)
         await gateway.start()
         async with asyncio.timeout(10):
             while not await _serves(site, gateway, path):
                 await asyncio.sleep(0.05)
 
-    site = gateways.Site(tmp_path, 3, has_narrow_doors=True)
-    asyncio.run(site.play(scenario))
+    site = gateways.Site(tmp_path, 3, has_narrow_links=True)
+    asyncio.run(site.run_scenario(scenario))
--- a/tests/integration/test_platform_transfers.py
+++ b/tests/integration/test_platform_transfers.py
@@ -156,7 +156,7 @@
     async def scenario():
         async with _platform() as (address, link):
             await _write_rows(address)
-            link.stop_after = 200_000
+            link.stall_after = 200_000
             async with _open(provider_http.HttpTable, link.address) as far:
                 async with asyncio.timeout(_TIMEOUT_S + 1):
                     with pytest.raises(errors.PlatformUnavailableError):
@@ -168,7 +168,7 @@
 def test_an_answer_that_never_begins_is_given_up_in_time():
     async def scenario():
         async with _platform() as (_, link):
-            link.stop_after = 0
+            link.stall_after = 0
             async with _open(provider_http.HttpTable, link.address) as far:
                 async with asyncio.timeout(_TIMEOUT_S + 0.3):
                     with pytest.raises(errors.PlatformUnavailableError):
--- a/tests/integration/test_ports_taken.py
+++ b/tests/integration/test_ports_taken.py
@@ -41,8 +41,8 @@
 def test_a_port_that_is_taken_is_named(tmp_path, setting, kind, step):
     async def scenario():
         store = users_standins.Store()
-        door = await store.open_door(0)
-        gateway = gateways.Gateway(0, "127.0.0.1", door, tmp_path)
+        endpoint = await store.open_endpoint(0)
+        gateway = gateways.Gateway(0, "127.0.0.1", endpoint, tmp_path)
         lines = gateway.settings.read_text().splitlines()
         [address] = [
             line.partition("=")[2].strip()
@@ -55,7 +55,7 @@
                 async with asyncio.timeout(15):
                     status = await gateway.process.wait()
             finally:
-                gateway.send(signal.SIGKILL)
+                gateway.send_signal(signal.SIGKILL)
                 await gateway.process.wait()
                 await store.close()
         told = gateway.log.read_text()
--- a/tests/integration/test_server_probes.py
+++ b/tests/integration/test_server_probes.py
@@ -55,7 +55,7 @@
 def test_probe_of_an_unresponsive_server_times_out():
     async def scenario():
         async with _server(100) as link, _control() as control:
-            link.stop_after = 0
+            link.stall_after = 0
             async with asyncio.timeout(_TIMEOUT_S + 0.2):
                 with pytest.raises(errors.PeerUnavailableError):
                     await control.probe(link.address)
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -14,10 +14,12 @@
 
 
 @pytest.mark.parametrize("seed", [1, *_REGRESSIONS])
-def test_a_seed_breaks_no_promise(tmp_path, seed):
-    broken = asyncio.run(soak.play(seed, 12.0, tmp_path, has_all=False))
-    assert broken == []
+def test_a_seed_violates_no_guarantee(tmp_path, seed):
+    violations = asyncio.run(
+        soak.run_seed(seed, 12.0, tmp_path, has_all_kinds=False)
+    )
+    assert violations == []
 
 
-def test_a_seed_of_all_kinds_breaks_no_promise(tmp_path):
-    assert asyncio.run(soak.play(2, 12.0, tmp_path)) == []
+def test_a_seed_of_all_kinds_violates_no_guarantee(tmp_path):
+    assert asyncio.run(soak.run_seed(2, 12.0, tmp_path)) == []
--- a/tests/integration/users_standins.py
+++ b/tests/integration/users_standins.py
@@ -14,7 +14,7 @@
 from aiohttp import web
 
 KEYS = 65536
-_QUEUE = 12
+_QUEUE_LIMIT = 12
 
 
 @dataclasses.dataclass
@@ -37,11 +37,11 @@
         self.version = 0
         self.oldest = 0
         self.log: list[tuple[str, str, int]] = []
-        self.mode_by_door: dict[int, str] = {}
+        self.mode_by_endpoint: dict[int, str] = {}
         self._changed = asyncio.Event()
         self._runners: list[web.AppRunner] = []
 
-    async def open_door(self, number: int) -> str:
+    async def open_endpoint(self, number: int) -> str:
         async def handle(request: web.Request) -> web.Response:
             return await self._answer(request, number)
 
@@ -74,7 +74,7 @@
         self._changed = asyncio.Event()
         return self.version
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         self.oldest = self.version
 
     def keys(self, table: str) -> list[str]:
@@ -84,11 +84,11 @@
             if name == table and row.value is not None
         ]
 
-    async def _answer(self, request, door: int) -> web.Response:
-        mode = self.mode_by_door.get(door, "")
+    async def _answer(self, request, endpoint: int) -> web.Response:
+        mode = self.mode_by_endpoint.get(endpoint, "")
         if mode == "busy":
             return web.Response(status=503)
-        if mode == "silent":
+        if mode == "unresponsive":
             await asyncio.sleep(3600)
         body = await request.read()
         name = request.path.rpartition("/")[2]
@@ -96,7 +96,7 @@
             return await self._transact(json.loads(body), mode)
         if name == "rows-get":
             return self._page(request.query)
-        return await self._feed(request.query, door)
+        return await self._feed(request.query, endpoint)
 
     async def _transact(self, call, mode: str) -> web.Response:
         if mode == "late":
@@ -139,7 +139,7 @@
             return shown | {"tombstone": True}
         return shown | {"value": base64.b64encode(row.value).decode()}
 
-    async def _feed(self, query, door: int) -> web.Response:
+    async def _feed(self, query, endpoint: int) -> web.Response:
         table, after = query["table"], int(query["after"])
         loop = asyncio.get_running_loop()
         end = loop.time() + int(query["wait_ms"]) / 1000
@@ -152,8 +152,8 @@
                 if name == table and version > after
             }
             left_s = end - loop.time()
-            is_deaf = self.mode_by_door.get(door) == "deaf"
-            if is_deaf and table == "op":
+            is_stale = self.mode_by_endpoint.get(endpoint) == "stale"
+            if is_stale and table == "op":
                 await asyncio.sleep(3600)
             if names or left_s <= 0:
                 rows = [
@@ -177,7 +177,7 @@
 
 
 # Time until a server that a request crashed is restarted.
-CRASHED_S = 2.0
+CRASH_DOWNTIME_S = 2.0
 
 
 @dataclasses.dataclass
@@ -189,7 +189,7 @@
     started: float
 
 
-class World:
+class Cluster:
     """Servers, their runs of requests, and checks of exclusive ownership.
 
     Attributes:
@@ -204,11 +204,10 @@
         self.store = store
         self.by_id: dict[str, Server] = {}
         self.runs: list[Run] = []
-        self.faults: list[str] = []
+        self.violations: list[str] = []
         self.crashing_paths: set[str] = set()
         self.crashes_by_path: dict[str, list[float]] = {}
         self._restarts: set[asyncio.Task] = set()
-        self.beating = True
 
     async def start(self, service: str, zone: str, **changes) -> "Server":
         name = f"i-{len(self.by_id):04d}"
@@ -217,37 +216,39 @@
         await server.start()
         return server
 
-    def note_run(self, run: Run) -> None:
+    def record_run(self, run: Run) -> None:
         ran = [
             other
             for other in self.runs
             if other.attempt == run.attempt and run.method != "GET"
         ]
         if ran:
-            self.faults.append(f"{run.attempt} ran twice: {ran[0]} {run}")
+            self.violations.append(f"{run.attempt} ran twice: {ran[0]} {run}")
         self.runs.append(run)
 
-    def note_crash(self, server: "Server", path: str) -> None:
+    def record_crash(self, server: "Server", path: str) -> None:
         """Records a crash caused by a request and schedules the restart."""
         self.crashes_by_path.setdefault(path, []).append(_now())
-        restart = asyncio.create_task(server.start_again(CRASHED_S))
-        self._restarts.add(restart)
-        restart.add_done_callback(self._restarts.discard)
+        task = asyncio.create_task(server.restart(CRASH_DOWNTIME_S))
+        self._restarts.add(task)
+        task.add_done_callback(self._restarts.discard)
 
-    def note_grant(self, server: "Server", first: int, last: int, now: float):
+    def check_grant(self, server: "Server", first: int, last: int, now: float):
         for other in self.by_id.values():
             if other is server or not other.is_up:
                 continue
             if other.service != server.service:
                 continue
-            if any(other.until[key] > now for key in range(first, last + 1)):
-                self.faults.append(
+            if any(
+                other.held_until[key] > now for key in range(first, last + 1)
+            ):
+                self.violations.append(
                     f"{server.name} and {other.name} hold {first} to {last}"
                 )
 
     async def close(self) -> None:
-        for restart in list(self._restarts):
-            restart.cancel()
+        for task in list(self._restarts):
+            task.cancel()
         for server in self.by_id.values():
             await server.stop()
 
@@ -257,14 +258,14 @@
 
     def __init__(
         self,
-        world: World,
+        cluster: Cluster,
         name: str,
         service: str,
         zone: str,
         work_s: float = 0.03,
         slots: int = 3,
     ):
-        self.world = world
+        self.cluster = cluster
         self.name = name
         self.service = service
         self.zone = zone
@@ -274,15 +275,15 @@
         self._port = 0
         self.is_up = False
         self.is_leaving = False
-        self.late_share = 0.0
-        # Counts restarts; no state is kept across them.
-        self.life = 1
-        self.until = [0.0] * KEYS
-        self.seen = [0] * KEYS
+        self.delayed_grant_share = 0.0
+        # Number of starts; no state is kept across restarts.
+        self.incarnation = 1
+        self.held_until = [0.0] * KEYS
+        self.fences = [0] * KEYS
         self.running = 0
         self.waiting = 0
         self._working: list[int | None] = []
-        self._room = asyncio.Condition()
+        self._request_ended = asyncio.Condition()
         self._runner: web.AppRunner | None = None
         self._is_restarting = False
 
@@ -306,7 +307,7 @@
         self.register("ready")
 
     def register(self, state: str) -> None:
-        self.world.store.put(
+        self.cluster.store.put(
             "servers",
             self.name,
             {
@@ -318,11 +319,11 @@
                 "state": state,
                 "cold_remaining": "0ms",
                 "sequence": 1,
-                "born": self.life,
+                "born": self.incarnation,
             },
         )
 
-    async def start_again(self, pause_s: float) -> None:
+    async def restart(self, pause_s: float) -> None:
         """Crashes the server and restarts it with the same id and address."""
         if self._is_restarting:
             return
@@ -330,9 +331,9 @@
         self._break_connections()
         await self.stop()
         await asyncio.sleep(pause_s)
-        self.life += 1
-        self.until = [0.0] * KEYS
-        self.seen = [0] * KEYS
+        self.incarnation += 1
+        self.held_until = [0.0] * KEYS
+        self.fences = [0] * KEYS
         self.running = self.waiting = 0
         self._working.clear()
         await self.start()
@@ -345,7 +346,7 @@
                 connection.transport.abort()
 
     def unregister(self) -> None:
-        self.world.store.remove("servers", self.name)
+        self.cluster.store.remove("servers", self.name)
 
     async def stop(self) -> None:
         """Stops the server like a crash: its registration remains."""
@@ -356,35 +357,41 @@
     async def _grant(self, request: web.Request) -> web.Response:
         call = await request.json()
         arrived = _now()
-        if random.random() < self.late_share:
+        if random.random() < self.delayed_grant_share:
             asyncio.get_running_loop().call_later(
-                random.uniform(0.5, 3.0), self._take, call, arrived, self.life
+                random.uniform(0.5, 3.0),
+                self._apply_grant,
+                call,
+                arrived,
+                self.incarnation,
             )
             await asyncio.sleep(3600)
-        return web.Response(status=self._take(call, arrived, self.life))
+        return web.Response(
+            status=self._apply_grant(call, arrived, self.incarnation)
+        )
 
-    def _take(self, call, arrived: float, life: int) -> int:
+    def _apply_grant(self, call, arrived: float, incarnation: int) -> int:
         first, last, fence = call["from"], call["to"], call["fence"]
-        if not self.is_up or life != self.life:
+        if not self.is_up or incarnation != self.incarnation:
             return 409
-        if any(self.seen[key] > fence for key in range(first, last + 1)):
+        if any(self.fences[key] > fence for key in range(first, last + 1)):
             return 409
         until = arrived + float(call["hold_time"].removesuffix("ms")) / 1000
         if until > _now():
-            self.world.note_grant(self, first, last, _now())
+            self.cluster.check_grant(self, first, last, _now())
         for key in range(first, last + 1):
-            self.seen[key] = fence
-            self.until[key] = max(self.until[key], until)
+            self.fences[key] = fence
+            self.held_until[key] = max(self.held_until[key], until)
         return 200
 
     async def _release(self, request: web.Request) -> web.Response:
         call = await request.json()
         keys = range(call["from"], call["to"] + 1)
         for key in keys:
-            self.until[key] = 0.0
-            self.seen[key] = max(self.seen[key], call["fence"])
-        async with self._room:
-            await self._room.wait_for(
+            self.held_until[key] = 0.0
+            self.fences[key] = max(self.fences[key], call["fence"])
+        async with self._request_ended:
+            await self._request_ended.wait_for(
                 lambda: not any(key in keys for key in self._working)
             )
         return web.Response(headers={"X-Handover": "0123456789abcdef"})
@@ -394,44 +401,46 @@
         expected = request.headers.get("X-Expect-Instance", self.name)
         text = request.headers.get("X-Shard-Key")
         key = int(text) if text and self.service == "keyed" else None
-        not_held = key is not None and self.until[key] <= _now()
+        not_held = key is not None and self.held_until[key] <= _now()
         if expected != self.name or not_held:
             headers |= {"X-Not-Executed": "1", "X-Instance-Id": self.name}
             return web.Response(status=421, headers=headers)
-        if self.waiting >= _QUEUE:
+        if self.waiting >= _QUEUE_LIMIT:
             await asyncio.sleep(3600)
-        life = self.life
+        incarnation = self.incarnation
         await self._enter()
         try:
             return await self._work(request, headers, key)
         finally:
-            await self._leave(key, life)
+            await self._leave(key, incarnation)
 
     async def _enter(self) -> None:
-        async with self._room:
+        async with self._request_ended:
             self.waiting += 1
             try:
-                await self._room.wait_for(lambda: self.running < self.slots)
+                await self._request_ended.wait_for(
+                    lambda: self.running < self.slots
+                )
             finally:
                 self.waiting -= 1
             self.running += 1
 
-    async def _leave(self, key: int | None, life: int) -> None:
-        if life != self.life:
+    async def _leave(self, key: int | None, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         self.running -= 1
         if key in self._working:
             self._working.remove(key)
-        async with self._room:
-            self._room.notify_all()
+        async with self._request_ended:
+            self._request_ended.notify_all()
 
     async def _work(self, request, headers, key) -> web.Response:
         self._working.append(key)
         attempt = headers["X-Attempt-Id"]
-        if request.path in self.world.crashing_paths:
-            self.world.note_crash(self, request.path)
+        if request.path in self.cluster.crashing_paths:
+            self.cluster.record_crash(self, request.path)
             await asyncio.sleep(3600)
-        self.world.note_run(
+        self.cluster.record_run(
             Run(attempt, request.method, key, self.name, _now())
         )
         body = await request.read()
