--- a/tests/integration/test_platform_faults.py
+++ b/tests/integration/test_platform_faults.py
@@ -42,7 +42,7 @@
     processes.wait_until(nobody_reaches_it, 15, "outage noticed")
     answer = callers.send(vms[0].router_port, "/tiny/store/x", headers=KEY)
     assert answer.status == 200
-    with pytest.raises(RuntimeError, match="ended with 4"):
+    with pytest.raises(RuntimeError, match="exited with 4"):
         fleet.run_cli("bundle", "approve", str(path))
     fleet.platform.faults()
     version = fleet.run_cli("bundle", "approve", str(path))["version"]
