--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,7 +1,7 @@
-"""Callers: sends a mixed load and keeps a record of each request.
+"""Load generator that sends mixed requests and records each outcome.
 
-Runs as a process of its own: `python -m benchmarks.load PLAN`, where PLAN is
-a JSON file. Records are written as MessagePack when the load ends.
+Runs as a separate process: `python -m benchmarks.load PLAN`, where PLAN is a
+JSON file. Records are written as MessagePack when the load ends.
 """
 
 import asyncio
@@ -35,7 +35,8 @@
         share: Share of the requests, from 0 to 1.
         keyed: Whether requests carry a key.
         protected_share: Share of requests that are not repeatable.
-        direct_ports: Ports of its servers, to bypass the routers; else empty.
+        direct_ports: Ports of its servers if the routers are bypassed, else
+            empty.
     """
 
     name: str
@@ -46,26 +47,26 @@
 
 
 class Plan(msgspec.Struct):
-    """One load.
+    """Parameters of one load.
 
     Attributes:
-        organisation: Whose services are called.
-        services: What is called.
+        organisation: Organisation whose services are called.
+        services: Load on each service.
         ports: Ports of the routers.
-        seconds: How long requests are sent.
-        rate: Requests a second in all, by a Poisson process; 0 for as many
-            as `callers` get answered.
-        callers: Callers that ask one request after the other; for rate 0.
+        seconds: Duration of the load, in seconds.
+        rate: Total requests per second, as a Poisson process; 0 for a closed
+            loop of `callers`.
+        callers: Concurrent callers of the closed loop, used with rate 0.
         keys: Number of keys in use; the n-th is drawn with weight 1/n**skew.
-        skew: How uneven the keys are.
+        skew: Exponent of the key distribution.
         seed: Seed of all random choices.
         hot_keys: Number of keys that are hot at the same time.
-        hot_share: Share of keyed requests that go to them, from 0 to 1.
-        shift_s: After this time other keys are hot, in seconds.
-        answer_bytes: Length of an answer.
+        hot_share: Share of keyed requests for hot keys, from 0 to 1.
+        shift_s: Time after which a new set of keys becomes hot, in seconds.
+        answer_bytes: Length of a response body.
         body_bytes: Length of a protected request's body.
-        timeout_ms: Deadline that requests carry.
-        records: File that the records go to.
+        timeout_ms: Timeout that requests carry in their header.
+        records: Path of the file that records are written to.
     """
 
     organisation: str
@@ -87,18 +88,19 @@
 
 
 class Record(msgspec.Struct, array_like=True):
-    """What one caller saw.
+    """Outcome of one request as its caller saw it.
 
     Attributes:
         request_id: Id of the request.
-        service: Service it was for.
-        key: Its key; empty for none.
+        service: Service that was called.
+        key: Key of the request; empty for none.
         is_protected: Whether it was marked as not repeatable.
-        sent_at: When it was sent, on the machine's shared clock.
-        latency_s: Until the whole answer was read, or it failed.
+        sent_at: Send time, on the machine's monotonic clock.
+        latency_s: Time until the response was read completely or failed.
         status: HTTP status; 0 if the connection failed.
-        outcome: What the header said, or `transport`.
-        is_crossed: The answer belongs to another request, or is partial.
+        outcome: Value of the outcome header, or `transport`.
+        is_crossed: Whether the response belongs to another request or is
+            partial.
     """
 
     request_id: str
@@ -124,8 +126,8 @@
         self._random = random.Random(plan.seed)
         self._records: list[Record] = []
         weights = [1 / (n + 1) ** plan.skew for n in range(plan.keys)]
-        self._key_weights = list(itertools.accumulate(weights))
-        self._shares = list(
+        self._cumulative_key_weights = list(itertools.accumulate(weights))
+        self._cumulative_shares = list(
             itertools.accumulate(service.share for service in plan.services)
         )
         self._ports = itertools.cycle(plan.ports)
@@ -140,40 +142,43 @@
             timeout=timeout, connector=connector
         ) as self._session:
             if self._plan.rate:
-                await self._run_open()
+                await self._run_open_loop()
             else:
                 end = clocks.monotonic() + self._plan.seconds
                 await asyncio.gather(
-                    *(self._run_caller(end) for _ in range(self._plan.callers))
+                    *(
+                        self._run_closed_caller(end)
+                        for _ in range(self._plan.callers)
+                    )
                 )
         return self._records
 
-    async def _run_open(self) -> None:
+    async def _run_open_loop(self) -> None:
         due = start = clocks.monotonic()
         running: set[asyncio.Task] = set()
         while due < start + self._plan.seconds:
             wait = due - clocks.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
-            task = asyncio.create_task(self._ask(due))
+            task = asyncio.create_task(self._send_request(due))
             running.add(task)
             task.add_done_callback(running.discard)
             due += self._random.expovariate(self._plan.rate)
         await asyncio.gather(*running)
 
-    async def _run_caller(self, end: float) -> None:
+    async def _run_closed_caller(self, end: float) -> None:
         while clocks.monotonic() < end:
-            await self._ask(clocks.monotonic())
+            await self._send_request(clocks.monotonic())
 
-    async def _ask(self, due: float) -> None:
+    async def _send_request(self, due: float) -> None:
         plan = self._plan
-        service = self._random.choices(plan.services, cum_weights=self._shares)[
-            0
-        ]
+        service = self._random.choices(
+            plan.services, cum_weights=self._cumulative_shares
+        )[0]
         is_protected = self._random.random() < service.protected_share
         request_id = f"{self._random.getrandbits(96):024x}"
         key = self._key() if service.keyed else ""
-        url, headers = self._address(service, key, request_id)
+        url, headers = self._url_and_headers(service, key, request_id)
         body = None
         if is_protected:
             body = self._random.randbytes(plan.body_bytes)
@@ -182,13 +187,15 @@
             request_id, service.name, key, is_protected, due, 0, 0, "", False
         )
         try:
-            await self._exchange(url, headers, body, record)
+            await self._exchange_with_failover(url, headers, body, record)
         except (aiohttp.ClientError, TimeoutError, OSError):
             record.outcome = _TRANSPORT_FAILED
         record.latency_s = clocks.monotonic() - due
         self._records.append(record)
 
-    async def _exchange(self, url, headers, body, record: Record) -> None:
+    async def _exchange_with_failover(
+        self, url, headers, body, record: Record
+    ) -> None:
         method = "POST" if body is not None else "GET"
         for tries_left in range(_BALANCER_TRIES, 0, -1):
             try:
@@ -196,15 +203,16 @@
                     method, url, headers, body, record
                 )
             except aiohttp.ClientConnectorError:
-                # As the platform's balancer does when a VM refuses.
+                # The platform's balancer also tries another VM if one refuses
+                # the connection.
                 if tries_left == 1 or not self._is_routed(url):
                     raise
-                url = self._other_router(url)
+                url = self._via_next_router(url)
 
     def _is_routed(self, url: str) -> bool:
         return "/direct" not in url
 
-    def _other_router(self, url: str) -> str:
+    def _via_next_router(self, url: str) -> str:
         parts = yarl.URL(url, encoded=True)
         return str(parts.with_port(next(self._ports)))
 
@@ -216,26 +224,28 @@
             record.status = response.status
             record.outcome = response.headers.get(outcomes.OUTCOME_HEADER, "")
             if record.outcome == outcomes.Outcome.ANSWERED.value:
-                record.is_crossed = not self._is_whole(
+                record.is_crossed = not self._is_expected_response(
                     answer, record.request_id, body
                 )
 
-    def _is_whole(self, answer: bytes, request_id: str, body) -> bool:
+    def _is_expected_response(
+        self, answer: bytes, request_id: str, body
+    ) -> bool:
         digest = hashlib.sha256(body or b"").hexdigest()
-        head = f"{request_id} {digest} ".encode()
-        return answer == head.ljust(self._plan.answer_bytes, b".")
+        prefix = f"{request_id} {digest} ".encode()
+        return answer == prefix.ljust(self._plan.answer_bytes, b".")
 
     def _key(self) -> str:
         plan = self._plan
         if self._random.random() < plan.hot_share:
-            turn = int((clocks.monotonic() - self._started) / plan.shift_s)
-            return f"hot-{turn}-{self._random.randrange(plan.hot_keys)}"
+            period = int((clocks.monotonic() - self._started) / plan.shift_s)
+            return f"hot-{period}-{self._random.randrange(plan.hot_keys)}"
         index = self._random.choices(
-            range(self._plan.keys), cum_weights=self._key_weights
+            range(self._plan.keys), cum_weights=self._cumulative_key_weights
         )[0]
         return f"key-{index}"
 
-    def _address(self, service: ServicePlan, key: str, request_id: str):
+    def _url_and_headers(self, service: ServicePlan, key: str, request_id: str):
         query = f"?bytes={self._plan.answer_bytes}"
         headers = {
             outcomes.REQUEST_ID_HEADER: request_id,
@@ -252,7 +262,7 @@
 
 
 def main() -> None:
-    """Sends the load that a plan describes."""
+    """Sends the load of a plan and writes the records."""
     plan_file = pathlib.Path(sys.argv[1])
     plan = msgspec.json.decode(plan_file.read_bytes(), type=Plan)
     records = uvloop.run(_Callers(plan).run())
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios: what goes wrong while the load runs."""
+"""Scenarios: the faults that are injected while the load runs."""
 
 import abc
 import concurrent.futures
@@ -12,12 +12,12 @@
 
 __all__ = ["BY_NAME", "Scenario", "TwoFaults"]
 
-# Load before the disturbance, so that there is something to compare with.
-_BEFORE_S = 3.0
+# Load before the fault, as the baseline.
+_WARM_UP_S = 3.0
 
 
 class Scenario(abc.ABC):
-    """One thing that goes wrong, or nothing."""
+    """Base class of scenarios; each injects one kind of fault or none."""
 
     name = ""
     seconds = 12.0
@@ -27,15 +27,15 @@
         """Returns the load of this scenario."""
         return run.plan()
 
-    def conclude(self, run: run_lib.Run, begin: float, end: float) -> None:
-        """Adds figures of its own to `run.extra`, after the load."""
+    def add_metrics(self, run: run_lib.Run, begin: float, end: float) -> None:
+        """Adds metrics of the scenario to `run.extra` after the load."""
 
     @abc.abstractmethod
-    def disturb(self, run: run_lib.Run) -> None:
-        """Does the damage; runs while the load does."""
+    def inject_faults(self, run: run_lib.Run) -> None:
+        """Injects the faults while the load runs."""
 
     def describe(self) -> str:
-        """Returns one line for the list of scenarios."""
+        """Returns the description in the list of scenarios."""
         return (self.__doc__ or "").splitlines()[0]
 
 
@@ -50,56 +50,56 @@
 
 
 class Steady(Scenario):
-    """Nothing goes wrong; measures speed with the router on one core."""
+    """No faults; also measures the speed of a router on one core."""
 
     name = "steady"
     seconds = 6.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
 
 
 class CrashServer(Scenario):
-    """A server of the keyed service is killed and doesn't come back."""
+    """A server of the keyed service is killed and not restarted."""
 
     name = "crash-server"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.kill_server(busiest_server(run.fleet))
 
 
 class FreezeServer(Scenario):
-    """A server freezes past its lease, and returns believing it owns."""
+    """A server is paused beyond its lease and resumes as a stale owner."""
 
     name = "freeze-server"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
-        run.freeze_server(busiest_server(run.fleet), 4.0)
+        time.sleep(_WARM_UP_S)
+        run.pause_server(busiest_server(run.fleet), 4.0)
 
 
 class PauseCoordinator(Scenario):
-    """The coordinator freezes past its lease, and returns."""
+    """The coordinator is paused beyond its lease and resumes."""
 
     name = "pause-coordinator"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
-        run.freeze_coordinator(run.fleet.keyed_holder(), 4.0)
+        time.sleep(_WARM_UP_S)
+        run.pause_coordinator(run.fleet.keyed_holder(), 4.0)
 
 
 class CrashCoordinator(Scenario):
-    """The coordinator is killed and doesn't come back."""
+    """The coordinator is killed and not restarted."""
 
     name = "crash-coordinator"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.kill_coordinator(run.fleet.keyed_holder())
 
 
@@ -108,105 +108,105 @@
 
     name = "crash-both"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
         holder = run.fleet.keyed_holder()
         server = busiest_server(run.fleet)
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.kill_coordinator(holder)
         run.kill_server(server)
 
 
 class CutDomainFromPlatform(Scenario):
-    """One failure domain loses the platform, and gets it back."""
+    """One failure domain can't reach the platform for a time."""
 
     name = "cut-domain-from-platform"
     seconds = 16.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
         domain = run.fleet.keyed_holder().domain
-        time.sleep(_BEFORE_S)
-        run.cut(f"{domain}>-:platform", 8.0)
+        time.sleep(_WARM_UP_S)
+        run.drop_traffic(f"{domain}>-:platform", 8.0)
 
 
 class CutDomainFromAll(Scenario):
-    """One failure domain loses the others and the platform, and returns.
+    """One failure domain is isolated from the others and the platform.
 
-    Its callers still reach its routers.
+    Its callers can still reach its routers.
     """
 
     name = "cut-domain-from-all"
     seconds = 18.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
         domain = run.fleet.keyed_holder().domain
-        time.sleep(_BEFORE_S)
-        run.cut_domain(domain, 8.0)
+        time.sleep(_WARM_UP_S)
+        run.isolate_domain(domain, 8.0)
 
 
 class StoreOutage(Scenario):
-    """The platform refuses everything for most of the run."""
+    """The platform refuses all requests for most of the run."""
 
     name = "store-outage"
     seconds = 24.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
-        run.disturb_platform(self.seconds - 8.0, outage=True)
+        time.sleep(_WARM_UP_S)
+        run.inject_platform_faults(self.seconds - 8.0, outage=True)
 
 
 class StoreSlow(Scenario):
-    """The platform takes seconds for an answer, while a server is killed."""
+    """The platform responds 1.5 s late while a server is killed."""
 
     name = "store-slow"
     seconds = 24.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.fleet.platform.faults(delay_s=1.5)
         run.kill_server(busiest_server(run.fleet))
-        run.disturb_platform(12.0, delay_s=1.5)
+        run.inject_platform_faults(12.0, delay_s=1.5)
 
 
 class LostAnswers(Scenario):
-    """Half of the platform's answers to writes are lost, as a server dies."""
+    """Half of the platform's write responses are lost; a server is killed."""
 
     name = "lost-answers"
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.fleet.platform.faults(lose_answers=0.5, lag_reads=0.2)
         run.kill_server(busiest_server(run.fleet))
-        run.disturb_platform(6.0, lose_answers=0.5, lag_reads=0.2)
+        run.inject_platform_faults(6.0, lose_answers=0.5, lag_reads=0.2)
 
 
 class DomainLoss(Scenario):
-    """A failure domain is lost with all its VMs and servers."""
+    """All entry VMs and servers of a failure domain are killed."""
 
     name = "domain-loss"
     seconds = 14.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
         domain = run.fleet.keyed_holder().domain
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         run.kill_domain(domain)
 
 
 class RollingReplacement(Scenario):
-    """Servers leave one after the other, and new ones take their place."""
+    """Servers leave one after the other and are replaced by new ones."""
 
     name = "rolling-replacement"
     seconds = 26.0
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
-        time.sleep(_BEFORE_S)
+        time.sleep(_WARM_UP_S)
         slowest = 0.0
         for index, old in enumerate(run.fleet.keyed_servers()[:3]):
             slowest = max(slowest, run.replace_server(old, f"new-{index}"))
@@ -214,7 +214,7 @@
 
 
 class TwoFaults(Scenario):
-    """Any two scenarios at once: --faults A,B."""
+    """Two scenarios at the same time: --faults A,B."""
 
     name = "two-faults"
     seconds = 26.0
@@ -224,33 +224,35 @@
         if self._parts:
             self.seconds = max(part.seconds for part in self._parts)
 
-    def disturb(self, run: run_lib.Run) -> None:
+    def inject_faults(self, run: run_lib.Run) -> None:
         """See base class."""
         with concurrent.futures.ThreadPoolExecutor(2) as pool:
-            waits = [pool.submit(part.disturb, run) for part in self._parts]
+            waits = [
+                pool.submit(part.inject_faults, run) for part in self._parts
+            ]
             for wait in waits:
                 wait.result()
 
 
 class HotKeys(Scenario):
-    """Fifteen keys draw half of the load, and others after a while."""
+    """Fifteen hot keys get half of the load, and change during the run."""
 
     name = "hot-keys"
     seconds = 36.0
     rate = 500.0
-    _turns = 2
+    _phases = 2
     _window_s = 3.0
 
     def load(self, run: run_lib.Run) -> load.Plan:
         """See base class."""
         return run.plan(
-            hot_keys=15, hot_share=0.5, shift_s=run.seconds / self._turns
+            hot_keys=15, hot_share=0.5, shift_s=run.seconds / self._phases
         )
 
-    def disturb(self, run: run_lib.Run) -> None:
-        """See base class. The load does it."""
+    def inject_faults(self, run: run_lib.Run) -> None:
+        """See base class. The load itself changes the hot keys."""
 
-    def conclude(self, run: run_lib.Run, begin: float, end: float) -> None:
+    def add_metrics(self, run: run_lib.Run, begin: float, end: float) -> None:
         """See base class."""
         journals = run.fleet.journals()
         at, series = begin, []
--- a/tests/integration/test_bad_input.py
+++ b/tests/integration/test_bad_input.py
@@ -24,7 +24,7 @@
 @pytest.fixture(autouse=True)
 def daemons_keep_running(fleet, port):
     yield
-    answer = callers.ask(port, "/tiny/store/x", headers=KEY)
+    answer = callers.send(port, "/tiny/store/x", headers=KEY)
     assert (answer.status, answer.outcome) == (200, "answered")
     assert all(process.is_running() for process in fleet.all_processes())
 
@@ -65,7 +65,7 @@
     fleet, port, path, headers, status, reason
 ):
     before = run_count(fleet)
-    answer = callers.ask(port, path, headers=headers)
+    answer = callers.send(port, path, headers=headers)
     assert (answer.status, answer.reason) == (status, reason)
     assert answer.outcome == "not-run"
     assert run_count(fleet) == before
@@ -85,7 +85,7 @@
         "POST /tiny/store/x HTTP/1.1\r\nHost: h\r\nSwiftstile-Key: k\r\n"
         f"Content-Length: {length}\r\n\r\n"
     )
-    answer = callers.ask_raw(port, head.encode() + b"start")
+    answer = callers.send_raw(port, head.encode() + b"start")
     assert (answer.status, answer.reason) == (413, "body-too-large")
     assert answer.outcome == "not-run"
 
@@ -110,7 +110,7 @@
     ],
 )
 def test_malformed_head_is_rejected(port, head, status):
-    answer = callers.ask_raw(port, head.encode() + b"\r\n\r\n")
+    answer = callers.send_raw(port, head.encode() + b"\r\n\r\n")
     assert answer.status == status
     assert answer.outcome == "not-run"
 
@@ -126,7 +126,7 @@
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(head.encode() + b"x" * (length // 2))
     # By now a later request has passed through the same router.
-    assert callers.ask(port, "/tiny/store/x", headers=KEY).status == 200
+    assert callers.send(port, "/tiny/store/x", headers=KEY).status == 200
     assert not callers.runs_of(fleet, request_id)
 
 
@@ -156,7 +156,7 @@
         "Swiftstile-Epoch": "999",
         "Swiftstile-Request-Id": "forged",
     }
-    answer = callers.ask(port, "/tiny/store/x", headers=forged)
+    answer = callers.send(port, "/tiny/store/x", headers=forged)
     assert answer.status == 200
     (run,) = callers.runs_of(fleet, "forged")
     assert run.fence == 1
--- a/tests/integration/test_links.py
+++ b/tests/integration/test_links.py
@@ -72,7 +72,7 @@
                 await _ping(link, 0.1)
             assert await pending == responder.rows
             # No data was resent.
-            assert narrow.passed < 1.1 * _LARGE_BYTES
+            assert narrow.forwarded < 1.1 * _LARGE_BYTES
 
     asyncio.run(scenario())
 
@@ -81,10 +81,10 @@
     async def scenario():
         async with _responding() as (_, link, narrow):
             await _ping(link, 1)
-            narrow.stop_after = 0
+            narrow.stall_after = 0
             with pytest.raises(errors.PeerTimeoutError):
                 await _ping(link, 0.1)
-            narrow.stop_after = None
+            narrow.stall_after = None
             await _ping(link, 1)
 
     asyncio.run(scenario())
@@ -161,10 +161,10 @@
                 await _request_rows(link, 5)
             [row] = responder.rows.rows
             request = messages.Refused(row.value.hex())
-            passed = narrow.passed
+            passed = narrow.forwarded
             with pytest.raises(errors.ControlMessageError, match="bytes"):
                 await link.call(request, messages.Pong, 5)
-            assert narrow.passed == passed
+            assert narrow.forwarded == passed
             # The connection remains usable.
             await _ping(link, 1)
 
--- a/tests/integration/test_platform_faults.py
+++ b/tests/integration/test_platform_faults.py
@@ -19,7 +19,7 @@
     processes.wait_until(
         lambda: fleet.platform.stats()["vm_lists"] >= fetched + 12, 15, "reads"
     )
-    answer = callers.ask(
+    answer = callers.send(
         next(iter(fleet.vms.values())).router_port,
         "/tiny/store/x",
         headers=KEY,
@@ -40,9 +40,9 @@
         return all(s and not s["platform_reachable"] for s in states)
 
     processes.wait_until(no_router_reaches_it, 15, "outage noticed")
-    answer = callers.ask(vms[0].router_port, "/tiny/store/x", headers=KEY)
+    answer = callers.send(vms[0].router_port, "/tiny/store/x", headers=KEY)
     assert answer.status == 200
-    with pytest.raises(RuntimeError, match="ended with 4"):
+    with pytest.raises(RuntimeError, match="exited with 4"):
         fleet.run_cli("bundle", "approve", str(path))
     fleet.platform.faults()
     version = fleet.run_cli("bundle", "approve", str(path))["version"]
--- a/tests/integration/test_platform_transfers.py
+++ b/tests/integration/test_platform_transfers.py
@@ -156,7 +156,7 @@
     async def scenario():
         async with _platform() as (address, link):
             await _write_rows(address)
-            link.stop_after = 200_000
+            link.stall_after = 200_000
             async with _open(provider_http.HttpTable, link.address) as client:
                 async with asyncio.timeout(_TIMEOUT_S + 1):
                     with pytest.raises(errors.PlatformUnavailableError):
@@ -168,7 +168,7 @@
 def test_response_that_never_starts_times_out():
     async def scenario():
         async with _platform() as (_, link):
-            link.stop_after = 0
+            link.stall_after = 0
             async with _open(provider_http.HttpTable, link.address) as client:
                 async with asyncio.timeout(_TIMEOUT_S + 0.3):
                     with pytest.raises(errors.PlatformUnavailableError):
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak, and seeds that once failed."""
+"""Short soak runs with fixed seeds, among them seeds that once failed."""
 
 import asyncio
 
@@ -6,17 +6,20 @@
 
 from tests.integration import soak
 
-# Seed and cause of each that ever failed, of the kinds of faults of its time.
+# Seeds that once failed, with the cause. They use the kinds of faults that
+# existed then.
 _REGRESSIONS: dict[int, str] = {
-    3: "tries to fence off a silent owner kept its slots from coming free",
+    3: "attempts to fence an unresponsive owner kept its slots from expiring",
 }
 
 
 @pytest.mark.parametrize("seed", [1, *_REGRESSIONS])
-def test_a_seed_breaks_no_promise(tmp_path, seed):
-    broken = asyncio.run(soak.play(seed, 12.0, tmp_path, has_all=False))
-    assert broken == []
+def test_a_seed_violates_no_guarantee(tmp_path, seed):
+    violations = asyncio.run(
+        soak.run_seed(seed, 12.0, tmp_path, has_all_kinds=False)
+    )
+    assert violations == []
 
 
-def test_a_seed_of_all_kinds_breaks_no_promise(tmp_path):
-    assert asyncio.run(soak.play(2, 12.0, tmp_path)) == []
+def test_a_seed_of_all_kinds_violates_no_guarantee(tmp_path):
+    assert asyncio.run(soak.run_seed(2, 12.0, tmp_path)) == []
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -1,4 +1,4 @@
-"""Checks that modules are imported, not names from them.
+"""Checks that only modules are imported, not names defined in them.
 
 Usage: `python tools/check_imports.py FOLDER...`; exits 1 if any file fails.
 As in the Google Python Style Guide, typing and collections.abc are exempt.
@@ -10,7 +10,7 @@
 import sys
 
 _EXEMPT = {"typing", "collections.abc"}
-# `logger` is the whole of loguru: the module holds nothing else to use.
+# `logger` is loguru's whole interface.
 _EXEMPT_NAMES = {("loguru", "logger")}
 
 
@@ -21,9 +21,9 @@
         return False
 
 
-def problems(path: pathlib.Path) -> list[str]:
-    """Returns a line for each imported name that isn't a module."""
-    found = []
+def find_errors(path: pathlib.Path) -> list[str]:
+    """Returns a message for each imported name that isn't a module."""
+    errors = []
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.ImportFrom) or node.module in _EXEMPT:
             continue
@@ -32,23 +32,23 @@
                 continue
             if not _is_module(f"{node.module}.{alias.name}"):
                 where = f"{path}:{node.lineno}"
-                found.append(f"{where}: {alias.name} isn't a module")
-    return found
+                errors.append(f"{where}: {alias.name} isn't a module")
+    return errors
 
 
 def main() -> int:
-    """Checks all files below the folders that are named."""
+    """Checks all Python files below the given folders."""
     sys.path.insert(0, str(pathlib.Path.cwd()))
-    # The adapter runs from its own folder, which is on the path then.
+    # The adapter is run from its own folder, which is then on the path.
     sys.path.insert(0, str(pathlib.Path.cwd() / "platform"))
     files = [
         path
         for name in sys.argv[1:]
         for path in pathlib.Path(name).rglob("*.py")
     ]
-    found = [line for path in sorted(files) for line in problems(path)]
-    print("\n".join(found) or f"{len(files)} files import modules only")
-    return 1 if found else 0
+    errors = [line for path in sorted(files) for line in find_errors(path)]
+    print("\n".join(errors) or f"{len(files)} files import modules only")
+    return 1 if errors else 0
 
 
 if __name__ == "__main__":
--- a/tools/lost_worth.py
+++ b/tools/lost_worth.py
@@ -1,12 +1,13 @@
-"""Tells where the worth of a play went, from the gateways' lines.
+"""Breaks down by cause the worth that a simulation lost.
 
     python tools/lost_worth.py play.log --report report.json \
         --objective SERVICE=MILLISECONDS ...
 
-`play.log` holds lines of all VMs, as a play with `--log all` prints them; the
-report says what callers got. Late answers are divided by where their time went,
-refusals and failures by the reason of the tries. A caller that came back is one
-loss but several tries, so the losses of a kind are shared out by its tries.
+`play.log` holds the log lines of all VMs, as the bench prints them with
+`--log all`; the report holds the outcomes that callers saw. Late answers are
+classified by where the time was spent, refusals and failures by the reason of
+each attempt. A caller that retries is one loss but several attempts, so the
+losses of each kind are divided in proportion to the attempts.
 """
 
 import argparse
@@ -16,44 +17,45 @@
 import pathlib
 import sys
 
-__all__ = ["Line", "Losses", "read"]
+__all__ = ["LogLine", "Losses", "read"]
 
-# Part of the time of a late answer that makes a cause the main one.
-_MAIN_PART = 0.5
-# What a late answer is worth to its caller, of one in time; by the report's
-# classes, where it is the same for all.
+# A late answer that spent more than this part of its time queued is classified
+# as having waited for a slot.
+_QUEUED_PART_OF_LATE = 0.5
+# Worth of a late answer relative to one in time; the same for all classes of
+# the report.
 LATE_WORTH = 0.5
 _WINDOW_S = 4
-_CLASS_WINDOW = 2
+_CAUSES_SHOWN = 2
 
 
 @dataclasses.dataclass(frozen=True)
-class Line:
-    """One line about a request: when, and what it says."""
+class LogLine:
+    """A log line about a request."""
 
     at_s: float
-    told: dict
+    fields: dict
 
 
-def read(path: pathlib.Path) -> list[Line]:
-    """Returns the lines about requests; others are passed over."""
-    found = []
+def read(path: pathlib.Path) -> list[LogLine]:
+    """Returns the lines about requests; skips all others."""
+    lines = []
     for text in path.read_text(errors="replace").splitlines():
         head, brace, tail = text.partition("{")
-        words = head.split()
-        if not brace or len(words) != 2:
+        columns = head.split()
+        if not brace or len(columns) != 2:
             continue
         try:
-            told, at_s = json.loads(brace + tail), float(words[0])
+            fields, at_s = json.loads(brace + tail), float(columns[0])
         except ValueError:
             continue
-        if "id" in told:
-            found.append(Line(at_s, told))
-    return found
+        if "id" in fields:
+            lines.append(LogLine(at_s, fields))
+    return lines
 
 
 class Losses:
-    """Tries that were late, refused or failed, by cause.
+    """Counts of late, refused and failed attempts, by cause.
 
     Args:
         objective_ms: Objective of each service, in milliseconds.
@@ -65,31 +67,31 @@
         self.late: collections.Counter[str] = collections.Counter()
         self.refused: collections.Counter[str] = collections.Counter()
         self.failed: collections.Counter[str] = collections.Counter()
-        # Losses of all kinds, by window.
+        # Losses of all kinds, by start of the window in seconds.
         self.by_window: dict[int, collections.Counter[str]] = {}
 
-    def note(self, line: Line) -> None:
-        """Takes in one line; those of a request have to come in order."""
-        told = line.told
-        if told["event"] == "sent":
-            self._sent.setdefault(told["id"], told)
-        elif told["event"] == "answered":
-            self._note_answered(line)
-        elif told["event"] == "refused":
-            self._count(self.refused, _reason(told), line)
-        elif told["event"] in ("failed", "abandoned"):
-            self._count(self.failed, _reason(told), line)
-
-    def _note_answered(self, line: Line) -> None:
-        told = line.told
-        first = self._sent.pop(told["id"], None)
-        objective_ms = self._objective_ms.get(told["service"])
-        waited_ms = told.get("waited_ms", 0)
+    def record(self, line: LogLine) -> None:
+        """Counts one line; the lines of a request must be in order."""
+        fields = line.fields
+        if fields["event"] == "sent":
+            self._sent.setdefault(fields["id"], fields)
+        elif fields["event"] == "answered":
+            self._record_answered(line)
+        elif fields["event"] == "refused":
+            self._count(self.refused, _reason(fields), line)
+        elif fields["event"] in ("failed", "abandoned"):
+            self._count(self.failed, _reason(fields), line)
+
+    def _record_answered(self, line: LogLine) -> None:
+        fields = line.fields
+        first = self._sent.pop(fields["id"], None)
+        objective_ms = self._objective_ms.get(fields["service"])
+        waited_ms = fields.get("waited_ms", 0)
         if objective_ms is None or waited_ms <= objective_ms:
             return
         queued_ms = (first or {}).get("waited_ms", 0)
         occupied = (first or {}).get("occupied", 0)
-        if queued_ms > _MAIN_PART * waited_ms:
+        if queued_ms > _QUEUED_PART_OF_LATE * waited_ms:
             cause = "waited for a slot"
         elif occupied > 2:
             cause = "queued at its upstream"
@@ -97,23 +99,23 @@
             cause = "worked on for long"
         self._count(self.late, f"late: {cause}", line)
 
-    def _count(self, counter, cause: str, line: Line) -> None:
+    def _count(self, counter, cause: str, line: LogLine) -> None:
         counter[cause] += 1
         window = int(line.at_s // _WINDOW_S * _WINDOW_S)
         windows = self.by_window.setdefault(window, collections.Counter())
         windows[cause] += 1
 
 
-def _reason(told: dict) -> str:
-    if told["event"] == "abandoned":
+def _reason(fields: dict) -> str:
+    if fields["event"] == "abandoned":
         return "caller left"
-    kind, _, text = told.get("reason", "?").partition(":")
+    kind, _, text = fields.get("reason", "?").partition(":")
     if kind == "overloaded":
         if "no owner" in text:
             return "refused: key without owner"
-        when = "after a wait" if told.get("waited_ms", 0) > 20 else "at once"
+        when = "after a wait" if fields.get("waited_ms", 0) > 20 else "at once"
         return f"refused: no slot, {when}"
-    return f"{told['event']}: {kind}"
+    return f"{fields['event']}: {kind}"
 
 
 def _shares(lost: float, counter: collections.Counter[str]) -> dict:
@@ -124,31 +126,31 @@
 
 
 def _print_causes(report: dict, losses: Losses) -> None:
-    everyone = report["all"]
+    totals = report["all"]
     lost = sum(entry["n"] * (1 - entry["worth"]) for entry in report["classes"])
-    causes = _shares((1 - LATE_WORTH) * everyone["late"], losses.late)
-    causes |= _shares(everyone["refused"], losses.refused)
-    failed = _shares(everyone["failed"], losses.failed)
+    causes = _shares((1 - LATE_WORTH) * totals["late"], losses.late)
+    causes |= _shares(totals["refused"], losses.refused)
+    failed = _shares(totals["failed"], losses.failed)
     for cause, part in failed.items():
         causes[cause] = causes.get(cause, 0.0) + part
-    print("| cause | lost, in requests | part |")
+    print("| cause | lost, in requests | share |")
     print("|---|---|---|")
     for cause, part in sorted(causes.items(), key=lambda item: -item[1]):
         print(f"| {cause} | {part:.0f} | {part / lost:.3f} |")
     explained = sum(causes.values())
-    print(f"| all of these, of {lost:.0f} | | {explained / lost:.3f} |")
+    print(f"| total, of {lost:.0f} | | {explained / lost:.3f} |")
 
 
 def _print_windows(losses: Losses) -> None:
     print()
-    print("| from second | tries late, refused or failed | most of them |")
+    print("| from second | attempts late, refused or failed | main causes |")
     print("|---|---|---|")
     for window, counter in sorted(losses.by_window.items()):
-        most = ", ".join(
+        causes = ", ".join(
             f"{cause} {count}"
-            for cause, count in counter.most_common(_CLASS_WINDOW)
+            for cause, count in counter.most_common(_CAUSES_SHOWN)
         )
-        print(f"| {window} | {sum(counter.values())} | {most} |")
+        print(f"| {window} | {sum(counter.values())} | {causes} |")
 
 
 def _main() -> int:
@@ -163,7 +165,7 @@
         objectives[service] = float(value)
     losses = Losses(objectives)
     for line in read(options.log):
-        losses.note(line)
+        losses.record(line)
     _print_causes(json.loads(options.report.read_text()), losses)
     _print_windows(losses)
     return 0
