--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -345,7 +345,7 @@
         return None
 
     def is_ready(self) -> bool:
-        """Returns whether all routers have the assignments of all services."""
+        """Returns whether all routers know all services and assignments."""
         keyed = {
             f"{self.organisation.name}/{service.name}"
             for service in self.organisation.services
--- a/tests/assigner_parts.py
+++ b/tests/assigner_parts.py
@@ -80,7 +80,7 @@
         self.table = table or builders.MemoryTable()
         self.maps = renewals.KeyMaps()
         self.control = control or Control()
-        self.book = builders.book(
+        self.book = builders.target_table(
             builders.upstream("u-1"), builders.upstream("u-2")
         )
         self.leader_state = types.SimpleNamespace(
--- a/tests/crash_simulation.py
+++ b/tests/crash_simulation.py
@@ -97,12 +97,12 @@
         scenario = self._scenario
         for digest in self._crashers:
             first = _WARM_UP_S + self._random.random()
-            self._clock.at(first, self._crasher_arrives, digest)
-        self._clock.at(0.0, self._ordinary_arrives)
+            self._clock.schedule(first, self._crasher_arrives, digest)
+        self._clock.schedule(0.0, self._ordinary_arrives)
         if scenario.crashes_per_s:
-            self._clock.at(_WARM_UP_S, self._unrelated_crash)
+            self._clock.schedule(_WARM_UP_S, self._unrelated_crash)
         for number in range(scenario.vms):
-            self._clock.at(self._random.random(), self._report, number)
+            self._clock.schedule(self._random.random(), self._report, number)
         self._clock.run()
 
     def crashes_after_limit(self, bound_s: float) -> int:
@@ -123,7 +123,7 @@
             return
         self._arrive(now, digest, _RETRIES)
         again = now + self._random.uniform(0.2, 1.5)
-        self._clock.at(again, self._crasher_arrives, digest)
+        self._clock.schedule(again, self._crasher_arrives, digest)
 
     def _ordinary_arrives(self, now: float) -> None:
         if now > _LENGTH_S:
@@ -133,7 +133,7 @@
         pool = few if self._random.random() < 0.5 else self._ordinary
         self._arrive(now, self._random.choice(pool), _RETRIES)
         again = now + self._random.expovariate(self._scenario.per_s)
-        self._clock.at(again, self._ordinary_arrives)
+        self._clock.schedule(again, self._ordinary_arrives)
 
     def _arrive(self, now: float, digest, retries: int) -> None:
         vm = self._random.randrange(len(self._tables))
@@ -162,7 +162,9 @@
             end = now + self._random.uniform(0.002, 0.05)
         else:
             end = now + self._random.uniform(0.05, 0.5)
-        self._clock.at(end, self._end, upstream, upstream.run_number, number)
+        self._clock.schedule(
+            end, self._end, upstream, upstream.run_number, number
+        )
 
     def _end(self, now: float, upstream, run_number: int, number: int) -> None:
         if upstream.run_number != run_number or number not in upstream.working:
@@ -184,14 +186,14 @@
             self._crash(now, self._random.choice(up))
         rate = self._scenario.crashes_per_s * len(self._upstreams)
         again = now + self._random.expovariate(rate)
-        self._clock.at(again, self._unrelated_crash)
+        self._clock.schedule(again, self._unrelated_crash)
 
     def _crash(self, now: float, upstream: _Upstream) -> None:
         crash = causes.crash_id(upstream.id, upstream.run_number)
         working, upstream.working = upstream.working, {}
         upstream.is_up = False
         upstream.run_number += 1
-        self._clock.at(now + _DOWN_S, self._restart, upstream)
+        self._clock.schedule(now + _DOWN_S, self._restart, upstream)
         for digest, vm, retries, may_resend, sent in working.values():
             table = self._tables[vm]
             table.record_crash(digest, crash, now - sent, now)
@@ -202,7 +204,7 @@
                 self._send(now, digest, vm, retries, may_resend=False)
             elif retries:
                 soon = now + self._random.uniform(0.01, 0.1)
-                self._clock.at(soon, self._arrive, digest, retries - 1)
+                self._clock.schedule(soon, self._arrive, digest, retries - 1)
 
     @staticmethod
     def _restart(now: float, upstream: _Upstream) -> None:
@@ -218,8 +220,10 @@
                 and self._random.random() >= self._scenario.loss_rate
             ):
                 delay_s = self._random.uniform(0.001, 0.3)
-                self._clock.at(now + delay_s, self._receive, other, reported)
-        self._clock.at(now + _REPORT_INTERVAL_S, self._report, number)
+                self._clock.schedule(
+                    now + delay_s, self._receive, other, reported
+                )
+        self._clock.schedule(now + _REPORT_INTERVAL_S, self._report, number)
 
     def _receive(self, now: float, number: int, reported) -> None:
         self._tables[number].receive(reported, now)
--- a/tests/event_clock.py
+++ b/tests/event_clock.py
@@ -12,7 +12,7 @@
         self._events: list[tuple] = []
         self._order = itertools.count()
 
-    def at(
+    def schedule(
         self, when: float, action: collections.abc.Callable, *arguments
     ) -> None:
         """Schedules a call of `action(when, *arguments)`."""
--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -66,11 +66,13 @@
     return model.Upstream(**(fields | changes))
 
 
-def book(*upstreams: model.Upstream, now: float = 0.0) -> targets.TargetTable:
-    made = targets.TargetTable()
+def target_table(
+    *upstreams: model.Upstream, now: float = 0.0
+) -> targets.TargetTable:
+    table = targets.TargetTable()
     for entry in upstreams:
-        made.put(entry, now)
-    return made
+        table.put(entry, now)
+    return table
 
 
 def occupy(target: targets.Target, count: int, now: float = 0.0) -> None:
@@ -85,7 +87,7 @@
         self._owner = owner
         self._ready_in_s = ready_in_s
 
-    def lose(self, ready_in_s: float) -> None:
+    def remove_owner(self, ready_in_s: float) -> None:
         self._owner, self._ready_in_s = None, ready_in_s
 
     def target(self, now: float) -> targets.Target | None:
@@ -136,13 +138,13 @@
 
 
 def peer(
-    row: reports.NodeRow, told: reports.Report | None, received_at: float
+    row: reports.NodeRow, last_report: reports.Report | None, received_at: float
 ) -> reports.Peer:
-    made = reports.Peer(row, now=-1000.0)
-    made.report = told
-    made.received_at = made.received_directly_at = received_at
-    made.receives_us = True
-    return made
+    new_peer = reports.Peer(row, now=-1000.0)
+    new_peer.report = last_report
+    new_peer.received_at = new_peer.received_directly_at = received_at
+    new_peer.receives_us = True
+    return new_peer
 
 
 class MemoryTable(interfaces.StateTable):
@@ -150,8 +152,8 @@
 
     Attributes:
         lose_answers: Number of next writes that are applied without an answer.
-        delay_writes: Number of next writes that are kept in `late` unapplied
-            and get no answer.
+        delay_writes: Number of next writes that get no answer and are kept
+            unapplied in `delayed_writes`.
         refuse: Number of next calls that are refused.
     """
 
@@ -161,7 +163,7 @@
         self.lose_answers = 0
         self.delay_writes = 0
         self.refuse = 0
-        self.late: list[tuple] = []
+        self.delayed_writes: list[tuple] = []
         self.oldest = 0
         self.log: list[interfaces.Change] = []
         self.probes: list[bool] = []
@@ -185,7 +187,7 @@
         self._maybe_refuse()
         if self.delay_writes:
             self.delay_writes -= 1
-            self.late.append((conditions, writes))
+            self.delayed_writes.append((conditions, writes))
             raise errors.OutcomeUnknownError("late", step="write")
         version = self.apply(conditions, writes)
         if self.lose_answers:
--- a/tests/keyed_load_simulation.py
+++ b/tests/keyed_load_simulation.py
@@ -109,7 +109,7 @@
             )
             for i in range(len(load.speeds))
         ]
-        self._targets = builders.book(*specs)
+        self._targets = builders.target_table(*specs)
         self._owners = {}
         for spec, speed in zip(specs, load.speeds, strict=True):
             self._owners[spec.id] = _Owner(speed, load.slots)
@@ -122,9 +122,9 @@
 
     def run(self) -> Result:
         random.seed(self._load.seed)
-        self._clock.at(0.0, self._arrive)
-        self._clock.at(self._load.hot_from_s, self._arrive_hot)
-        self._clock.at(0.0, self._scan)
+        self._clock.schedule(0.0, self._arrive)
+        self._clock.schedule(self._load.hot_from_s, self._arrive_hot)
+        self._clock.schedule(0.0, self._scan)
         self._clock.run()
         return self.result
 
@@ -132,12 +132,14 @@
         load = self._load
         if now >= load.duration_s:
             return
-        self._clock.at(now + self._random.expovariate(load.per_s), self._arrive)
+        self._clock.schedule(
+            now + self._random.expovariate(load.per_s), self._arrive
+        )
         owners = list(self._owners)
         weights = load.shares or load.speeds
         owner = self._random.choices(owners, weights)[0]
         key = self._random.randrange(2000)
-        self._clock.at(
+        self._clock.schedule(
             now + load.latency_s,
             self._arrive_at_arbiter,
             self._caller(owner, now, key),
@@ -153,9 +155,9 @@
         if not load.hot_per_s or now >= load.hot_until_s:
             return
         wait_s = self._random.expovariate(load.hot_per_s)
-        self._clock.at(now + wait_s, self._arrive_hot)
+        self._clock.schedule(now + wait_s, self._arrive_hot)
         owner = next(iter(self._owners))
-        self._clock.at(
+        self._clock.schedule(
             now + load.latency_s,
             self._arrive_at_arbiter,
             self._caller(owner, now, -1),
@@ -164,7 +166,7 @@
     def _scan(self, now: float) -> None:
         """Scans the queue periodically, as estimates change over time."""
         if now < self._load.duration_s + self._load.wait_s:
-            self._clock.at(now + 0.02, self._scan)
+            self._clock.schedule(now + 0.02, self._scan)
         self._dispatch(now)
 
     def _arrive_at_arbiter(self, now: float, caller: _Caller) -> None:
@@ -199,13 +201,13 @@
             return
         caller.retries = 1
         self.result.retried += 1
-        self._clock.at(
+        self._clock.schedule(
             now + load.latency_s + back_s, self._arrive_at_arbiter, caller
         )
 
     def _grant(self, now: float, waiter, target) -> None:
         target.note_sent(waiter.sequence, now, waiter.expected_s)
-        self._clock.at(
+        self._clock.schedule(
             now + 2 * self._load.latency_s,
             self._arrive_at_owner,
             waiter,
@@ -225,7 +227,7 @@
             owner.free -= 1
             waiter, target, service_s = owner.queue.popleft()
             end = now + service_s / owner.speed
-            self._clock.at(end, self._finish, owner, waiter, target)
+            self._clock.schedule(end, self._finish, owner, waiter, target)
 
     def _finish(self, now: float, owner: _Owner, waiter, target) -> None:
         owner.free += 1
@@ -238,7 +240,7 @@
         else:
             self.result.rejected += 1
         self._start(now, owner)
-        self._clock.at(
+        self._clock.schedule(
             now + 2 * self._load.latency_s, self._release, waiter, target
         )
 
--- a/tests/load_simulation.py
+++ b/tests/load_simulation.py
@@ -106,7 +106,7 @@
 
     def __init__(self, name: str, specs, speeds, load: Load):
         self.name = name
-        self.book = builders.book(*specs)
+        self.book = builders.target_table(*specs)
         for target, speed in zip(self.book.by_id.values(), speeds, strict=True):
             target.slowness = 1.0 / speed
         peers = gossip.Peers(builders.node_row(name), lambda *_: None)
@@ -152,10 +152,10 @@
 
     def run(self) -> Result:
         random.seed(self._load.seed)
-        self._clock.at(0.0, self._arrive)
+        self._clock.schedule(0.0, self._arrive)
         for number, vm in enumerate(self._vms):
             offset = self._load.report_interval_s * number / len(self._vms)
-            self._clock.at(offset, self._report, vm)
+            self._clock.schedule(offset, self._report, vm)
         self._clock.run()
         return self.result
 
@@ -163,7 +163,9 @@
         load = self._load
         if now >= load.duration_s:
             return
-        self._clock.at(now + self._random.expovariate(load.per_s), self._arrive)
+        self._clock.schedule(
+            now + self._random.expovariate(load.per_s), self._arrive
+        )
         vm = self._random.choice(self._vms)
         if load.has_arbiter:
             vm = self._vms[0]
@@ -179,7 +181,7 @@
             self._offer(now, vm, waiter)
             return
         waiter.domain = builders.HOME
-        self._clock.at(now + load.latency_s, self._offer, vm, waiter)
+        self._clock.schedule(now + load.latency_s, self._offer, vm, waiter)
 
     def _offer(self, now: float, vm, waiter) -> None:
         decided = vm.controller.offer(waiter, now)
@@ -192,7 +194,7 @@
         target.note_sent(waiter.sequence, now, waiter.expected_s)
         self.result.sends_by_upstream[target.id].append(now)
         if self._load.has_arbiter:
-            self._clock.at(
+            self._clock.schedule(
                 now + self._load.latency_s,
                 self._arrive_at_upstream,
                 vm,
@@ -206,7 +208,9 @@
         upstream = self._upstreams[target.id]
         if len(upstream.queue) >= self._load.queue_length and not upstream.free:
             self.result.unanswered += 1
-            self._clock.at(waiter.deadline, self._release, vm, waiter, target)
+            self._clock.schedule(
+                waiter.deadline, self._release, vm, waiter, target
+            )
             return
         # Gamma distribution of shape 4: the standard deviation is half of the
         # mean, as for the users' requests.
@@ -220,7 +224,9 @@
             vm, waiter, target, service_s, sent = upstream.queue.popleft()
             self.result.waits.append(now - sent)
             end = now + service_s / upstream.speed
-            self._clock.at(end, self._finish, upstream, vm, waiter, target)
+            self._clock.schedule(
+                end, self._finish, upstream, vm, waiter, target
+            )
 
     def _finish(self, now: float, upstream, vm, waiter, target) -> None:
         upstream.free += 1
@@ -230,7 +236,7 @@
             self.result.late += 1
         self._start(now, upstream)
         if self._load.has_arbiter:
-            self._clock.at(
+            self._clock.schedule(
                 now + self._load.latency_s, self._release, vm, waiter, target
             )
             return
@@ -248,7 +254,9 @@
 
     def _report(self, now: float, vm) -> None:
         if now < self._load.duration_s + 2.0:
-            self._clock.at(now + self._load.report_interval_s, self._report, vm)
+            self._clock.schedule(
+                now + self._load.report_interval_s, self._report, vm
+            )
         for other in self._vms:
             if other is vm:
                 continue
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -19,12 +19,12 @@
 
 
 def test_free_target_is_assigned_immediately():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     assert _admission(book).offer(builders.waiter(), 0.0).id == "u-1"
 
 
 def test_local_domain_is_preferred_while_it_has_capacity():
-    book = builders.book(
+    book = builders.target_table(
         builders.upstream("u-1", failure_domain=builders.AWAY),
         builders.upstream("u-2"),
     )
@@ -36,7 +36,7 @@
 
 
 def test_large_body_waits_for_full_local_target_before_leaving_domain():
-    book = builders.book(
+    book = builders.target_table(
         builders.upstream("u-1", failure_domain=builders.AWAY),
         builders.upstream("u-2"),
     )
@@ -53,7 +53,7 @@
 def _queue_of_eight(seed: int):
     """Returns an admission queue with 20 VMs, and its requests in order."""
     drawn = random.Random(seed)
-    book = builders.book(
+    book = builders.target_table(
         *(
             builders.upstream(
                 f"u-{number}",
@@ -104,7 +104,7 @@
 def test_large_body_waits_in_local_domain_with_many_vms():
     # On the enlarged site hbrt-gw, uploads left their domain as soon as all of
     # its targets were full, which sent 0.2 GB between domains.
-    book = builders.book(
+    book = builders.target_table(
         *(
             builders.upstream(
                 f"u-{i}",
@@ -126,19 +126,23 @@
 
 
 def test_slow_target_is_skipped():
-    book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
+    book = builders.target_table(
+        builders.upstream("u-1"), builders.upstream("u-2")
+    )
     book.by_id["u-1"].slowness = 8.0
     assert _admission(book).offer(builders.waiter(), 0.0).id == "u-2"
 
 
 def test_requests_of_other_vms_count_as_load():
-    book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
+    book = builders.target_table(
+        builders.upstream("u-1"), builders.upstream("u-2")
+    )
     book.by_id["u-1"].peer_counts["vm-2"] = (3, 0, 0.0)
     assert _admission(book).offer(builders.waiter(), 0.0).id == "u-2"
 
 
 def test_counts_of_unresponsive_peer_expire():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     book.by_id["u-1"].peer_counts["vm-2"] = (9, 9, 0.0)
     late = 10.0
     assert book.by_id["u-1"].occupied(late) == 0
@@ -146,7 +150,7 @@
 
 
 def test_request_that_cannot_meet_objective_is_rejected_immediately():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     controller = _admission(book)
     builders.occupy(book.by_id["u-1"], 4)
     rejected = None
@@ -162,7 +166,7 @@
 
 
 def test_requests_of_higher_priority_go_first():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     controller = _admission(book)
     builders.occupy(book.by_id["u-1"], 4)
     later = builders.waiter(priority=3)
@@ -176,7 +180,7 @@
 
 
 def test_queued_request_without_time_left_is_rejected():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     controller = _admission(book)
     builders.occupy(book.by_id["u-1"], 4)
     waiter = builders.waiter()
@@ -188,7 +192,7 @@
 
 def _contended() -> tuple[admission.AdmissionController, admission.Waiter]:
     """Returns admission to a full target, and a request late from 100.1 on."""
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     builders.occupy(book.by_id["u-1"], 4, 100.0)
     controller = _admission(book)
     late = builders.waiter(99.75)
@@ -231,7 +235,7 @@
 
 
 def test_late_request_without_owner_keeps_waiting_despite_others():
-    controller = _admission(builders.book())
+    controller = _admission(builders.target_table())
     lookup = builders.FixedOwner(None, ready_in_s=0.03)
     late = builders.waiter(99.65, owner=lookup)
     assert controller.offer(late, 100.0) is None
@@ -243,7 +247,7 @@
 
 
 def test_late_request_keeps_waiting_without_competitors():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     controller = _admission(book)
     builders.occupy(book.by_id["u-1"], 4)
     late = builders.waiter()
@@ -256,7 +260,9 @@
 
 
 def test_late_request_is_unaffected_by_contention_for_another_owner():
-    book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
+    book = builders.target_table(
+        builders.upstream("u-1"), builders.upstream("u-2")
+    )
     controller = _admission(book)
     for target in book.by_id.values():
         builders.occupy(target, 4)
@@ -269,7 +275,7 @@
 
 
 def test_request_for_key_without_owner_is_rejected_with_retry_time():
-    controller = _admission(builders.book())
+    controller = _admission(builders.target_table())
     lookup = builders.FixedOwner(None, ready_in_s=5.0)
     rejected = controller.offer(builders.waiter(owner=lookup), 0.0)
     assert isinstance(rejected, admission.Rejection)
@@ -277,22 +283,22 @@
 
 
 def test_queued_request_is_rejected_when_its_key_loses_its_owner():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     controller = _admission(book)
     builders.occupy(book.by_id["u-1"], 4)
     lookup = builders.FixedOwner(book.by_id["u-1"])
     waiter = builders.waiter(owner=lookup)
     assert controller.offer(waiter, 0.0) is None
-    lookup.lose(ready_in_s=0.3)
+    lookup.remove_owner(ready_in_s=0.3)
     assert controller.dispatch(0.1) == ([], [])
-    lookup.lose(ready_in_s=5.0)
+    lookup.remove_owner(ready_in_s=5.0)
     _, rejected = controller.dispatch(0.1)
     assert [entry for entry, _ in rejected] == [waiter]
     assert book.by_id["u-1"].waiting == 0
 
 
 def test_lookup_waits_for_its_owner_beyond_its_objective():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     target = book.by_id["u-1"]
     controller = _admission(book)
     builders.occupy(target, 12)
@@ -305,7 +311,7 @@
 
 def _contended_owner():
     """Returns an owner for which lookups that can be in time keep waiting."""
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     target = book.by_id["u-1"]
     controller = _admission(book)
     builders.occupy(target, 5, 100.0)
@@ -330,7 +336,7 @@
 
 
 def test_late_lookup_uses_idle_slots_only():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     target = book.by_id["u-1"]
     controller = _admission(book)
     builders.occupy(target, 3)
@@ -343,7 +349,7 @@
 
 
 def test_lateness_depends_on_the_speed_of_the_owner():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     target = book.by_id["u-1"]
     waiter = builders.waiter(owner=builders.FixedOwner(target))
     waiter.awaited = target
@@ -396,7 +402,7 @@
 
 
 def test_target_is_slow_only_beyond_its_usual_service_time():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     target = book.by_id["u-1"]
     target.slowness = 2.0
     target.note_sent(1, 0.0, 0.2)
@@ -406,7 +412,7 @@
 
 
 def test_rejection_names_the_overloaded_owner():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     target = book.by_id["u-1"]
     # The queue is longer than the caller waits.
     builders.occupy(target, 40)
@@ -416,13 +422,15 @@
 
 
 def test_request_waits_while_its_key_is_being_moved():
-    controller = _admission(builders.book())
+    controller = _admission(builders.target_table())
     lookup = builders.FixedOwner(None, ready_in_s=0.03)
     assert controller.offer(builders.waiter(owner=lookup), 0.0) is None
 
 
 def test_leaving_target_gets_no_new_requests():
-    book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
+    book = builders.target_table(
+        builders.upstream("u-1"), builders.upstream("u-2")
+    )
     book.put(
         builders.upstream("u-1", state=model.UpstreamState.DRAINING), now=1.0
     )
@@ -431,7 +439,7 @@
 
 
 def test_waiting_count_is_balanced_after_removals():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     target = book.by_id["u-1"]
     controller = _admission(book)
     builders.occupy(target, 4)
@@ -444,7 +452,9 @@
 
 
 def test_replaced_target_is_not_used():
-    book = builders.book(builders.upstream("u-1", address="127.0.0.1:1"))
+    book = builders.target_table(
+        builders.upstream("u-1", address="127.0.0.1:1")
+    )
     book.mark_unregistered("u-1", 1.0)
     book.put(builders.upstream("u-2", address="127.0.0.1:1"), 1.5)
     assert book.by_id["u-1"].is_replaced
@@ -502,7 +512,7 @@
 
 
 def test_one_unanswered_request_makes_a_target_slow():
-    book = builders.book(builders.upstream())
+    book = builders.target_table(builders.upstream())
     target = book.by_id["u-1"]
     target.note_sent(1, 0.0, 0.2)
     assert target.slow_factor(0.1) == 1.0
@@ -527,7 +537,7 @@
 @pytest.mark.parametrize(("vms", "scans"), [(4, 6), (25, 1)])
 def test_reports_of_many_vms_do_not_each_trigger_a_queue_scan(vms, scans):
     async def scenario():
-        book = builders.book(builders.upstream())
+        book = builders.target_table(builders.upstream())
         now = gate.clocks.monotonic()
         builders.occupy(book.by_id["u-1"], 4, now)
         controller = _ScanCounter(book, vms)
--- a/tests/unit/test_gateway_cold.py
+++ b/tests/unit/test_gateway_cold.py
@@ -74,7 +74,9 @@
 def _cold_upstream(
     now: float = 0.0,
 ) -> tuple[targets.TargetTable, targets.Target]:
-    table = builders.book(builders.upstream("u-1", cold_s=_COLD_S), now=now)
+    table = builders.target_table(
+        builders.upstream("u-1", cold_s=_COLD_S), now=now
+    )
     return table, table.by_id["u-1"]
 
 
@@ -123,7 +125,7 @@
 
 
 def test_a_vm_of_another_domain_sends_if_the_own_domain_has_none():
-    table = builders.book(
+    table = builders.target_table(
         builders.upstream("u-1", cold_s=_COLD_S, failure_domain="third")
     )
     target = table.by_id["u-1"]
@@ -163,7 +165,7 @@
 
 
 def test_upstreams_count_as_cold_after_an_evacuation():
-    table = builders.book(builders.upstream("u-1"))
+    table = builders.target_table(builders.upstream("u-1"))
     limits = _limits(table, "vm-1")
     table.evacuate(builders.HOME, 0.0)
     table.end_evacuation(builders.HOME, 20.0)
@@ -216,7 +218,7 @@
     """Upstreams that may own keys; each is cold or warm."""
 
     def __init__(self, *cold: bool):
-        self.table = builders.book(
+        self.table = builders.target_table(
             *(
                 builders.upstream(f"u-{number}", cold_s=_COLD_S * is_cold)
                 for number, is_cold in enumerate(cold, 1)
--- a/tests/unit/test_gateway_crash_check.py
+++ b/tests/unit/test_gateway_crash_check.py
@@ -23,7 +23,9 @@
 
     def __init__(self, during_wait):
         self._during_wait = during_wait
-        self._target = builders.book(builders.upstream("u-1")).by_id["u-1"]
+        self._target = builders.target_table(builders.upstream("u-1")).by_id[
+            "u-1"
+        ]
         self.released = 0
 
     async def acquire(self, waiter: admission.Waiter):
--- a/tests/unit/test_gateway_dissemination.py
+++ b/tests/unit/test_gateway_dissemination.py
@@ -114,7 +114,7 @@
 
     @staticmethod
     def _renewals(peers):
-        target_table = builders.book(
+        target_table = builders.target_table(
             builders.upstream("u-1", failure_domain="z1")
         )
         maps = renewals.KeyMaps()
--- a/tests/unit/test_gateway_domain_search.py
+++ b/tests/unit/test_gateway_domain_search.py
@@ -10,7 +10,7 @@
 
 
 def _group(*domains: str):
-    table = builders.book(
+    table = builders.target_table(
         *(
             builders.upstream(
                 f"u-{i}",
--- a/tests/unit/test_gateway_evacuation.py
+++ b/tests/unit/test_gateway_evacuation.py
@@ -28,7 +28,7 @@
 
 def _book(*domains) -> targets.TargetTable:
     """Returns upstreams `u-1`, `u-2`, ... in the domains."""
-    return builders.book(
+    return builders.target_table(
         *(
             builders.upstream(f"u-{number}", failure_domain=domain)
             for number, domain in enumerate(domains, 1)
--- a/tests/unit/test_gateway_permits.py
+++ b/tests/unit/test_gateway_permits.py
@@ -64,7 +64,7 @@
             address=f"127.0.0.1:{port}",
         )
         network.by_address["127.0.0.1", port] = self
-        self.targets = builders.book(
+        self.targets = builders.target_table(
             *(
                 builders.upstream(
                     f"u-{i}", slots=_SLOTS, address=f"10.0.0.{i}:1"
--- a/tests/unit/test_gateway_restart.py
+++ b/tests/unit/test_gateway_restart.py
@@ -29,7 +29,7 @@
 
 
 def test_a_restarted_upstream_has_no_history():
-    book = builders.book(_incarnation(_FIRST))
+    book = builders.target_table(_incarnation(_FIRST))
     before = book.by_id["u-1"]
     builders.occupy(before, 4)
     before.note_failure(0.0)
@@ -44,14 +44,14 @@
 
 
 def test_a_repeated_registration_changes_nothing():
-    book = builders.book(_incarnation(_FIRST))
+    book = builders.target_table(_incarnation(_FIRST))
     before = book.by_id["u-1"]
     assert book.put(_incarnation(_FIRST), 1.0) is before
     assert book.put(_incarnation(0), 2.0) is before
 
 
 def test_an_upstream_that_left_and_restarts_is_used():
-    book = builders.book(_incarnation(_FIRST))
+    book = builders.target_table(_incarnation(_FIRST))
     book.mark_unregistered("u-1", 1.0)
     assert not book.by_id["u-1"].accepts_requests(9.0, drain_s=2.0)
     book.put(_incarnation(_SECOND), 9.0)
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -169,7 +169,7 @@
         permits=_EmptyQueue(),
         client=None,
         dialect=_Dialect(),
-        target_table=builders.book(),
+        target_table=builders.target_table(),
         key_owners=None,
         retry_budget=None,
         speed_table=None,
--- a/tests/unit/test_gateway_store.py
+++ b/tests/unit/test_gateway_store.py
@@ -38,7 +38,7 @@
     write = interfaces.Write("k", b"mine")
     version = asyncio.run(settle.settled_write(table, _condition(0), write))
     with pytest.raises(errors.ConflictError):
-        table.apply(*table.late[0])
+        table.apply(*table.delayed_writes[0])
     assert table.rows["k"].version == version
 
 
@@ -46,8 +46,8 @@
     class Racing(builders.MemoryTable):
 
         async def write(self, conditions, writes):
-            if self.late:
-                self.apply(*self.late.pop())
+            if self.delayed_writes:
+                self.apply(*self.delayed_writes.pop())
             return await super().write(conditions, writes)
 
     table = Racing()
