--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -280,7 +280,9 @@
         """
         view = view or vm.domain
         path = self._folder / f"{vm.name}.ini"
-        path.write_text(
+        # Replaced as a whole: a daemon that starts may be reading it.
+        written = path.with_suffix(".new")
+        written.write_text(
             members.SETTINGS.format(
                 vm=vm.name,
                 domain=vm.domain,
@@ -293,6 +295,7 @@
                 coordinator_metrics=vm.coordinator_metrics,
             )
         )
+        written.replace(path)
         return path
 
     def _start_vm(self, vm: members.EntryVm) -> None:
