--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -238,7 +238,7 @@
         drain_s: float,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
     ):
-        self._targets = target_table
+        self._target_table = target_table
         self._domain = domain
         self._drain_s = drain_s
         self._limits = limits
@@ -502,7 +502,7 @@
             owner = waiter.owner.target(now)
             found = [] if owner is None else [owner]
         else:
-            group = self._targets.by_service.get(waiter.service, {})
+            group = self._target_table.by_service.get(waiter.service, {})
             found = [
                 target
                 for target in group.values()
@@ -522,7 +522,7 @@
         self, waiter: Waiter, now: float
     ) -> list[targets.Target]:
         """Returns usable targets of a request's service that aren't leaving."""
-        group = self._targets.by_service.get(waiter.service, {})
+        group = self._target_table.by_service.get(waiter.service, {})
         return [
             target
             for target in group.values()
--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -66,7 +66,7 @@
     Args:
         peers: The other VMs.
         gate: Decides on requests, including those of this VM.
-        table: The upstreams.
+        target_table: The upstreams.
         is_leaving: Returns whether this VM is shutting down.
         meters: Counts permits.
     """
@@ -75,13 +75,13 @@
         self,
         peers: gossip.Peers,
         gate: gate_lib.Gate,
-        table: targets.TargetTable,
+        target_table: targets.TargetTable,
         is_leaving,
         meters: metrics.Meters,
     ):
         self._peers = peers
         self._gate = gate
-        self._targets = table
+        self._target_table = target_table
         self.is_leaving = is_leaving
         self._meters = meters
         self._permits: dict[tuple[str, int], _Permit] = {}
@@ -112,12 +112,12 @@
             self._send_status(peer, request.number, known)
             return
         if request.service:
-            if request.service in self._targets.by_service:
+            if request.service in self._target_table.by_service:
                 self._start(peer, request, self._waiter_in_domain(request))
             # A VM that has just started doesn't know the service yet; the
             # sender times out and asks elsewhere.
             return
-        target = self._targets.by_id.get(request.upstream)
+        target = self._target_table.by_id.get(request.upstream)
         if target is None or target.is_replaced:
             # The requesting VM has newer information about the upstream.
             self._send(
--- a/src/swiftstile/gateway/coldstart.py
+++ b/src/swiftstile/gateway/coldstart.py
@@ -98,16 +98,19 @@
     """Limits of the services that are configured with a cold rate.
 
     Args:
-        table: The upstreams.
+        target_table: The upstreams.
         peers: The other VMs.
         is_registered: Returns whether this VM is registered, so that it knows
             the others and they know it.
     """
 
     def __init__(
-        self, table: targets.TargetTable, peers: gossip.Peers, is_registered
+        self,
+        target_table: targets.TargetTable,
+        peers: gossip.Peers,
+        is_registered,
     ):
-        self._targets = table
+        self._target_table = target_table
         self._peers = peers
         self._is_registered = is_registered
         self._rate_by_service: dict[ids.ServiceName, float] = {}
@@ -127,7 +130,7 @@
             entry.name for entry in limited if entry.is_keyed
         }
         self._senders_valid_until = 0.0
-        self._targets.cold_start_s = {
+        self._target_table.cold_start_s = {
             entry.name: entry.cold_start_s for entry in limited
         }
 
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -15,7 +15,7 @@
 from swiftstile.gateway import coldstart
 from swiftstile.gateway import decision_log
 from swiftstile.gateway import follow
-from swiftstile.gateway import front as front_lib
+from swiftstile.gateway import frontend as frontend_lib
 from swiftstile.gateway import gate as gate_lib
 from swiftstile.gateway import gossip
 from swiftstile.gateway import handler as handler_lib
@@ -56,7 +56,7 @@
     def __init__(
         self,
         node: reports.NodeRow,
-        front: front_lib.Front,
+        frontend: frontend_lib.Frontend,
         ready_listen: str,
         handler: handler_lib.RequestHandler,
         gate: gate_lib.Gate,
@@ -84,8 +84,8 @@
         meters: metrics.Meters,
     ):
         self._node = node
-        self._front = front
-        self._ready = front_lib.ReadinessServer(ready_listen, self._is_ready)
+        self._frontend = frontend
+        self._ready = frontend_lib.ReadinessServer(ready_listen, self._is_ready)
         self._handler = handler
         self._gate = gate
         self._arbiter = arbiter
@@ -117,7 +117,7 @@
 
     async def run(self, stopping: asyncio.Event) -> None:
         """Serves until `stopping` is set, then completes requests in flight."""
-        await self._front.start()
+        await self._frontend.start()
         await self._ready.start()
         runs = [
             *(follower.run() for follower in self._followers.values()),
@@ -129,7 +129,7 @@
             self._gate.run(),
             self._arbiter.run(),
             self._log.run(),
-            self._front.enforce_timeouts(),
+            self._frontend.enforce_timeouts(),
             self._run_housekeeping(),
             self._run_leader_duties(),
         ]
@@ -160,22 +160,22 @@
 
     async def _drain(self) -> None:
         started = clocks.monotonic()
-        logs.logger.info("gateway drains", in_flight=self._front.in_flight)
+        logs.logger.info("gateway drains", in_flight=self._frontend.in_flight)
         self._is_leaving = True
-        self._front.is_leaving = True
+        self._frontend.is_leaving = True
         for keeper in self._keepers.values():
             keeper.forget()
         self._renewals.stop(started)
         self._peers.send_now(self._report(self._peers.next_sequence()))
         step_down = asyncio.create_task(self._leader_role.step_down())
         await asyncio.sleep(LINGER_S)
-        self._front.stop_listening()
-        self._front.close_idle()
+        self._frontend.stop_listening()
+        self._frontend.close_idle()
         end = started + self._grace_s - GRACE_MARGIN_S
-        while self._front.in_flight and clocks.monotonic() < end:
+        while self._frontend.in_flight and clocks.monotonic() < end:
             await asyncio.sleep(TICK_S / 2)
-        self._front.is_closed = True
-        self._front.close_idle()
+        self._frontend.is_closed = True
+        self._frontend.close_idle()
         step_down.cancel()
 
     def _report(self, sequence: int, is_full: bool = True) -> reports.Report:
@@ -342,7 +342,7 @@
         return {
             "node": self._node.node,
             "failure_domain": self._node.domain,
-            "in_flight": self._front.in_flight,
+            "in_flight": self._frontend.in_flight,
             "config": config.version if config else None,
             "leads": self._leader_role.is_leader,
             "targets": len(self._target_table.by_id),
--- a/src/swiftstile/gateway/front.py
+++ b/src/swiftstile/gateway/frontend.py
@@ -20,7 +20,7 @@
 from swiftstile.gateway import model
 from swiftstile.gateway import outcomes
 
-__all__ = ["Front", "ReadinessServer"]
+__all__ = ["Frontend", "ReadinessServer"]
 
 _HEADER_TOO_LARGE = 431
 _BAD_REQUEST = 400
@@ -35,7 +35,7 @@
     message: str
 
 
-class Front(caller_requests.Responder):
+class Frontend(caller_requests.Responder):
     """Serves callers over HTTP.
 
     Attributes:
--- a/src/swiftstile/gateway/gossip.py
+++ b/src/swiftstile/gateway/gossip.py
@@ -95,7 +95,7 @@
     Args:
         me: This VM.
         on_report: Called with a peer and the time at which its report arrived.
-        measures: Measurements to attach to some reports, if any.
+        reporter: Adds measurements to some reports, if any.
         meters: Counts reports that can't be sent or decoded.
 
     Attributes:
@@ -107,14 +107,14 @@
         self,
         me: reports.NodeRow,
         on_report,
-        measures: measurements_lib.MeasurementReporter | None = None,
+        reporter: measurements_lib.MeasurementReporter | None = None,
         meters: metrics.Meters | None = None,
     ):
         self.me = me
         self._meters = meters or metrics.Meters()
-        self._measures = measures
-        self._near_measure_pace = measurements_lib.LastSent()
-        self._leader_measure_pace = measurements_lib.LastSent()
+        self._reporter = reporter
+        self._near_last_sent = measurements_lib.LastSent()
+        self._leader_last_sent = measurements_lib.LastSent()
         self.by_node: dict[model.NodeId, reports.Peer] = {}
         self._by_run: dict[str, reports.Peer] = {}
         self._on_report = on_report
@@ -345,7 +345,7 @@
 
     def _send_to_near(self, report: reports.Report, now: float) -> None:
         self._sequence = report.sequence
-        measured = self._with_measures(report, self._near_measure_pace, now)
+        measured = self._with_measurements(report, self._near_last_sent, now)
         data = self._encoder.encode(measured)
         for peer in self._domain_reports.recipients(report, now):
             self._send_to(peer, data, now)
@@ -369,8 +369,8 @@
         leader_data = data
         if any(peer.claims_leadership for peer in recipients):
             # Only the leader, which places keys, uses speeds and key load.
-            measured = self._with_measures(
-                report, self._leader_measure_pace, now
+            measured = self._with_measurements(
+                report, self._leader_last_sent, now
             )
             leader_data = self._encoder.encode(measured)
         for peer in recipients:
@@ -378,15 +378,15 @@
                 peer, leader_data if peer.claims_leadership else data, now
             )
 
-    def _with_measures(
+    def _with_measurements(
         self,
         report: reports.Report,
-        pace: measurements_lib.LastSent,
+        last_sent: measurements_lib.LastSent,
         now: float,
     ) -> reports.Report:
-        if self._measures is None:
+        if self._reporter is None:
             return report
-        return self._measures.add_due(report, pace, len(self.by_node), now)
+        return self._reporter.add_due(report, last_sent, len(self.by_node), now)
 
     def _send_to(
         self, peer: reports.Peer, data: bytes | None, now: float
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -94,10 +94,10 @@
         self._permits = permits
         self._client = client
         self._dialect = dialect
-        self._targets = target_table
+        self._target_table = target_table
         self._owners = key_owners
         self._budget = retry_budget
-        self._speeds = speed_table
+        self._speed_table = speed_table
         self._log = log
         self._store = store
         self._operations = operations
@@ -353,7 +353,7 @@
                     waiter.service, call.inbound.key, now
                 )
         elif isinstance(error, outcomes.ReplacedError):
-            self._targets.mark_replaced(target, now)
+            self._target_table.mark_replaced(target, now)
             waiter.excluded.add(target.id)
         elif isinstance(error, outcomes.UpstreamUnreachableError):
             target.note_failure(now)
@@ -426,7 +426,9 @@
         ):
             prior_s = work_times.default_work_s(waiter.route)
             slowdown = _slowdown(response)
-            self._speeds.add_sample(target.id, took_s / prior_s / slowdown, now)
+            self._speed_table.add_sample(
+                target.id, took_s / prior_s / slowdown, now
+            )
             self._times.add_sample(
                 waiter.route, waiter.service, took_s / target.slowness
             )
@@ -466,7 +468,7 @@
 
     def _record_error(self, inbound, route, error, arrived, trace) -> None:
         now = clocks.monotonic()
-        target = self._targets.by_id.get(error.peer)
+        target = self._target_table.by_id.get(error.peer)
         self._meters.refusals.add(error.reason)
         trace.add(
             decision_log.RequestDecision(
--- a/src/swiftstile/gateway/key_assigner.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -91,7 +91,7 @@
         self,
         service: ids.ServiceName,
         maps: renewals.KeyMaps,
-        book: targets.TargetTable,
+        target_table: targets.TargetTable,
         plan: slotplan.SlotPlan,
         peers: gossip.Peers,
         renewer: renewals.GrantRenewer,
@@ -107,7 +107,7 @@
     ):
         self._service = service
         self._maps = maps
-        self._book = book
+        self._target_table = target_table
         self._plan = plan
         self._marked_at = 0.0
         self._assigned_at = 0.0
@@ -125,7 +125,7 @@
         self._reclaimer = reclaim.Reclaimer(
             service,
             maps,
-            book,
+            target_table,
             renewer,
             leader_state,
             control,
@@ -203,8 +203,8 @@
         return [
             owner
             for owner in current.slots_by_owner
-            if owner in self._book.by_id
-            and self._book.by_id[owner].upstream.has_restarted_since(
+            if owner in self._target_table.by_id
+            and self._target_table.by_id[owner].upstream.has_restarted_since(
                 current.started_ms.get(owner, 0)
             )
         ]
@@ -212,9 +212,9 @@
     def _started_ms(self, owners) -> dict[model.UpstreamId, int]:
         """Returns the start times of upstreams, where they are known."""
         return {
-            owner: self._book.by_id[owner].upstream.started_ms
+            owner: self._target_table.by_id[owner].upstream.started_ms
             for owner in owners
-            if owner in self._book.by_id
+            if owner in self._target_table.by_id
         }
 
     async def _mark(self, current, weights, now: float) -> None:
@@ -266,7 +266,7 @@
         return per_vm_s * max(0, len(self._peers.by_node) - UNTHROTTLED_VMS)
 
     def _has_left(self, owner: model.UpstreamId, now: float) -> bool:
-        target = self._book.by_id.get(owner)
+        target = self._target_table.by_id.get(owner)
         if target is not None:
             self._unknown_since.pop(owner, None)
             return target.leaving_since is not None
@@ -496,7 +496,7 @@
 
     def _is_replaced(self, owner: model.UpstreamId) -> bool:
         """Whether the owner has ended, as another runs at its address."""
-        target = self._book.by_id.get(owner)
+        target = self._target_table.by_id.get(owner)
         return target is not None and target.is_replaced
 
     async def _write(self, changed: keymap.KeyMap, reason: str) -> bool:
--- a/src/swiftstile/gateway/leadership.py
+++ b/src/swiftstile/gateway/leadership.py
@@ -181,11 +181,11 @@
                 leader.received_at, leader.run_began_at, self._applied_at
             )
         known = self._peers.quorum_members(now)
-        heard = self._peers.dissemination.live_count(now)
+        live_count = self._peers.dissemination.live_count(now)
         unresponsive_s = now - self._unresponsive_since
         if unresponsive_s < reports.PEER_TIMEOUT_S:
             return False
-        return 2 * heard > len(known) or unresponsive_s > LEADER_TIMEOUT_S
+        return 2 * live_count > len(known) or unresponsive_s > LEADER_TIMEOUT_S
 
     def _cannot_lead(self, report: reports.Report, now: float) -> bool:
         """Whether a responsive leader is currently unable to lead."""
--- a/src/swiftstile/gateway/measurements.py
+++ b/src/swiftstile/gateway/measurements.py
@@ -38,8 +38,8 @@
         speed_table: speeds.SpeedTable,
         key_load_table: key_load.KeyLoadTable,
     ):
-        self._speeds = speed_table
-        self._key_loads = key_load_table
+        self._speed_table = speed_table
+        self._key_load_table = key_load_table
 
     def add_due(
         self, report: reports.Report, last_sent: LastSent, vms: int, now: float
@@ -56,10 +56,10 @@
         speeds_s = max(SPEEDS_INTERVAL_S, SPEEDS_INTERVAL_PER_VM_S * vms)
         if now - last_sent.speeds_at >= speeds_s:
             last_sent.speeds_at = now
-            samples = self._speeds.own_samples(now)
+            samples = self._speed_table.own_samples(now)
         if now - last_sent.key_loads_at >= KEY_LOADS_INTERVAL_S:
             last_sent.key_loads_at = now
-            key_loads = self._key_loads.report(now)
+            key_loads = self._key_load_table.report(now)
         if not samples and not key_loads:
             return report
         return msgspec.structs.replace(
--- a/src/swiftstile/gateway/owners.py
+++ b/src/swiftstile/gateway/owners.py
@@ -32,7 +32,7 @@
 
     Args:
         maps: The maps.
-        book: The upstreams.
+        target_table: The upstreams.
         key_load_table: Counts the requests for each slot.
         peers: The other VMs.
         drain_s: How long a leaving owner accepts requests, in seconds.
@@ -41,14 +41,14 @@
     def __init__(
         self,
         maps: renewals.KeyMaps,
-        book: targets.TargetTable,
+        target_table: targets.TargetTable,
         key_load_table: key_load.KeyLoadTable,
         peers: gossip.Peers,
         drain_s: float,
     ):
         self._maps = maps
-        self._book = book
-        self._key_load = key_load_table
+        self._target_table = target_table
+        self._key_load_table = key_load_table
         self._peers = peers
         self._drain_s = drain_s
         self._misdirected: dict[
@@ -69,7 +69,7 @@
         key_map = self._maps.by_service.get(waiter.service)
         if key_map is not None and waiter.key is not None:
             slot = key_map.index_of(waiter.key)
-            self._key_load.record_request(
+            self._key_load_table.record_request(
                 waiter.service, slot, clocks.monotonic()
             )
 
@@ -96,7 +96,7 @@
             return None, self._next_owner_s(service)
         index = key_map.index_of(key)
         slot = key_map.slots[index]
-        target = self._book.by_id.get(slot.owner)
+        target = self._target_table.by_id.get(slot.owner)
         if target is None or not target.accepts_requests(now, self._drain_s):
             # Checked here rather than by the arbiter, which may learn later
             # that the owner is leaving.
@@ -128,7 +128,10 @@
 
     def _next_owner_s(self, service: ids.ServiceName) -> float:
         """Returns the expected wait for an owner that accepts requests."""
-        if self._book.evacuated_at and not self._book.has_active(service):
+        if (
+            self._target_table.evacuated_at
+            and not self._target_table.has_active(service)
+        ):
             return NO_UPSTREAM_S
         return HANDOVER_S
 
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -104,7 +104,7 @@
         peers: The other VMs.
         gate: Assigns the slots that this VM decides on itself.
         arbiter: Handles the permit requests of other VMs.
-        table: The upstreams.
+        target_table: The upstreams.
         meters: Counts permits.
         limits: Names the one VM that assigns the slots of a cold upstream.
     """
@@ -114,7 +114,7 @@
         peers: gossip.Peers,
         gate: gate_lib.Gate,
         arbiter: arbiter_lib.Arbiter,
-        table: targets.TargetTable,
+        target_table: targets.TargetTable,
         meters: metrics.Meters,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
     ):
@@ -124,7 +124,7 @@
         self._peers = peers
         self._gate = gate
         self._arbiter = arbiter
-        self._targets = table
+        self._target_table = target_table
         self._meters = meters
         self._domain_search = domain_search.DomainSearch(peers.me.domain)
         self._numbers = itertools.count(1)
@@ -279,7 +279,7 @@
         now = clocks.monotonic()
         if target is not None:
             return target if waiter.owner.target(now) is target else None
-        granted = self._targets.by_id.get(reply.upstream)
+        granted = self._target_table.by_id.get(reply.upstream)
         if granted is None or not self._gate.admission.is_usable(
             granted, waiter, now
         ):
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -154,7 +154,7 @@
         self,
         service: ids.ServiceName,
         maps: renewals.KeyMaps,
-        book: targets.TargetTable,
+        target_table: targets.TargetTable,
         renewer: renewals.GrantRenewer,
         leader_state: leadership.Leadership,
         control: interfaces.UpstreamControl,
@@ -163,7 +163,7 @@
     ):
         self._service = service
         self._maps = maps
-        self._book = book
+        self._target_table = target_table
         self._renewer = renewer
         self._leader_state = leader_state
         self._control = control
@@ -187,7 +187,7 @@
             ranges: The slots, in ranges that were assigned as a whole.
             must_fence: Whether older grants may still arrive at the owner.
         """
-        target = self._book.by_id.get(owner)
+        target = self._target_table.by_id.get(owner)
         if target is None or not source.may_release(clocks.monotonic()):
             return
         if must_fence and not source.is_fenced:
@@ -330,7 +330,7 @@
         writes, and only after this. The grants are recorded like all others, so
         the move continues only once they are reclaimed.
         """
-        target = self._book.by_id.get(owner)
+        target = self._target_table.by_id.get(owner)
         now = clocks.monotonic()
         if target is None or target.is_unregistered or target.is_failing:
             return
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -166,14 +166,14 @@
     def __init__(
         self,
         maps: KeyMaps,
-        book: targets.TargetTable,
+        target_table: targets.TargetTable,
         peers: gossip.Peers,
         control: interfaces.UpstreamControl,
         authority: Authority,
         meters: metrics.Meters,
     ):
         self._maps = maps
-        self._book = book
+        self._target_table = target_table
         self._peers = peers
         self._responsibilities = sharing.Responsibilities(peers.me)
         self._control = control
@@ -246,7 +246,7 @@
 
     def _cluster_view(self, now: float) -> sharing.ClusterView:
         """Returns the input for dividing the upstreams among the VMs."""
-        by_id = self._book.by_id
+        by_id = self._target_table.by_id
         return sharing.ClusterView(
             sharing.authorised_by_domain(
                 self._peers, now, self._authorised_since
@@ -262,7 +262,7 @@
         )
 
     async def _renew(self, owner: model.UpstreamId) -> None:
-        service = self._book.by_id[owner].upstream.service
+        service = self._target_table.by_id[owner].upstream.service
         while True:
             is_answering = await self._renew_due(service, owner)
             if is_answering:
@@ -326,7 +326,7 @@
     async def _grant(self, service, owner, slot_range: range) -> bool:
         key_map = self._maps.by_service[service]
         slot = key_map.slots[slot_range.start]
-        target = self._book.by_id.get(owner)
+        target = self._target_table.by_id.get(owner)
         now = clocks.monotonic()
 
         def is_due() -> bool:
@@ -359,7 +359,7 @@
         granted = self._granted.setdefault(service, {})
         granted[slot_range.start] = slot.fence, now
         if result is interfaces.GrantResult.REPLACED:
-            self._book.mark_replaced(target, now)
+            self._target_table.mark_replaced(target, now)
             return False
         if result is not interfaces.GrantResult.HELD:
             logs.logger.warning(
@@ -444,7 +444,7 @@
 
     def _has_restarted(self, key_map: keymap.KeyMap, owner) -> bool:
         """Whether an owner restarted since its slots were assigned to it."""
-        target = self._book.by_id.get(owner)
+        target = self._target_table.by_id.get(owner)
         return target is not None and target.upstream.has_restarted_since(
             key_map.started_ms.get(owner, 0)
         )
--- a/src/swiftstile/gateway/slotplan.py
+++ b/src/swiftstile/gateway/slotplan.py
@@ -50,8 +50,8 @@
 
     Args:
         service: The service.
-        book: The upstreams.
-        speed_book: Their measured speeds.
+        target_table: The upstreams.
+        speed_table: Their measured speeds.
         key_load_table: Request rates of busy slots.
         work_s: Returns the mean processing time of a service's requests, once
             it has been measured.
@@ -64,8 +64,8 @@
     def __init__(
         self,
         service: ids.ServiceName,
-        book: targets.TargetTable,
-        speed_book: speeds.SpeedTable,
+        target_table: targets.TargetTable,
+        speed_table: speeds.SpeedTable,
         key_load_table: key_load.KeyLoadTable,
         work_s,
         now: float,
@@ -75,9 +75,9 @@
         self._limits = limits
         self._max_ranges = max_ranges
         self._service = service
-        self._book = book
-        self._speeds = speed_book
-        self._key_load = key_load_table
+        self._target_table = target_table
+        self._speed_table = speed_table
+        self._key_load_table = key_load_table
         self._work_s = work_s
         # Planned new owners of hot slots that are being moved.
         self._hot_destinations: dict[int, model.UpstreamId] = {}
@@ -102,8 +102,8 @@
             now: The time.
             owners: Upstreams that own keys.
         """
-        group = self._book.by_service.get(self._service, {})
-        ratios = self._speeds.placement_ratios(group.keys(), now)
+        group = self._target_table.by_service.get(self._service, {})
+        ratios = self._speed_table.placement_ratios(group.keys(), now)
         staying = [
             target for target in group.values() if target.leaving_since is None
         ]
@@ -230,7 +230,7 @@
     def _busy_slots(
         self, current: keymap.KeyMap, capacity: Weights, now: float
     ) -> dict[int, float]:
-        rates = self._key_load.rates(self._service, now)
+        rates = self._key_load_table.rates(self._service, now)
         return hotplan.busy_shares(current, rates, capacity)
 
     def _capacities(self, weights: Weights) -> dict[model.UpstreamId, float]:
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -20,7 +20,7 @@
 from swiftstile.gateway import decision_log
 from swiftstile.gateway import exchange
 from swiftstile.gateway import follow
-from swiftstile.gateway import front
+from swiftstile.gateway import frontend
 from swiftstile.gateway import gate as gate_lib
 from swiftstile.gateway import gossip
 from swiftstile.gateway import handler as handler_lib
@@ -90,16 +90,16 @@
 def gateway(
     settings: settings_lib.GatewaySettings,
     adapters: Adapters,
-    lines: decision_log.BoundedLog,
+    request_log: decision_log.BoundedLog,
 ) -> daemon_lib.GatewayDaemon:
     """Returns the gateway daemon of one VM.
 
     Args:
         settings: The settings of the process.
         adapters: The platform's adapters.
-        lines: Log of routing decisions.
+        request_log: Log of routing decisions.
     """
-    return _GatewayBuilder(settings, adapters, lines).build()
+    return _GatewayBuilder(settings, adapters, request_log).build()
 
 
 def _seed_addresses(vm: settings_lib.NodeSettings) -> list[str]:
@@ -116,10 +116,10 @@
         self,
         settings: settings_lib.GatewaySettings,
         adapters: Adapters,
-        lines: decision_log.BoundedLog,
+        request_log: decision_log.BoundedLog,
     ):
-        self._lines = lines
-        lines.vm = settings.vm.id
+        self._request_log = request_log
+        request_log.vm = settings.vm.id
         self._settings = settings
         self._adapters = adapters
         self._meters = metrics.Meters()
@@ -261,7 +261,7 @@
             key_owners,
             retry_budget,
             self._speed_table,
-            self._lines,
+            self._request_log,
             self._state,
             operations,
             crash_guard.CrashGuard(
@@ -290,7 +290,7 @@
         )
         self._daemon = daemon_lib.GatewayDaemon(
             self._node,
-            front.Front(self._settings.vm.listen, handler, self._meters),
+            frontend.Frontend(self._settings.vm.listen, handler, self._meters),
             self._settings.vm.ready,
             handler,
             gate,
@@ -317,7 +317,7 @@
             self._key_load_table,
             self._cold_limits,
             self._suspect_tracker,
-            self._lines,
+            self._request_log,
             self._make_keeper,
             settings_lib.parse_seconds(bounds.grace),
             self._meters,
--- a/tests/assigner_parts.py
+++ b/tests/assigner_parts.py
@@ -80,7 +80,7 @@
         self.table = table or builders.MemoryTable()
         self.maps = renewals.KeyMaps()
         self.control = control or Control()
-        self.book = builders.book(
+        self.target_table = builders.book(
             builders.upstream("u-1"), builders.upstream("u-2")
         )
         self.leader_state = types.SimpleNamespace(
@@ -104,7 +104,12 @@
             peers.apply(row, row.node, 0.0)
         meters = metrics.Meters()
         self.renewer = renewals.GrantRenewer(
-            self.maps, self.book, peers, self.control, self.authority, meters
+            self.maps,
+            self.target_table,
+            peers,
+            self.control,
+            self.authority,
+            meters,
         )
         follower = types.SimpleNamespace(failing_since=None, version=0)
         self.key_load = key_load.KeyLoadTable()
@@ -113,7 +118,7 @@
         self.max_ranges = max_ranges
         self.plan = slotplan.SlotPlan(
             builders.LOOKUPS,
-            self.book,
+            self.target_table,
             self.speeds,
             self.key_load,
             lambda service: self.work_s,
@@ -123,7 +128,7 @@
         self.assigner = key_assigner.KeyAssigner(
             builders.LOOKUPS,
             self.maps,
-            self.book,
+            self.target_table,
             self.plan,
             peers,
             self.renewer,
@@ -153,7 +158,7 @@
     def release(self, current: keymap.KeyMap, is_fenced: bool = True):
         source = reclaim.Source(current.version, 0.0)
         source.is_fenced = is_fenced
-        target = self.book.by_id["u-1"]
+        target = self.target_table.by_id["u-1"]
         asyncio.run(
             self.assigner._reclaimer.release(
                 current, target, source, [range(1, 2), range(1)]
--- a/tests/load_simulation.py
+++ b/tests/load_simulation.py
@@ -106,19 +106,21 @@
 
     def __init__(self, name: str, specs, speeds, load: Load):
         self.name = name
-        self.book = builders.book(*specs)
-        for target, speed in zip(self.book.by_id.values(), speeds, strict=True):
+        self.target_table = builders.book(*specs)
+        for target, speed in zip(
+            self.target_table.by_id.values(), speeds, strict=True
+        ):
             target.slowness = 1.0 / speed
         peers = gossip.Peers(builders.node_row(name), lambda *_: None)
         for number in range(load.vms):
             row = builders.node_row(f"vm-{number}")
             peers.apply(row, row.node, 0.0)
-        limits = coldstart.ColdLimits(self.book, peers, lambda: True)
+        limits = coldstart.ColdLimits(self.target_table, peers, lambda: True)
         limits.set_services(
             {builders.LOOKUPS: builders.service(cold_per_s=load.cold_per_s)}
         )
         self.controller = admission.AdmissionController(
-            self.book, builders.HOME, 2.0, limits
+            self.target_table, builders.HOME, 2.0, limits
         )
         self.controller.vm_count = load.vms
 
@@ -252,7 +254,8 @@
         for other in self._vms:
             if other is vm:
                 continue
-            for target in vm.book.by_id.values():
+            for target in vm.target_table.by_id.values():
                 counted = (target.in_flight, target.waiting, now)
-                other.book.by_id[target.id].peer_counts[vm.name] = counted
+                peer_target = other.target_table.by_id[target.id]
+                peer_target.peer_counts[vm.name] = counted
             self._dispatch(now, other)
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -14,38 +14,38 @@
 from tests import gateway_builders as builders
 
 
-def _admission(book) -> admission.AdmissionController:
-    return admission.AdmissionController(book, builders.HOME, 2.0)
+def _admission(target_table) -> admission.AdmissionController:
+    return admission.AdmissionController(target_table, builders.HOME, 2.0)
 
 
 def test_free_target_is_assigned_immediately():
-    book = builders.book(builders.upstream())
-    assert _admission(book).offer(builders.waiter(), 0.0).id == "u-1"
+    table = builders.book(builders.upstream())
+    assert _admission(table).offer(builders.waiter(), 0.0).id == "u-1"
 
 
 def test_local_domain_is_preferred_while_it_has_capacity():
-    book = builders.book(
+    table = builders.book(
         builders.upstream("u-1", failure_domain=builders.AWAY),
         builders.upstream("u-2"),
     )
-    controller = _admission(book)
-    builders.occupy(book.by_id["u-2"], 2)
+    controller = _admission(table)
+    builders.occupy(table.by_id["u-2"], 2)
     assert controller.offer(builders.waiter(), 0.0).id == "u-2"
-    builders.occupy(book.by_id["u-2"], 2)
+    builders.occupy(table.by_id["u-2"], 2)
     assert controller.offer(builders.waiter(), 0.0).id == "u-1"
 
 
 def test_large_body_waits_for_full_local_target_before_leaving_domain():
-    book = builders.book(
+    table = builders.book(
         builders.upstream("u-1", failure_domain=builders.AWAY),
         builders.upstream("u-2"),
     )
-    controller = _admission(book)
-    builders.occupy(book.by_id["u-2"], 4)
+    controller = _admission(table)
+    builders.occupy(table.by_id["u-2"], 4)
     large = model.Repeatability.ONCE_LARGE
     assert controller.offer(builders.waiter(repeatability=large), 0.0) is None
     # A longer queue at home costs more than leaving the domain.
-    builders.occupy(book.by_id["u-2"], 9)
+    builders.occupy(table.by_id["u-2"], 9)
     assigned, _ = controller.dispatch(0.0)
     assert [entry.target.id for entry in assigned] == ["u-1"]
 
@@ -53,7 +53,7 @@
 def _queue_of_eight(seed: int):
     """Returns an admission queue with 20 VMs, and its requests in order."""
     drawn = random.Random(seed)
-    book = builders.book(
+    table = builders.book(
         *(
             builders.upstream(
                 f"u-{number}",
@@ -63,9 +63,9 @@
             for number in range(9)
         )
     )
-    controller = _admission(book)
+    controller = _admission(table)
     controller.vm_count = 20
-    for target in book.by_id.values():
+    for target in table.by_id.values():
         builders.occupy(target, 5)
     waiting = []
     for number in range(8):
@@ -74,7 +74,7 @@
             waiter.excluded.add(f"u-{number}")
         assert controller.offer(waiter, 0.0) is None
         waiting.append(waiter)
-    for target in book.by_id.values():
+    for target in table.by_id.values():
         for token in range(drawn.randrange(4)):
             target.note_ended(-1 - token)
     return controller, waiting
@@ -104,7 +104,7 @@
 def test_large_body_waits_in_local_domain_with_many_vms():
     # On the enlarged site hbrt-gw, uploads left their domain as soon as all of
     # its targets were full, which sent 0.2 GB between domains.
-    book = builders.book(
+    table = builders.book(
         *(
             builders.upstream(
                 f"u-{i}",
@@ -114,41 +114,41 @@
             for i in range(8)
         )
     )
-    for target in book.by_id.values():
+    for target in table.by_id.values():
         if target.upstream.failure_domain == builders.HOME:
             builders.occupy(target, 4)
     large = model.Repeatability.ONCE_LARGE
     for _ in range(20):
-        controller = _admission(book)
+        controller = _admission(table)
         controller.vm_count = 25
         waiter = builders.waiter(repeatability=large)
         assert controller.offer(waiter, 0.0) is None
 
 
 def test_slow_target_is_skipped():
-    book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
-    book.by_id["u-1"].slowness = 8.0
-    assert _admission(book).offer(builders.waiter(), 0.0).id == "u-2"
+    table = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
+    table.by_id["u-1"].slowness = 8.0
+    assert _admission(table).offer(builders.waiter(), 0.0).id == "u-2"
 
 
 def test_requests_of_other_vms_count_as_load():
-    book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
-    book.by_id["u-1"].peer_counts["vm-2"] = (3, 0, 0.0)
-    assert _admission(book).offer(builders.waiter(), 0.0).id == "u-2"
+    table = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
+    table.by_id["u-1"].peer_counts["vm-2"] = (3, 0, 0.0)
+    assert _admission(table).offer(builders.waiter(), 0.0).id == "u-2"
 
 
 def test_counts_of_unresponsive_peer_expire():
-    book = builders.book(builders.upstream())
-    book.by_id["u-1"].peer_counts["vm-2"] = (9, 9, 0.0)
+    table = builders.book(builders.upstream())
+    table.by_id["u-1"].peer_counts["vm-2"] = (9, 9, 0.0)
     late = 10.0
-    assert book.by_id["u-1"].occupied(late) == 0
-    assert book.by_id["u-1"].waiting_elsewhere(late) == 0
+    assert table.by_id["u-1"].occupied(late) == 0
+    assert table.by_id["u-1"].waiting_elsewhere(late) == 0
 
 
 def test_request_that_cannot_meet_objective_is_rejected_immediately():
-    book = builders.book(builders.upstream())
-    controller = _admission(book)
-    builders.occupy(book.by_id["u-1"], 4)
+    table = builders.book(builders.upstream())
+    controller = _admission(table)
+    builders.occupy(table.by_id["u-1"], 4)
     rejected = None
     for _ in range(50):
         rejected = controller.offer(builders.waiter(), 0.0)
@@ -162,23 +162,23 @@
 
 
 def test_requests_of_higher_priority_go_first():
-    book = builders.book(builders.upstream())
-    controller = _admission(book)
-    builders.occupy(book.by_id["u-1"], 4)
+    table = builders.book(builders.upstream())
+    controller = _admission(table)
+    builders.occupy(table.by_id["u-1"], 4)
     later = builders.waiter(priority=3)
     urgent = builders.waiter(priority=0)
     assert controller.offer(later, 0.0) is None
     assert controller.offer(urgent, 0.0) is None
-    book.by_id["u-1"].note_ended(-1)
+    table.by_id["u-1"].note_ended(-1)
     assigned, rejected = controller.dispatch(0.0)
     assert [entry.waiter for entry in assigned] == [urgent]
     assert not rejected
 
 
 def test_queued_request_without_time_left_is_rejected():
-    book = builders.book(builders.upstream())
-    controller = _admission(book)
-    builders.occupy(book.by_id["u-1"], 4)
+    table = builders.book(builders.upstream())
+    controller = _admission(table)
+    builders.occupy(table.by_id["u-1"], 4)
     waiter = builders.waiter()
     assert controller.offer(waiter, 0.0) is None
     _, rejected = controller.dispatch(waiter.deadline - 0.05)
@@ -188,9 +188,9 @@
 
 def _contended() -> tuple[admission.AdmissionController, admission.Waiter]:
     """Returns admission to a full target, and a request late from 100.1 on."""
-    book = builders.book(builders.upstream())
-    builders.occupy(book.by_id["u-1"], 4, 100.0)
-    controller = _admission(book)
+    table = builders.book(builders.upstream())
+    builders.occupy(table.by_id["u-1"], 4, 100.0)
+    controller = _admission(table)
     late = builders.waiter(99.75)
     assert controller.offer(late, 100.0) is None
     assert late.is_late(100.1) and not late.is_late(100.0)
@@ -243,24 +243,24 @@
 
 
 def test_late_request_keeps_waiting_without_competitors():
-    book = builders.book(builders.upstream())
-    controller = _admission(book)
-    builders.occupy(book.by_id["u-1"], 4)
+    table = builders.book(builders.upstream())
+    controller = _admission(table)
+    builders.occupy(table.by_id["u-1"], 4)
     late = builders.waiter()
     assert controller.offer(late, 0.0) is None
     now = late.objective_at
     assert controller.dispatch(now) == ([], [])
-    book.by_id["u-1"].note_ended(-1)
+    table.by_id["u-1"].note_ended(-1)
     assigned, _ = controller.dispatch(now)
     assert [entry.waiter for entry in assigned] == [late]
 
 
 def test_late_request_is_unaffected_by_contention_for_another_owner():
-    book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
-    controller = _admission(book)
-    for target in book.by_id.values():
+    table = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
+    controller = _admission(table)
+    for target in table.by_id.values():
         builders.occupy(target, 4)
-    owners = [builders.FixedOwner(book.by_id[name]) for name in book.by_id]
+    owners = [builders.FixedOwner(table.by_id[name]) for name in table.by_id]
     late = builders.waiter(0.0, owner=owners[0])
     assert controller.offer(late, 0.0) is None
     now = late.objective_at
@@ -277,10 +277,10 @@
 
 
 def test_queued_request_is_rejected_when_its_key_loses_its_owner():
-    book = builders.book(builders.upstream())
-    controller = _admission(book)
-    builders.occupy(book.by_id["u-1"], 4)
-    lookup = builders.FixedOwner(book.by_id["u-1"])
+    table = builders.book(builders.upstream())
+    controller = _admission(table)
+    builders.occupy(table.by_id["u-1"], 4)
+    lookup = builders.FixedOwner(table.by_id["u-1"])
     waiter = builders.waiter(owner=lookup)
     assert controller.offer(waiter, 0.0) is None
     lookup.lose(ready_in_s=0.3)
@@ -288,13 +288,13 @@
     lookup.lose(ready_in_s=5.0)
     _, rejected = controller.dispatch(0.1)
     assert [entry for entry, _ in rejected] == [waiter]
-    assert book.by_id["u-1"].waiting == 0
+    assert table.by_id["u-1"].waiting == 0
 
 
 def test_lookup_waits_for_its_owner_beyond_its_objective():
-    book = builders.book(builders.upstream())
-    target = book.by_id["u-1"]
-    controller = _admission(book)
+    table = builders.book(builders.upstream())
+    target = table.by_id["u-1"]
+    controller = _admission(table)
     builders.occupy(target, 12)
     waiter = builders.waiter(owner=builders.FixedOwner(target))
     assert (
@@ -305,9 +305,9 @@
 
 def _contended_owner():
     """Returns an owner for which lookups that can be in time keep waiting."""
-    book = builders.book(builders.upstream())
-    target = book.by_id["u-1"]
-    controller = _admission(book)
+    table = builders.book(builders.upstream())
+    target = table.by_id["u-1"]
+    controller = _admission(table)
     builders.occupy(target, 5, 100.0)
     owner = builders.FixedOwner(target)
     now, last = 100.0, None
@@ -330,9 +330,9 @@
 
 
 def test_late_lookup_uses_idle_slots_only():
-    book = builders.book(builders.upstream())
-    target = book.by_id["u-1"]
-    controller = _admission(book)
+    table = builders.book(builders.upstream())
+    target = table.by_id["u-1"]
+    controller = _admission(table)
     builders.occupy(target, 3)
     owner = builders.FixedOwner(target)
     late = builders.waiter(-0.59, owner)
@@ -343,8 +343,8 @@
 
 
 def test_lateness_depends_on_the_speed_of_the_owner():
-    book = builders.book(builders.upstream())
-    target = book.by_id["u-1"]
+    table = builders.book(builders.upstream())
+    target = table.by_id["u-1"]
     waiter = builders.waiter(owner=builders.FixedOwner(target))
     waiter.awaited = target
     assert not waiter.is_late(0.2)
@@ -369,35 +369,35 @@
 
 
 def test_retry_is_recognised_by_key_and_deadline():
-    book = caller_retries.RetryTracker()
-    book.expect_retry(_retrying(7, 10.0, 0.8), retry_at=10.1)
+    tracker = caller_retries.RetryTracker()
+    tracker.expect_retry(_retrying(7, 10.0, 0.8), retry_at=10.1)
     others = [
         _retrying(8, 10.1, 0.7),
         _retrying(7, 10.1, 0.75),
         _retrying(7, 10.02, 0.78),
     ]
     for other in others:
-        book.match_retry(other, other.arrived)
+        tracker.match_retry(other, other.arrived)
         assert other.arrived > 10.0
     back = _retrying(7, 10.105, 0.693)
-    book.match_retry(back, 10.105)
+    tracker.match_retry(back, 10.105)
     assert back.arrived == 10.0
     again = _retrying(7, 10.106, 0.694)
-    book.match_retry(again, 10.106)
+    tracker.match_retry(again, 10.106)
     assert again.arrived == 10.106
 
 
 def test_expected_retries_that_do_not_arrive_expire():
-    book = caller_retries.RetryTracker()
+    tracker = caller_retries.RetryTracker()
     for number in range(100):
-        book.expect_retry(_retrying(number, 10.0, 0.8), retry_at=10.1)
-    book.match_retry(_retrying(500, 11.0, 0.8), 11.0)
-    assert not book._by_key
+        tracker.expect_retry(_retrying(number, 10.0, 0.8), retry_at=10.1)
+    tracker.match_retry(_retrying(500, 11.0, 0.8), 11.0)
+    assert not tracker._by_key
 
 
 def test_target_is_slow_only_beyond_its_usual_service_time():
-    book = builders.book(builders.upstream())
-    target = book.by_id["u-1"]
+    table = builders.book(builders.upstream())
+    target = table.by_id["u-1"]
     target.slowness = 2.0
     target.note_sent(1, 0.0, 0.2)
     # Twice its usual time is normal if it queued behind one request.
@@ -406,12 +406,12 @@
 
 
 def test_rejection_names_the_overloaded_owner():
-    book = builders.book(builders.upstream())
-    target = book.by_id["u-1"]
+    table = builders.book(builders.upstream())
+    target = table.by_id["u-1"]
     # The queue is longer than the caller waits.
     builders.occupy(target, 40)
     waiter = builders.waiter(owner=builders.FixedOwner(target))
-    rejected = _admission(book).offer(waiter, 0.0)
+    rejected = _admission(table).offer(waiter, 0.0)
     assert rejected.owner == "u-1"
 
 
@@ -422,18 +422,18 @@
 
 
 def test_leaving_target_gets_no_new_requests():
-    book = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
-    book.put(
+    table = builders.book(builders.upstream("u-1"), builders.upstream("u-2"))
+    table.put(
         builders.upstream("u-1", state=model.UpstreamState.DRAINING), now=1.0
     )
-    assert _admission(book).offer(builders.waiter(1.0), 1.0).id == "u-2"
-    assert not book.by_id["u-1"].accepts_requests(3.1, drain_s=2.0)
+    assert _admission(table).offer(builders.waiter(1.0), 1.0).id == "u-2"
+    assert not table.by_id["u-1"].accepts_requests(3.1, drain_s=2.0)
 
 
 def test_waiting_count_is_balanced_after_removals():
-    book = builders.book(builders.upstream())
-    target = book.by_id["u-1"]
-    controller = _admission(book)
+    table = builders.book(builders.upstream())
+    target = table.by_id["u-1"]
+    controller = _admission(table)
     builders.occupy(target, 4)
     waiter = builders.waiter(owner=builders.FixedOwner(target))
     assert controller.offer(waiter, 0.0) is None
@@ -444,14 +444,14 @@
 
 
 def test_replaced_target_is_not_used():
-    book = builders.book(builders.upstream("u-1", address="127.0.0.1:1"))
-    book.mark_unregistered("u-1", 1.0)
-    book.put(builders.upstream("u-2", address="127.0.0.1:1"), 1.5)
-    assert book.by_id["u-1"].is_replaced
-    assert not book.by_id["u-1"].accepts_requests(1.5, drain_s=2.0)
+    table = builders.book(builders.upstream("u-1", address="127.0.0.1:1"))
+    table.mark_unregistered("u-1", 1.0)
+    table.put(builders.upstream("u-2", address="127.0.0.1:1"), 1.5)
+    assert table.by_id["u-1"].is_replaced
+    assert not table.by_id["u-1"].accepts_requests(1.5, drain_s=2.0)
     # A delayed registration must not reactivate it.
-    book.put(builders.upstream("u-1", address="127.0.0.1:1"), 1.6)
-    assert book.by_id["u-1"].leaving_since is not None
+    table.put(builders.upstream("u-1", address="127.0.0.1:1"), 1.6)
+    assert table.by_id["u-1"].leaving_since is not None
 
 
 def test_retry_budget_is_a_fraction_of_the_requests():
@@ -469,41 +469,41 @@
 
 
 def test_speeds_are_learned_from_all_vms_and_expire():
-    book = speeds.SpeedTable()
+    table = speeds.SpeedTable()
 
     def ratio(name: str, now: float) -> float:
-        return book.ratios(now).get(name, speeds.DEFAULT_RATIO)
+        return table.ratios(now).get(name, speeds.DEFAULT_RATIO)
 
     told = {model.UpstreamId("u-1"): (200, 300)}
-    book.receive(model.NodeId("vm-2"), told, 0.0)
+    table.receive(model.NodeId("vm-2"), told, 0.0)
     assert ratio("u-1", 0.0) > 2.0
     assert ratio("u-1", 30.0) == 1.0
     for _ in range(20):
-        book.add_sample("u-2", 4.0, 0.0)
+        table.add_sample("u-2", 4.0, 0.0)
     assert ratio("u-2", 0.0) > 3.0
     assert ratio("u-2", 40.0) < 1.2
     assert speeds.SpeedTable().own_samples(0.0) == {}
 
 
 def test_speeds_differ_only_after_enough_responses():
-    book = speeds.SpeedTable()
+    table = speeds.SpeedTable()
     asked, unasked = model.UpstreamId("u-0"), model.UpstreamId("u-1")
     slow = model.UpstreamId("u-2")
     members = [asked, unasked, slow]
     for _ in range(4):
-        book.add_sample(asked, 0.2, 0.0)
-        book.add_sample(slow, 0.4, 0.0)
-    assert book.placement_ratios(members, 0.0) == dict.fromkeys(members, 1.0)
+        table.add_sample(asked, 0.2, 0.0)
+        table.add_sample(slow, 0.4, 0.0)
+    assert table.placement_ratios(members, 0.0) == dict.fromkeys(members, 1.0)
     for _ in range(40):
-        book.add_sample(asked, 0.2, 0.0)
-        book.add_sample(slow, 0.4, 0.0)
-    told = book.placement_ratios(members, 0.0)
+        table.add_sample(asked, 0.2, 0.0)
+        table.add_sample(slow, 0.4, 0.0)
+    told = table.placement_ratios(members, 0.0)
     assert told[asked] < told[unasked] < told[slow]
 
 
 def test_one_unanswered_request_makes_a_target_slow():
-    book = builders.book(builders.upstream())
-    target = book.by_id["u-1"]
+    table = builders.book(builders.upstream())
+    target = table.by_id["u-1"]
     target.note_sent(1, 0.0, 0.2)
     assert target.slow_factor(0.1) == 1.0
     assert target.slow_factor(2.0) > 5.0
@@ -514,8 +514,8 @@
 class _ScanCounter(admission.AdmissionController):
     """Counts scans of the queue."""
 
-    def __init__(self, book, vms: int):
-        super().__init__(book, builders.HOME, 2.0)
+    def __init__(self, target_table, vms: int):
+        super().__init__(target_table, builders.HOME, 2.0)
         self.vm_count = vms
         self.count = 0
 
@@ -527,10 +527,10 @@
 @pytest.mark.parametrize(("vms", "scans"), [(4, 6), (25, 1)])
 def test_reports_of_many_vms_do_not_each_trigger_a_queue_scan(vms, scans):
     async def scenario():
-        book = builders.book(builders.upstream())
+        table = builders.book(builders.upstream())
         now = gate.clocks.monotonic()
-        builders.occupy(book.by_id["u-1"], 4, now)
-        controller = _ScanCounter(book, vms)
+        builders.occupy(table.by_id["u-1"], 4, now)
+        controller = _ScanCounter(table, vms)
         made = gate.Gate(controller, lambda waiter: None)
         waiting = asyncio.create_task(made.acquire(builders.waiter(now)))
         while not len(controller):
@@ -538,7 +538,7 @@
         for _ in range(5):
             made.on_peer_report()
         # A free slot triggers a scan whatever the number of VMs.
-        book.by_id["u-1"].note_ended(-1)
+        table.by_id["u-1"].note_ended(-1)
         made.dispatch()
         assert (await waiting).id == "u-1"
         assert controller.count == scans
--- a/tests/unit/test_gateway_drain.py
+++ b/tests/unit/test_gateway_drain.py
@@ -50,7 +50,7 @@
     def __init__(self):
         parts = assigner_parts.Parts()
         meters = metrics.Meters()
-        self.book = parts.book
+        self.target_table = parts.target_table
         self._put(model.UpstreamState.READY, 0.0)
         parts.start(leaving=())
         row = builders.node_row("vm-9", domain=builders.AWAY)
@@ -60,19 +60,21 @@
         self._peers = parts.peers
         self._peers.send_permit = self._permit
         gate = gate_lib.Gate(
-            admission.AdmissionController(self.book, builders.HOME, _DRAIN_S),
+            admission.AdmissionController(
+                self.target_table, builders.HOME, _DRAIN_S
+            ),
             lambda waiter: None,
         )
         arbiter = arbiter_lib.Arbiter(
-            self._peers, gate, self.book, lambda: False, meters
+            self._peers, gate, self.target_table, lambda: False, meters
         )
         self.gate = gate
         self.permits = permits.PermitClient(
-            self._peers, gate, arbiter, self.book, meters
+            self._peers, gate, arbiter, self.target_table, meters
         )
         self._owners = owners.KeyOwners(
             parts.maps,
-            self.book,
+            self.target_table,
             key_load.KeyLoadTable(),
             self._peers,
             _DRAIN_S,
@@ -82,7 +84,7 @@
         away = builders.upstream(
             "u-1", failure_domain=builders.AWAY, state=state
         )
-        self.book.put(away, at)
+        self.target_table.put(away, at)
 
     def learn_leaving(self, since_s: float) -> None:
         """Records that the upstream has been leaving for some time."""
@@ -207,9 +209,9 @@
     def __init__(self, monkeypatch, is_loaded: bool = True):
         self.clock = _Clock(monkeypatch, 0.0)
         self.store = _Store(self.clock)
-        self.book = targets.TargetTable()
+        self.target_table = targets.TargetTable()
         self.registry = registry.Registry(
-            self.book, _decode, lambda: None, metrics.Meters()
+            self.target_table, _decode, lambda: None, metrics.Meters()
         )
         self.registry.set_services(frozenset([builders.LOOKUPS]))
         self.follower = follow.TableFollower(
@@ -233,7 +235,7 @@
 
     def is_sent_to(self, at: float) -> bool:
         """Whether a request may be sent to the upstream at a time."""
-        return self.book.by_id["u-1"].accepts_requests(at, _DRAIN_S)
+        return self.target_table.by_id["u-1"].accepts_requests(at, _DRAIN_S)
 
     def assert_sends_end_in_time(self, announced_at: float) -> None:
         """Checks that sends end in time after a leaving announcement."""
--- a/tests/unit/test_gateway_exclusivity_concurrency.py
+++ b/tests/unit/test_gateway_exclusivity_concurrency.py
@@ -234,7 +234,7 @@
         self._parts = parts = assigner_parts.Parts(
             table=store, control=upstreams, max_ranges=self.max_ranges
         )
-        parts.book.put(builders.upstream("u-3"), 0.0)
+        parts.target_table.put(builders.upstream("u-3"), 0.0)
         parts.start(leaving=range(self._draw.randint(1, self._most_leaving)))
         parts.assigner._started -= 60.0
         parts.plan.hot_slots_to_move = self._hot_to_move
@@ -287,7 +287,7 @@
         ]
 
     def _crash_owner(self) -> None:
-        self._parts.book.mark_unregistered("u-1", self._clock.now)
+        self._parts.target_table.mark_unregistered("u-1", self._clock.now)
 
     def _replace_leader(self) -> None:
         """Makes another VM the leader; this one learns of it later."""
--- a/tests/unit/test_gateway_key_assigner.py
+++ b/tests/unit/test_gateway_key_assigner.py
@@ -55,7 +55,7 @@
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: clock[0])
     source = reclaim.Source(current.version, clock[0])
     source.is_fenced = True
-    target = parts.book.by_id["u-1"]
+    target = parts.target_table.by_id["u-1"]
     hold_table = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
     free_at = None
     while clock[0] < 1010.0 and free_at is None:
@@ -226,7 +226,7 @@
     parts.control.before_send = lambda: tries.append(1)
     source = reclaim.Source(current.version, 0.0)
     source.is_fenced = True
-    target = parts.book.by_id["u-1"]
+    target = parts.target_table.by_id["u-1"]
     pieces = [range(index, index + 1) for index in range(100)]
     run = parts.assigner._reclaimer.release(current, target, source, pieces)
     asyncio.run(run)
@@ -254,7 +254,7 @@
 def test_slots_that_become_hot_in_turn_get_different_owners(monkeypatch):
     parts = assigner_parts.Parts()
     for name in ("u-3", "u-4"):
-        parts.book.put(builders.upstream(name), 0.0)
+        parts.target_table.put(builders.upstream(name), 0.0)
     current = parts.start(leaving=())
     parts.work_s = 0.3
     weights = {"u-1": 3.0, "u-2": 6.0, "u-3": 5.0, "u-4": 4.0}
@@ -302,7 +302,9 @@
         parts = assigner_parts.Parts()
         parts.start()
         await parts.assigner.tick()
-        parts.book.mark_unregistered("u-1", key_assigner.clocks.monotonic())
+        parts.target_table.mark_unregistered(
+            "u-1", key_assigner.clocks.monotonic()
+        )
         parts.assigner._store_answered_at = 0.0
         parts.table.refuse = 10**6
         for _ in range(5):
--- a/tests/unit/test_gateway_leaving.py
+++ b/tests/unit/test_gateway_leaving.py
@@ -24,7 +24,7 @@
 def _grant(parts, current) -> None:
     grant = parts.renewer.grant_and_record(
         builders.LOOKUPS,
-        parts.book.by_id["u-1"],
+        parts.target_table.by_id["u-1"],
         range(0, 1),
         current.keys_of(0),
         1,
--- a/tests/unit/test_gateway_measurements.py
+++ b/tests/unit/test_gateway_measurements.py
@@ -34,12 +34,14 @@
     def __init__(self, monkeypatch):
         self.now = 100.0
         monkeypatch.setattr(clocks, "monotonic", lambda: self.now)
-        self.speeds = speeds.SpeedTable()
-        self.heat = key_load.KeyLoadTable()
+        self.speed_table = speeds.SpeedTable()
+        self.key_load_table = key_load.KeyLoadTable()
         self.peers = gossip.Peers(
             builders.node_row("vm-0"),
             lambda *_: None,
-            measurements.MeasurementReporter(self.speeds, self.heat),
+            measurements.MeasurementReporter(
+                self.speed_table, self.key_load_table
+            ),
         )
         self.network = self.peers._transport = _Network()
         self._add("vm-1", self.NEAR)
@@ -56,8 +58,8 @@
         end = self.now + for_s
         while self.now < end:
             self.now += gossip.NEAR_INTERVAL_S
-            self.speeds.add_sample(_UPSTREAM, 3.0, self.now)
-            self.heat.record_request(builders.LOOKUPS, 5, self.now)
+            self.speed_table.add_sample(_UPSTREAM, 3.0, self.now)
+            self.key_load_table.record_request(builders.LOOKUPS, 5, self.now)
             sequence = self.peers.next_sequence()
             busy = {_UPSTREAM: (sequence % 2, 0)}
             report = builders.report(self.peers.me, sequence, local=busy)
--- a/tests/unit/test_gateway_owners.py
+++ b/tests/unit/test_gateway_owners.py
@@ -16,7 +16,7 @@
 
     def __init__(self, received_at: float):
         parts = assigner_parts.Parts()
-        parts.book.put(
+        parts.target_table.put(
             builders.upstream("u-1", failure_domain=builders.AWAY), 0.0
         )
         parts.start(leaving=())
@@ -24,10 +24,10 @@
         parts.peers.by_node[row.node] = builders.peer(
             row, builders.report(row), received_at
         )
-        self.target = parts.book.by_id["u-1"]
+        self.target = parts.target_table.by_id["u-1"]
         self.owners = owners.KeyOwners(
             parts.maps,
-            parts.book,
+            parts.target_table,
             key_load.KeyLoadTable(),
             parts.peers,
             drain_s=2.0,
--- a/tests/unit/test_gateway_reassignment.py
+++ b/tests/unit/test_gateway_reassignment.py
@@ -255,7 +255,7 @@
         source = parts.assigner._sources["u-1"]
         source.is_fenced = True
         parts.control.is_unresponsive = True
-        target = parts.book.by_id["u-1"]
+        target = parts.target_table.by_id["u-1"]
         await parts.assigner._reclaimer.keep(current, "u-1", source, _RANGES)
         assert parts.control.kept
         kept_until = clock[0] + reclaim.KEEP_HOLD_S
--- a/tests/unit/test_gateway_restart.py
+++ b/tests/unit/test_gateway_restart.py
@@ -23,19 +23,19 @@
     """
     parts = assigner_parts.Parts()
     for name in ("u-1", "u-2"):
-        parts.book.put(_incarnation(_FIRST, name), 0.0)
+        parts.target_table.put(_incarnation(_FIRST, name), 0.0)
     started = {model.UpstreamId("u-1"): _FIRST}
     return parts, parts.start(leaving=(0, 1), started_ms=started)
 
 
 def test_a_restarted_upstream_has_no_history():
-    book = builders.book(_incarnation(_FIRST))
-    before = book.by_id["u-1"]
+    table = builders.book(_incarnation(_FIRST))
+    before = table.by_id["u-1"]
     builders.occupy(before, 4)
     before.note_failure(0.0)
     before.peer_counts["vm-2"] = (3, 1, 0.0)
-    after = book.put(_incarnation(_SECOND), 0.1)
-    assert after is book.by_id["u-1"] is not before
+    after = table.put(_incarnation(_SECOND), 0.1)
+    assert after is table.by_id["u-1"] is not before
     assert after.occupied(0.1) == 0 and not after.is_penalised(0.1)
     # Requests in flight to the earlier incarnation are counted there.
     assert before.is_replaced
@@ -44,18 +44,18 @@
 
 
 def test_a_repeated_registration_changes_nothing():
-    book = builders.book(_incarnation(_FIRST))
-    before = book.by_id["u-1"]
-    assert book.put(_incarnation(_FIRST), 1.0) is before
-    assert book.put(_incarnation(0), 2.0) is before
+    table = builders.book(_incarnation(_FIRST))
+    before = table.by_id["u-1"]
+    assert table.put(_incarnation(_FIRST), 1.0) is before
+    assert table.put(_incarnation(0), 2.0) is before
 
 
 def test_an_upstream_that_left_and_restarts_is_used():
-    book = builders.book(_incarnation(_FIRST))
-    book.mark_unregistered("u-1", 1.0)
-    assert not book.by_id["u-1"].accepts_requests(9.0, drain_s=2.0)
-    book.put(_incarnation(_SECOND), 9.0)
-    assert book.by_id["u-1"].accepts_requests(9.0, drain_s=2.0)
+    table = builders.book(_incarnation(_FIRST))
+    table.mark_unregistered("u-1", 1.0)
+    assert not table.by_id["u-1"].accepts_requests(9.0, drain_s=2.0)
+    table.put(_incarnation(_SECOND), 9.0)
+    assert table.by_id["u-1"].accepts_requests(9.0, drain_s=2.0)
 
 
 def test_a_map_records_the_incarnation_that_slots_were_assigned_to():
@@ -75,17 +75,17 @@
     def renew():
         asyncio.run(parts.renewer._renew_due(builders.LOOKUPS, "u-1"))
 
-    parts.book.put(_incarnation(_SECOND), 1.0)
+    parts.target_table.put(_incarnation(_SECOND), 1.0)
     renew()
     assert parts.control.grants == []
-    parts.book.put(_incarnation(_FIRST), 2.0)
+    parts.target_table.put(_incarnation(_FIRST), 2.0)
     renew()
     assert parts.control.grants
 
 
 def test_the_leader_reassigns_slots_to_a_restarted_owner_under_a_newer_fence():
     parts, before = _parts()
-    parts.book.put(_incarnation(_SECOND), 1.0)
+    parts.target_table.put(_incarnation(_SECOND), 1.0)
     asyncio.run(parts.assigner.tick())
     after = parts.maps.by_service[builders.LOOKUPS]
     assert after.started_ms["u-1"] == _SECOND
@@ -101,7 +101,7 @@
 def test_an_assignment_to_an_owner_that_restarts_meanwhile_waits():
     parts, _ = _parts()
     current = parts.maps.by_service[builders.LOOKUPS]
-    parts.book.put(_incarnation(_SECOND), 1.0)
+    parts.target_table.put(_incarnation(_SECOND), 1.0)
     assign = parts.assigner._assign(current, {0: "u-1", 1: "u-1"}, {})
     asyncio.run(assign)
     assert parts.maps.by_service[builders.LOOKUPS] is current
@@ -111,7 +111,7 @@
     parts, _ = _parts()
     found = owners.KeyOwners(
         parts.maps,
-        parts.book,
+        parts.target_table,
         key_load.KeyLoadTable(),
         parts.peers,
         drain_s=2.0,
@@ -121,9 +121,9 @@
     def owner(now: float):
         return found.find(builders.LOOKUPS, key, now)[0]
 
-    assert owner(10.0) is parts.book.by_id["u-1"]
-    parts.book.put(_incarnation(_SECOND), 10.0)
+    assert owner(10.0) is parts.target_table.by_id["u-1"]
+    parts.target_table.put(_incarnation(_SECOND), 10.0)
     assert owner(10.0) is None
     asyncio.run(parts.assigner.tick())
     later = parts.maps.changed_at[builders.LOOKUPS][10] + 1.0
-    assert owner(later) is parts.book.by_id["u-1"]
+    assert owner(later) is parts.target_table.by_id["u-1"]
