--- a/src/swiftstile/gateway/admission.py
+++ b/src/swiftstile/gateway/admission.py
@@ -246,7 +246,7 @@
         # Start of the current uninterrupted period in which requests that can
         # still be in time have been waiting, by what they queue for.
         self._contention_started: dict[QueueKey, float] = {}
-        self._returns = caller_retries.RetryTracker()
+        self._retry_tracker = caller_retries.RetryTracker()
         self.vm_count = 1
 
     def __len__(self) -> int:
@@ -263,7 +263,7 @@
         """
         if waiter.owner is not None:
             waiter.awaited = waiter.owner.target(now)
-        self._returns.match_retry(waiter, now)
+        self._retry_tracker.match_retry(waiter, now)
         if not self._is_preceded(waiter, now):
             target = self.select_target(waiter, now)
             if target is not None:
@@ -513,7 +513,7 @@
             target
             for target in found
             if self.is_usable(target, waiter, now)
-            and not self._is_barred(target, now)
+            and not self._is_blocked(target, now)
         ]
         unpenalised = [entry for entry in usable if not entry.is_penalised(now)]
         return unpenalised or usable
@@ -538,7 +538,7 @@
             now, self._drain_s
         )
 
-    def _is_barred(self, target: targets.Target, now: float) -> bool:
+    def _is_blocked(self, target: targets.Target, now: float) -> bool:
         return now < target.cold_until and self._limits.is_blocked(target, now)
 
     def _domain_penalty_s(self, waiter, target) -> float:
@@ -596,7 +596,7 @@
         spread = 1 + random.uniform(0, RETRY_JITTER)
         owner = None if waiter.awaited is None else waiter.awaited.id
         if waiter.max_wait_s is None:
-            self._returns.expect_retry(waiter, now + base_s * spread)
+            self._retry_tracker.expect_retry(waiter, now + base_s * spread)
         is_ownerless = waiter.owner is not None and owner is None
         return Rejection(base_s * spread, wait_s, owner, is_ownerless)
 
--- a/src/swiftstile/gateway/authority.py
+++ b/src/swiftstile/gateway/authority.py
@@ -20,7 +20,7 @@
 from swiftstile import clocks
 from swiftstile import ids
 from swiftstile.gateway import gossip
-from swiftstile.gateway import leadership
+from swiftstile.gateway import leadership as leadership_lib
 from swiftstile.gateway import renewals
 from swiftstile.gateway import reports
 
@@ -60,13 +60,13 @@
     def __init__(
         self,
         peers: gossip.Peers,
-        leader_state: leadership.Leadership,
+        leadership: leadership_lib.Leadership,
         maps: renewals.KeyMaps,
         is_registered,
         store_contact_at,
     ):
         self._peers = peers
-        self._leader_state = leader_state
+        self._leadership = leadership
         self._maps = maps
         self._is_registered = is_registered
         self._store_contact_at = store_contact_at
@@ -74,7 +74,7 @@
 
     def tick(self, now: float) -> None:
         """Updates since when a majority has followed this VM's leadership."""
-        if not self._leader_state.is_leader or not self._has_quorum(now):
+        if not self._leadership.is_leader or not self._has_quorum(now):
             self.quorum_since = None
         elif self.quorum_since is None:
             self.quorum_since = now
@@ -84,7 +84,7 @@
         # which may have been paused meanwhile, so only direct reports count.
         followers = sum(
             peer.reported_directly(now, MAX_REPORT_AGE_S)
-            and peer.report.leader_version == self._leader_state.version
+            and peer.report.leader_version == self._leadership.version
             for peer in self._peers.by_node.values()
         )
         registered = len(self._peers.quorum_members(now)) + 1
@@ -94,7 +94,7 @@
         """See base class."""
         if not self._is_registered():
             return False
-        if self._leader_state.is_leader:
+        if self._leadership.is_leader:
             store_outage_s = now - self._store_contact_at()
             return self._has_quorum(now) and store_outage_s < MAX_STORE_OUTAGE_S
         return self._authorising_leader(now) is not None
@@ -102,7 +102,7 @@
     def may_renew(self, service: ids.ServiceName) -> bool:
         """See base class."""
         now = clocks.monotonic()
-        if self._leader_state.is_leader:
+        if self._leadership.is_leader:
             return self.is_authorised(now)
         leader = self._authorising_leader(now)
         if leader is None or not self._is_registered():
@@ -123,7 +123,7 @@
         return leader
 
     def _leader(self, now: float) -> reports.Peer | None:
-        row = self._leader_state.row
+        row = self._leadership.row
         if row is None:
             return None
         peer = self._peers.by_node.get(row.node)
@@ -132,6 +132,6 @@
         is_same = (
             peer.report.is_leader
             and peer.row.incarnation == row.incarnation
-            and peer.report.leader_version == self._leader_state.version
+            and peer.report.leader_version == self._leadership.version
         )
         return peer if is_same else None
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -20,7 +20,7 @@
 from swiftstile.gateway import gossip
 from swiftstile.gateway import handler as handler_lib
 from swiftstile.gateway import key_load
-from swiftstile.gateway import leadership
+from swiftstile.gateway import leadership as leadership_lib
 from swiftstile.gateway import membership
 from swiftstile.gateway import model
 from swiftstile.gateway import readers
@@ -66,7 +66,7 @@
         lease_renewals: renewals.GrantRenewer,
         peer_authority: authority.PeerAuthority,
         peers: gossip.Peers,
-        leader_role: leadership.Leadership,
+        leadership: leadership_lib.Leadership,
         vm_membership: membership.Membership,
         registry: registry_lib.Registry,
         followers: dict[str, follow.TableFollower],
@@ -77,9 +77,9 @@
         speed_table: speeds.SpeedTable,
         key_load_table: key_load.KeyLoadTable,
         cold_limits: coldstart.ColdLimits,
-        suspect_tracker: suspects.SuspectTable,
+        suspect_table: suspects.SuspectTable,
         log: decision_log.BoundedLog,
-        make_keeper,
+        make_key_assigner,
         grace_s: float,
         meters: metrics.Meters,
     ):
@@ -94,7 +94,7 @@
         self._renewals = lease_renewals
         self._authority = peer_authority
         self._peers = peers
-        self._leader_role = leader_role
+        self._leadership = leadership
         self._vm_membership = vm_membership
         self._registry = registry
         self._followers = followers
@@ -106,12 +106,12 @@
         self._slowness_updated_at = 0.0
         self._key_load_table = key_load_table
         self._cold_limits = cold_limits
-        self._suspect_tracker = suspect_tracker
+        self._suspect_table = suspect_table
         self._log = log
-        self._make_keeper = make_keeper
+        self._make_key_assigner = make_key_assigner
         self._grace_s = grace_s
         self.meters = meters
-        self._keepers: dict[ids.ServiceName, object] = {}
+        self._key_assigners: dict[ids.ServiceName, object] = {}
         self._started = clocks.monotonic()
         self._is_leaving = False
 
@@ -163,11 +163,11 @@
         logs.logger.info("gateway drains", in_flight=self._frontend.in_flight)
         self._is_leaving = True
         self._frontend.is_leaving = True
-        for keeper in self._keepers.values():
-            keeper.forget()
+        for assigner in self._key_assigners.values():
+            assigner.forget()
         self._renewals.stop(started)
         self._peers.send_now(self._report(self._peers.next_sequence()))
-        step_down = asyncio.create_task(self._leader_role.step_down())
+        step_down = asyncio.create_task(self._leadership.step_down())
         await asyncio.sleep(LINGER_S)
         self._frontend.stop_listening()
         self._frontend.close_idle()
@@ -192,10 +192,10 @@
         return reports.Report(
             reports.short_run(self._node.incarnation),
             sequence,
-            self._leader_role.is_leader,
+            self._leadership.is_leader,
             self._is_leaving,
             self._authority.is_authorised(now),
-            self._leader_role.version,
+            self._leadership.version,
             round(store.failing_s(now), 1),
             shared,
             local,
@@ -213,7 +213,7 @@
             *self._peers.dissemination.counts_to_publish(now),
             uptime_s=round(now - self._started, 3),
             grants_end_s=self._renewals.grants_end_s(now),
-            suspicions=self._suspect_tracker.report(now),
+            suspicions=self._suspect_table.report(now),
         )
 
     def _statuses_to_publish(
@@ -252,7 +252,7 @@
         if peer.report.speeds:
             self._speed_table.receive(node, peer.report.speeds, now)
         if peer.report.suspicions:
-            self._suspect_tracker.receive(
+            self._suspect_table.receive(
                 peer.report.suspicions, peer.received_at
             )
         self._gate.on_peer_report()
@@ -289,28 +289,28 @@
 
     async def _run_leader_duties(self) -> None:
         while True:
-            is_leader = self._leader_role.is_leader
+            is_leader = self._leadership.is_leader
             await pacing.sleep_aligned(TICK_S / 2 if is_leader else TICK_S)
             if self._is_leaving:
                 continue
-            await self._leader_role.tick()
-            if not self._leader_role.is_leader:
-                for keeper in self._keepers.values():
-                    keeper.forget()
+            await self._leadership.tick()
+            if not self._leadership.is_leader:
+                for assigner in self._key_assigners.values():
+                    assigner.forget()
                 continue
             await self._vm_membership.retire_unresponsive()
             await asyncio.gather(
-                *(keeper.tick() for keeper in self._current_keepers())
+                *(assigner.tick() for assigner in self._current_key_assigners())
             )
 
-    def _current_keepers(self) -> list:
+    def _current_key_assigners(self) -> list:
         config = self._handler.config
         if config is None:
             return []
         for name, service in config.services_by_name.items():
-            if service.is_keyed and name not in self._keepers:
-                self._keepers[name] = self._make_keeper(name)
-        return list(self._keepers.values())
+            if service.is_keyed and name not in self._key_assigners:
+                self._key_assigners[name] = self._make_key_assigner(name)
+        return list(self._key_assigners.values())
 
     def apply_config(self, config: model.Config) -> None:
         """Puts a configuration in force, unless a newer one already is."""
@@ -344,7 +344,7 @@
             "failure_domain": self._node.domain,
             "in_flight": self._frontend.in_flight,
             "config": config.version if config else None,
-            "leads": self._leader_role.is_leader,
+            "leads": self._leadership.is_leader,
             "targets": len(self._target_table.by_id),
             "key_maps": {
                 name: key_map.version
@@ -352,7 +352,7 @@
             },
             "crashing_requests": [
                 digest.hex()
-                for digest in self._suspect_tracker.identified_causes()
+                for digest in self._suspect_table.identified_causes()
             ],
             "meters": self.meters.snapshot(),
         }
--- a/src/swiftstile/gateway/key_assigner.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -19,7 +19,7 @@
 from swiftstile.gateway import holds
 from swiftstile.gateway import interfaces
 from swiftstile.gateway import keymap
-from swiftstile.gateway import leadership
+from swiftstile.gateway import leadership as leadership_lib
 from swiftstile.gateway import model
 from swiftstile.gateway import moves
 from swiftstile.gateway import reclaim
@@ -95,7 +95,7 @@
         plan: slotplan.SlotPlan,
         peers: gossip.Peers,
         renewer: renewals.GrantRenewer,
-        leader_state: leadership.Leadership,
+        leadership: leadership_lib.Leadership,
         successor: succession.Succession,
         table: interfaces.StateTable,
         follower: follow.TableFollower,
@@ -113,7 +113,7 @@
         self._assigned_at = 0.0
         self._peers = peers
         self._renewer = renewer
-        self._leader_state = leader_state
+        self._leadership = leadership
         self._succession = successor
         self._table = table
         self._follower = follower
@@ -121,13 +121,13 @@
         self._row_bytes = row_bytes
         self._meters = meters
         self._started = started
-        self._sources: dict[model.UpstreamId, reclaim.Source] = {}
+        self._slot_reclaims: dict[model.UpstreamId, reclaim.SlotReclaim] = {}
         self._reclaimer = reclaim.Reclaimer(
             service,
             maps,
             target_table,
             renewer,
-            leader_state,
+            leadership,
             control,
             peer_authority,
             meters,
@@ -135,22 +135,22 @@
         self._store_answered_at = 0.0
         self._store_failed_at = 0.0
         self._unknown_since: dict[model.UpstreamId, float] = {}
-        # Version of the leader's row under which `_sources` were created.
+        # Version of the leader's row under which `_slot_reclaims` were created.
         self._leader_version = interfaces.NEW_ROW
 
     def forget(self) -> None:
         """Cancels all releases and drops the state that only a leader needs."""
-        for source in self._sources.values():
-            source.cancel()
-        self._sources.clear()
+        for slot_reclaim in self._slot_reclaims.values():
+            slot_reclaim.cancel()
+        self._slot_reclaims.clear()
 
     async def tick(self) -> None:
         """Determines what has to be done and takes the next step."""
-        if self._leader_version != self._leader_state.version:
+        if self._leader_version != self._leadership.version:
             # A tick lasts as long as its writes. Another VM may have led since
             # the last one, and may have let owners keep using their slots.
             self.forget()
-            self._leader_version = self._leader_state.version
+            self._leader_version = self._leadership.version
         now = clocks.monotonic()
         if self._follower.failing_since is not None:
             await self._keep_at_owners()
@@ -240,7 +240,7 @@
             return
         owners = {current.slots[index].owner for index in moving}
         marked = current.mark_leaving(moving)
-        if owners & set(self._sources):
+        if owners & set(self._slot_reclaims):
             # Commands of the release that this one replaces may still arrive;
             # their fence must be older than that of the next release.
             marked = marked.with_newer_fence()
@@ -248,15 +248,17 @@
             written_at = self._marked_at = clocks.monotonic()
             version = self._maps.by_service[self._service].version
             for owner in owners:
-                self._replace_source(owner, reclaim.Source(version, written_at))
+                self._restart_reclaim(
+                    owner, reclaim.SlotReclaim(version, written_at)
+                )
 
-    def _replace_source(
-        self, owner: model.UpstreamId, source: reclaim.Source
+    def _restart_reclaim(
+        self, owner: model.UpstreamId, slot_reclaim: reclaim.SlotReclaim
     ) -> None:
         """Restarts the move of an owner; only one release may send commands."""
-        if owner in self._sources:
-            self._sources[owner].cancel()
-        self._sources[owner] = source
+        if owner in self._slot_reclaims:
+            self._slot_reclaims[owner].cancel()
+        self._slot_reclaims[owner] = slot_reclaim
 
     def _write_interval_s(self, per_vm_s: float) -> float:
         """Returns the minimum time between two writes of a map.
@@ -274,13 +276,13 @@
         return now - since > UNKNOWN_OWNER_S
 
     async def _advance_moves(self, current, weights, now: float) -> None:
-        slots_by_source = current.leaving_by_owner()
+        leaving_by_owner = current.leaving_by_owner()
         for owner in [
-            name for name in self._sources if name not in slots_by_source
+            name for name in self._slot_reclaims if name not in leaving_by_owner
         ]:
-            del self._sources[owner]
-        if set(slots_by_source) - set(self._sources):
-            await self._adopt_moves(current, set(slots_by_source))
+            del self._slot_reclaims[owner]
+        if set(leaving_by_owner) - set(self._slot_reclaims):
+            await self._adopt_moves(current, set(leaving_by_owner))
             return
         if not self._next_steps(current, weights, now).has_any:
             return
@@ -295,15 +297,15 @@
             self._reclaimer.start(
                 current,
                 owner,
-                self._sources[owner],
-                self._plan.move_ranges(current, slots_by_source[owner]),
+                self._slot_reclaims[owner],
+                self._plan.move_ranges(current, leaving_by_owner[owner]),
                 fences,
             )
         if steps.cleared:
             moving = [i for slots in steps.cleared.values() for i in slots]
             tokens: dict[int, str] = {}
             for owner in steps.cleared:
-                tokens |= self._sources[owner].tokens
+                tokens |= self._slot_reclaims[owner].tokens
             placed = self._plan.destinations(current, moving, weights, now)
             await self._assign(current, placed, tokens)
 
@@ -314,15 +316,17 @@
             ASSIGN_INTERVAL_PER_VM_S
         )
         for owner, slots in current.leaving_by_owner().items():
-            source = self._sources.get(owner)
-            if source is None:
-                # Sources were dropped meanwhile: this VM is shutting down.
+            slot_reclaim = self._slot_reclaims.get(owner)
+            if slot_reclaim is None:
+                # Reclaims were dropped meanwhile: this VM is shutting down.
                 continue
-            state = self._state_of(current, owner, source, slots, now)
+            state = self._state_of(current, owner, slot_reclaim, slots, now)
             if state is _MoveState.CLEAR:
                 if weights and not is_throttled:
                     steps.cleared[owner] = slots
-            elif state is not _MoveState.WAITING and source.may_release(now):
+            elif state is not _MoveState.WAITING and slot_reclaim.may_release(
+                now
+            ):
                 fences = state is _MoveState.FENCE_AND_RELEASE
                 steps.releases.append((owner, fences))
         return steps
@@ -340,17 +344,20 @@
             # of the restarted one have to be assigned again first.
             return
         leaves = {current.slots[index].owner for index in placed}
-        sources = [self._sources[name] for name in leaves & set(self._sources)]
-        for source in sources:
-            source.is_reassigning = True
+        slot_reclaims = [
+            self._slot_reclaims[name]
+            for name in leaves & set(self._slot_reclaims)
+        ]
+        for slot_reclaim in slot_reclaims:
+            slot_reclaim.is_reassigning = True
         if await self._write(
             current.assign(tokens, placed, started_ms), "moved"
         ):
             self._assigned_at = clocks.monotonic()
             self._meters.ownership.add("moved", len(placed))
             return
-        for source in sources:
-            source.is_reassigning = False
+        for slot_reclaim in slot_reclaims:
+            slot_reclaim.is_reassigning = False
 
     async def _adopt_moves(
         self, current, owners: set[model.UpstreamId]
@@ -368,7 +375,7 @@
         version = self._maps.by_service[self._service].version
         self.forget()
         slots = current.leaving_by_owner()
-        self._sources = {
+        self._slot_reclaims = {
             owner: self._adopted_source(
                 slots.get(owner, []), version, written_at
             )
@@ -377,16 +384,16 @@
 
     def _adopted_source(
         self, slots, version: int, now: float
-    ) -> reclaim.Source:
+    ) -> reclaim.SlotReclaim:
         """Returns the state of a move whose slots a former leader marked."""
         marked = self._succession.marked_version(self._service, slots)
         stopped_at = None
         if marked is not None:
             stopped_at = self._succession.stopped_at(self._service, marked)
         if stopped_at is None:
-            return reclaim.Source(version, now)
-        former = (self._leader_state.former_leader, version)
-        return reclaim.Source(marked, now, stopped_at, former)
+            return reclaim.SlotReclaim(version, now)
+        former = (self._leadership.former_leader, version)
+        return reclaim.SlotReclaim(marked, now, stopped_at, former)
 
     async def _store_answers(self) -> bool:
         """Probes the store, unless it has just answered or failed."""
@@ -414,22 +421,22 @@
         current = self._maps.by_service.get(self._service)
         if current is None or not current.leaving:
             return
-        slots_by_source = current.leaving_by_owner()
+        leaving_by_owner = current.leaving_by_owner()
         await asyncio.gather(
             *(
                 self._reclaimer.keep(
                     current,
                     owner,
-                    source,
-                    self._plan.move_ranges(current, slots_by_source[owner]),
+                    slot_reclaim,
+                    self._plan.move_ranges(current, leaving_by_owner[owner]),
                 )
-                for owner, source in list(self._sources.items())
-                if owner in slots_by_source
+                for owner, slot_reclaim in list(self._slot_reclaims.items())
+                if owner in leaving_by_owner
             )
         )
 
     def _state_of(
-        self, current, owner, source, slots, now: float
+        self, current, owner, slot_reclaim, slots, now: float
     ) -> "_MoveState":
         if owner is None or self._is_replaced(owner):
             return _MoveState.CLEAR
@@ -437,20 +444,22 @@
         known = moves.outstanding_grants(
             self._service,
             owner,
-            source.version,
+            slot_reclaim.version,
             self._own_hold(hold_table, slots, now),
             list(self._peers.by_node.values()),
-            self._stopped_at(source),
+            self._stopped_at(slot_reclaim),
             hold_table.max_held_s,
             now,
-            self._former_leader(source),
+            self._former_leader(slot_reclaim),
             self._authority.quorum_since,
         )
         if known.all_stopped and known.held_s <= 0:
             return _MoveState.CLEAR
         is_certain = known.all_stopped and known.open_s <= 0
-        if set(slots) <= set(source.tokens):
-            is_fenced_off = source.is_fenced and now >= source.unanswered_until
+        if set(slots) <= set(slot_reclaim.tokens):
+            is_fenced_off = (
+                slot_reclaim.is_fenced and now >= slot_reclaim.unanswered_until
+            )
             return (
                 _MoveState.CLEAR
                 if is_fenced_off or is_certain
@@ -458,8 +467,8 @@
             )
         if is_certain:
             return _MoveState.RELEASE
-        if now - source.marked_at > STOP_WAIT_S:
-            source.log_wait(known, owner, len(slots), now)
+        if now - slot_reclaim.marked_at > STOP_WAIT_S:
+            slot_reclaim.log_wait(known, owner, len(slots), now)
             return _MoveState.FENCE_AND_RELEASE
         return _MoveState.WAITING
 
@@ -471,25 +480,25 @@
             max(earlier_s, hold_table.unanswered_for_s(slots, now)),
         )
 
-    def _stopped_at(self, source: reclaim.Source) -> float:
+    def _stopped_at(self, slot_reclaim: reclaim.SlotReclaim) -> float:
         """Returns when VMs that send no reports have stopped renewing."""
-        if source.stopped_at is not None:
-            return source.stopped_at
+        if slot_reclaim.stopped_at is not None:
+            return slot_reclaim.stopped_at
         since = self._authority.quorum_since
         if since is None:
             return float("inf")
-        return max(since, source.marked_at) + authority.STOPPED_AFTER_S
+        return max(since, slot_reclaim.marked_at) + authority.STOPPED_AFTER_S
 
-    def _former_leader(self, source) -> moves.FormerLeader | None:
+    def _former_leader(self, slot_reclaim) -> moves.FormerLeader | None:
         """Returns the former leader that marked the slots, if there is one."""
-        if source.former_leader is None:
+        if slot_reclaim.former_leader is None:
             return None
         since = self._authority.quorum_since
         stopped_at = float("inf")
         if since is not None:
             stopped_at = since + authority.LEADER_STOPPED_AFTER_S
         return moves.FormerLeader(
-            *source.former_leader,
+            *slot_reclaim.former_leader,
             stopped_at,
             holds.max_held_s(reclaim.KEEP_HOLD_S),
         )
@@ -500,7 +509,7 @@
         return target is not None and target.is_replaced
 
     async def _write(self, changed: keymap.KeyMap, reason: str) -> bool:
-        if not self._leader_state.is_leader:
+        if not self._leadership.is_leader:
             # This VM was replaced while the tick waited. The condition would
             # name the row of the new leader, and the write would succeed.
             return False
@@ -516,7 +525,7 @@
             changed = changed.without_tokens()
             value = changed.encode(ids.new_attempt_id())
         conditions = [
-            self._leader_state.condition(),
+            self._leadership.condition(),
             interfaces.Condition(key, changed.version),
         ]
         try:
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -16,14 +16,14 @@
 from swiftstile.gateway import holds
 from swiftstile.gateway import interfaces
 from swiftstile.gateway import keymap
-from swiftstile.gateway import leadership
+from swiftstile.gateway import leadership as leadership_lib
 from swiftstile.gateway import model
 from swiftstile.gateway import moves
 from swiftstile.gateway import parallel
 from swiftstile.gateway import renewals
 from swiftstile.gateway import targets
 
-__all__ = ["Reclaimer", "Source"]
+__all__ = ["Reclaimer", "SlotReclaim"]
 
 # Concurrent release calls to one upstream: calls for busy slots are answered
 # only when their work has ended.
@@ -47,7 +47,7 @@
 MAX_LOGGED_HELD_S = 999.0
 
 
-class Source:
+class SlotReclaim:
     """The move of slots away from one owner.
 
     Attributes:
@@ -156,7 +156,7 @@
         maps: renewals.KeyMaps,
         target_table: targets.TargetTable,
         renewer: renewals.GrantRenewer,
-        leader_state: leadership.Leadership,
+        leadership: leadership_lib.Leadership,
         control: interfaces.UpstreamControl,
         peer_authority: authority.PeerAuthority,
         meters: metrics.Meters,
@@ -165,7 +165,7 @@
         self._maps = maps
         self._target_table = target_table
         self._renewer = renewer
-        self._leader_state = leader_state
+        self._leadership = leadership
         self._control = control
         self._authority = peer_authority
         self._meters = meters
@@ -174,7 +174,7 @@
         self,
         current: keymap.KeyMap,
         owner: model.UpstreamId,
-        source: Source,
+        slot_reclaim: SlotReclaim,
         ranges: list[range],
         must_fence: bool,
     ) -> None:
@@ -183,30 +183,30 @@
         Args:
             current: The map in which the slots are marked as leaving.
             owner: The owner that they leave.
-            source: The move of these slots.
+            slot_reclaim: The move of these slots.
             ranges: The slots, in ranges that were assigned as a whole.
             must_fence: Whether older grants may still arrive at the owner.
         """
         target = self._target_table.by_id.get(owner)
-        if target is None or not source.may_release(clocks.monotonic()):
+        if target is None or not slot_reclaim.may_release(clocks.monotonic()):
             return
-        if must_fence and not source.is_fenced:
-            source.is_fenced = True
-            source.tokens.clear()
+        if must_fence and not slot_reclaim.is_fenced:
+            slot_reclaim.is_fenced = True
+            slot_reclaim.tokens.clear()
         pending = [
             slot_range
             for slot_range in ranges
-            if not source.tokens.keys() >= set(slot_range)
+            if not slot_reclaim.tokens.keys() >= set(slot_range)
         ]
         pending.reverse()
-        run = self.release(current, target, source, pending)
-        source.note_release(asyncio.create_task(run))
+        run = self.release(current, target, slot_reclaim, pending)
+        slot_reclaim.note_release(asyncio.create_task(run))
 
     async def release(
         self,
         current: keymap.KeyMap,
         target: targets.Target,
-        source: Source,
+        slot_reclaim: SlotReclaim,
         pending: list[range],
     ) -> None:
         """Reclaims the ranges of slots in `pending`, the last one first."""
@@ -221,22 +221,22 @@
             return is_reached and len(failed) < _MAX_FAILURES
 
         async def reclaim_range(slot_range: range) -> None:
-            if not self._may_send(current, source, slot_range):
+            if not self._may_send(current, slot_reclaim, slot_range):
                 return
             try:
                 token = await self._release_range(
-                    current, target, source, slot_range
+                    current, target, slot_reclaim, slot_range
                 )
             except errors.PeerUnavailableError as error:
                 failed.append(error)
                 return
-            source.tokens |= dict.fromkeys(slot_range, token)
+            slot_reclaim.tokens |= dict.fromkeys(slot_range, token)
 
         await parallel.process_concurrently(
             pending, _PARALLEL, reclaim_range, should_continue
         )
         if failed:
-            source.note_failures(clocks.monotonic())
+            slot_reclaim.note_failures(clocks.monotonic())
             self._meters.ownership.add("release-unanswered", len(failed))
             logs.logger.info(
                 "release unanswered",
@@ -245,7 +245,9 @@
                 error=str(failed[0]),
             )
 
-    def _may_send(self, current, source: Source, slot_range: range) -> bool:
+    def _may_send(
+        self, current, slot_reclaim: SlotReclaim, slot_range: range
+    ) -> bool:
         """Whether commands for slots may be sent to the owner that they leave.
 
         They may while the slots are still leaving it, this VM is the leader,
@@ -253,14 +255,14 @@
         """
         latest = self._maps.by_service[self._service]
         return (
-            not source.is_reassigning
+            not slot_reclaim.is_reassigning
             and all(_is_still_leaving(latest, current, i) for i in slot_range)
-            and self._leader_state.is_leader
+            and self._leadership.is_leader
             and self._authority.is_authorised(clocks.monotonic())
         )
 
     async def _release_range(
-        self, current, target, source: Source, slot_range: range
+        self, current, target, slot_reclaim: SlotReclaim, slot_range: range
     ) -> str:
         """Makes an owner release slots; returns the hand-over token.
 
@@ -271,17 +273,24 @@
         address = target.upstream.address
         keys = current.keys_of_range(slot_range)
         fence = current.slots[slot_range.start].fence
-        if source.is_fenced:
+        if slot_reclaim.is_fenced:
             fence = current.next_fence
-            await self._fence_off(current, target, source, slot_range, fence)
+            await self._fence_off(
+                current, target, slot_reclaim, slot_range, fence
+            )
         return await self._control.release(address, target.id, keys, fence)
 
     async def _fence_off(
-        self, current, target, source: Source, slot_range: range, fence: int
+        self,
+        current,
+        target,
+        slot_reclaim: SlotReclaim,
+        slot_range: range,
+        fence: int,
     ) -> None:
         """Grants slots for a short time, so that older grants are refused."""
         result = await self._grant(
-            current, target, source, slot_range, fence, FENCING_HOLD_S, ""
+            current, target, slot_reclaim, slot_range, fence, FENCING_HOLD_S, ""
         )
         if result is not interfaces.GrantResult.HELD:
             raise errors.PeerUnavailableError(
@@ -294,7 +303,7 @@
         self,
         current,
         target,
-        source: Source,
+        slot_reclaim: SlotReclaim,
         slot_range: range,
         fence: int,
         hold_s: float,
@@ -310,17 +319,17 @@
                 fence,
                 hold_s,
                 token,
-                lambda: self._may_send(current, source, slot_range),
+                lambda: self._may_send(current, slot_reclaim, slot_range),
             )
         except (errors.PeerTimeoutError, asyncio.CancelledError):
-            source.note_unanswered(clocks.monotonic(), hold_s)
+            slot_reclaim.note_unanswered(clocks.monotonic(), hold_s)
             raise
 
     async def keep(
         self,
         current: keymap.KeyMap,
         owner: model.UpstreamId,
-        source: Source,
+        slot_reclaim: SlotReclaim,
         ranges: list[range],
     ) -> None:
         """Lets an owner keep using slots during an outage of the store.
@@ -334,37 +343,38 @@
         now = clocks.monotonic()
         if target is None or target.is_unregistered or target.is_failing:
             return
-        if not source.may_keep(now):
+        if not slot_reclaim.may_keep(now):
             return
-        source.note_kept(now)
+        slot_reclaim.note_kept(now)
         pending = [
             slot_range
             for slot_range in ranges
-            if self._may_send(current, source, slot_range)
+            if self._may_send(current, slot_reclaim, slot_range)
         ]
         pending.reverse()
 
         async def keep_range(slot_range: range) -> None:
-            await self._keep_range(current, target, source, slot_range)
+            await self._keep_range(current, target, slot_reclaim, slot_range)
 
         await parallel.process_concurrently(
             pending, _PARALLEL, keep_range, lambda: not target.is_failing
         )
 
     async def _keep_range(
-        self, current, target, source, slot_range: range
+        self, current, target, slot_reclaim, slot_range: range
     ) -> None:
         first = current.slots[slot_range.start]
         tokens = {
-            source.tokens.pop(i, current.slots[i].token) for i in slot_range
+            slot_reclaim.tokens.pop(i, current.slots[i].token)
+            for i in slot_range
         }
         try:
             await self._grant(
                 current,
                 target,
-                source,
+                slot_reclaim,
                 slot_range,
-                current.next_fence if source.is_fenced else first.fence,
+                current.next_fence if slot_reclaim.is_fenced else first.fence,
                 KEEP_HOLD_S,
                 # Slots that were released separately have several tokens.
                 tokens.pop() if len(tokens) == 1 else "",
--- a/src/swiftstile/gateway/succession.py
+++ b/src/swiftstile/gateway/succession.py
@@ -17,7 +17,7 @@
 
 from swiftstile import ids
 from swiftstile.gateway import authority
-from swiftstile.gateway import leadership
+from swiftstile.gateway import leadership as leadership_lib
 from swiftstile.gateway import renewals
 from swiftstile.gateway import reports
 
@@ -32,14 +32,14 @@
     """Records when the leader first reported each version of the key maps.
 
     Args:
-        leader_state: The current leadership.
+        leadership: The current leadership.
         maps: The maps, with the marks that this VM knows.
     """
 
     def __init__(
-        self, leader_state: leadership.Leadership, maps: renewals.KeyMaps
+        self, leadership: leadership_lib.Leadership, maps: renewals.KeyMaps
     ):
-        self._leader_state = leader_state
+        self._leadership = leadership
         self._maps = maps
         # Version of the leader's row to which the reports below belong.
         self._row_version = 0
@@ -49,17 +49,17 @@
 
     def note_report(self, peer: reports.Peer, now: float) -> None:
         """Records the versions in a report, if the leader sent it."""
-        leader_state, report = self._leader_state, peer.report
-        row = leader_state.row
-        if leader_state.is_leader or row is None or peer.row.node != row.node:
+        leadership, report = self._leadership, peer.report
+        row = leadership.row
+        if leadership.is_leader or row is None or peer.row.node != row.node:
             return
-        if self._row_version != leader_state.version:
-            self._row_version = leader_state.version
+        if self._row_version != leadership.version:
+            self._row_version = leadership.version
             self._history.clear()
         is_leading = (
             report.is_leader
             and report.can_renew
-            and report.leader_version == leader_state.version
+            and report.leader_version == leadership.version
             and peer.row.incarnation == row.incarnation
         )
         if not is_leading:
@@ -81,7 +81,7 @@
         marks = self._maps.marks_by_service.get(service, {})
         found = [marks.get(index) for index in slots]
         if not found or any(
-            mark is None or mark.known_at > self._leader_state.led_since
+            mark is None or mark.known_at > self._leadership.led_since
             for mark in found
         ):
             return None
@@ -98,10 +98,10 @@
             service: The service.
             marked_version: Result of the method `marked_version`.
         """
-        leader_state = self._leader_state
+        leadership = self._leadership
         if (
-            leader_state.former_leader is None
-            or leader_state.predecessor != self._row_version
+            leadership.former_leader is None
+            or leadership.predecessor != self._row_version
         ):
             return None
         versions, times = self._history.get(service, ([], []))
--- a/src/swiftstile/gateway/transfers.py
+++ b/src/swiftstile/gateway/transfers.py
@@ -191,8 +191,8 @@
             ControlMessageError: It doesn't continue this answer.
         """
         is_same = (piece.number, piece.size) == (self.number, self.size)
-        is_fit = 0 < len(piece.data) <= self.size - len(self._data)
-        if not is_same or not is_fit:
+        fits = 0 < len(piece.data) <= self.size - len(self._data)
+        if not is_same or not fits:
             raise errors.ControlMessageError(
                 f"{len(piece.data)} bytes of answer {piece.number} at byte"
                 f" {len(self._data)} of {self.size}",
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -28,7 +28,7 @@
 from swiftstile.gateway import key_assigner
 from swiftstile.gateway import key_load
 from swiftstile.gateway import keymap
-from swiftstile.gateway import leadership
+from swiftstile.gateway import leadership as leadership_lib
 from swiftstile.gateway import measurements
 from swiftstile.gateway import membership
 from swiftstile.gateway import model
@@ -139,7 +139,7 @@
         self._maps = renewals.KeyMaps()
         self._speed_table = speeds.SpeedTable()
         self._key_load_table = key_load.KeyLoadTable()
-        self._suspect_tracker = suspects.SuspectTable()
+        self._suspect_table = suspects.SuspectTable()
         self._peers = gossip.Peers(
             self._node,
             self._on_report,
@@ -149,7 +149,7 @@
             self._meters,
         )
         self._readers = readers.StoreReaders(
-            self._peers, lambda: self._leader_role.is_leader
+            self._peers, lambda: self._leadership.is_leader
         )
         self._outage = outage.Outage()
         self._state = follow.TableFollower(
@@ -158,15 +158,15 @@
             self._apply_state,
             store_readers=readers.StoreReaders(
                 self._peers,
-                lambda: self._leader_role.is_leader,
+                lambda: self._leadership.is_leader,
                 readers.MAX_INDEPENDENT_VMS_FOR_STATE,
             ),
             outage=self._outage,
         )
-        self._leader_role = leadership.Leadership(
+        self._leadership = leadership_lib.Leadership(
             self._peers, adapters.state, self._state
         )
-        self._succession = succession.Succession(self._leader_role, self._maps)
+        self._succession = succession.Succession(self._leadership, self._maps)
         self._vm_membership = membership.Membership(
             self._peers, adapters.state, self._state
         )
@@ -177,7 +177,7 @@
         )
         self._authority = authority.PeerAuthority(
             self._peers,
-            self._leader_role,
+            self._leadership,
             self._maps,
             lambda: self._vm_membership.is_registered,
             lambda: self._state.contact_at,
@@ -265,7 +265,7 @@
             self._state,
             operations,
             crash_guard.CrashGuard(
-                self._suspect_tracker, self._peers, pool, self._meters
+                self._suspect_table, self._peers, pool, self._meters
             ),
             self._meters,
         )
@@ -300,7 +300,7 @@
             self._renewals,
             self._authority,
             self._peers,
-            self._leader_role,
+            self._leadership,
             self._vm_membership,
             registry,
             followers,
@@ -316,15 +316,15 @@
             self._speed_table,
             self._key_load_table,
             self._cold_limits,
-            self._suspect_tracker,
+            self._suspect_table,
             self._request_log,
-            self._make_keeper,
+            self._make_key_assigner,
             settings_lib.parse_seconds(bounds.grace),
             self._meters,
         )
         return self._daemon
 
-    def _make_keeper(
+    def _make_key_assigner(
         self, service: ids.ServiceName
     ) -> key_assigner.KeyAssigner:
         return key_assigner.KeyAssigner(
@@ -339,11 +339,11 @@
                 self._handler.mean_service_time_s,
                 self._now(),
                 self._cold_limits,
-                self._most_ranges,
+                self._max_ranges,
             ),
             self._peers,
             self._renewals,
-            self._leader_role,
+            self._leadership,
             self._succession,
             self._adapters.state,
             self._state,
@@ -354,7 +354,7 @@
             self._meters,
         )
 
-    def _most_ranges(self) -> int:
+    def _max_ranges(self) -> int:
         peers = self._peers.by_node.values()
         rows = [peer.row for peer in peers if not peer.row.is_retired]
         return renewal_budget.max_ranges([self._node, *rows])
@@ -374,8 +374,8 @@
 
     def _apply_state_row(self, change: interfaces.Change) -> None:
         key = change.key
-        if key == leadership.LEADER_KEY:
-            self._leader_role.apply(change)
+        if key == leadership_lib.LEADER_KEY:
+            self._leadership.apply(change)
         elif key.startswith(membership.NODE_PREFIX):
             self._vm_membership.apply(change)
         elif (
--- a/tests/assigner_parts.py
+++ b/tests/assigner_parts.py
@@ -83,7 +83,7 @@
         self.target_table = builders.book(
             builders.upstream("u-1"), builders.upstream("u-2")
         )
-        self.leader_state = types.SimpleNamespace(
+        self.leadership = types.SimpleNamespace(
             is_leader=True,
             condition=lambda: interfaces.Condition("leader", 0),
             version=1,
@@ -132,8 +132,8 @@
             self.plan,
             peers,
             self.renewer,
-            self.leader_state,
-            succession.Succession(self.leader_state, self.maps),
+            self.leadership,
+            succession.Succession(self.leadership, self.maps),
             self.table,
             follower,
             self.control,
@@ -156,7 +156,7 @@
         return made
 
     def release(self, current: keymap.KeyMap, is_fenced: bool = True):
-        source = reclaim.Source(current.version, 0.0)
+        source = reclaim.SlotReclaim(current.version, 0.0)
         source.is_fenced = is_fenced
         target = self.target_table.by_id["u-1"]
         asyncio.run(
--- a/tests/many_vms.py
+++ b/tests/many_vms.py
@@ -113,10 +113,10 @@
     def _add_peers(self) -> None:
         daemon, me = self.daemon, self.daemon._node
         leader = self._row(_LEADER)
-        daemon._leader_role.row = types.SimpleNamespace(
+        daemon._leadership.row = types.SimpleNamespace(
             node=leader.node, incarnation=leader.incarnation
         )
-        daemon._leader_role.version = _LEADER_VERSION
+        daemon._leadership.version = _LEADER_VERSION
         for number in range(self._size.vms - 1):
             row = self._row(number)
             daemon._peers.apply(row, row.node, self.now)
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -18,7 +18,7 @@
 from swiftstile.gateway import holds
 from swiftstile.gateway import key_assigner
 from swiftstile.gateway import keymap
-from swiftstile.gateway import leadership
+from swiftstile.gateway import leadership as leadership_lib
 from swiftstile.gateway import moves
 from swiftstile.gateway import renewals
 from swiftstile.gateway import reports
@@ -64,15 +64,15 @@
         self.leader = reports.Peer(leader_row, clock.now)
         peers = gossip.Peers(self.row, lambda *_: None)
         peers.by_node["vm-1"] = self.leader
-        leader_state = types.SimpleNamespace(
+        leadership = types.SimpleNamespace(
             is_leader=False,
             version=5,
-            row=leadership.LeaderRow("vm-1", leader_row.incarnation, ""),
+            row=leadership_lib.LeaderRow("vm-1", leader_row.incarnation, ""),
         )
         maps = renewals.KeyMaps()
         self._maps = maps
         self.authority = authority.PeerAuthority(
-            peers, leader_state, maps, lambda: True, lambda: clock.now
+            peers, leadership, maps, lambda: True, lambda: clock.now
         )
         self.learn(1)
 
@@ -410,11 +410,11 @@
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: clock.now)
     me = builders.node_row("vm-1", run="leaderrr")
     peers = gossip.Peers(me, lambda *_: None)
-    leader_state = types.SimpleNamespace(is_leader=True, version=5, row=None)
+    leadership = types.SimpleNamespace(is_leader=True, version=5, row=None)
     contact = {"at": clock.now}
     peer_authority = authority.PeerAuthority(
         peers,
-        leader_state,
+        leadership,
         renewals.KeyMaps(),
         lambda: True,
         lambda: contact["at"],
--- a/tests/unit/test_gateway_exclusivity_concurrency.py
+++ b/tests/unit/test_gateway_exclusivity_concurrency.py
@@ -246,7 +246,7 @@
             parts.assigner._follower.failing_since = (
                 store.outage[0] if store.is_unavailable() else None
             )
-            if parts.leader_state.is_leader:
+            if parts.leadership.is_leader:
                 await parts.assigner.tick()
             else:
                 parts.assigner.forget()
@@ -305,7 +305,7 @@
         table.apply([], [interfaces.Write(_KEY, adopted.encode("another"))])
 
     def _learn_of_new_leader(self) -> None:
-        self._parts.leader_state.is_leader = False
+        self._parts.leadership.is_leader = False
 
 
 class _Remarked(_Model):
@@ -368,7 +368,9 @@
 
 def test_without_the_flag_on_slots_being_reassigned_holds_overlap(monkeypatch):
     never = property(lambda self: False, lambda self, value: None)
-    monkeypatch.setattr(reclaim.Source, "is_reassigning", never, raising=False)
+    monkeypatch.setattr(
+        reclaim.SlotReclaim, "is_reassigning", never, raising=False
+    )
     assert _overlaps(monkeypatch) > 0
 
 
@@ -390,7 +392,7 @@
 
 
 def test_without_cancelling_former_releases_holds_overlap(monkeypatch):
-    monkeypatch.setattr(reclaim.Source, "cancel", lambda self: None)
+    monkeypatch.setattr(reclaim.SlotReclaim, "cancel", lambda self: None)
     assert _overlaps(monkeypatch, _Remarked) > 0
 
 
@@ -401,7 +403,7 @@
     monkeypatch.setattr(keyplan, "MIN_BLOCKS_PER_OWNER", 1)
     monkeypatch.setattr(_StoreOutage, "max_ranges", max_ranges)
     monkeypatch.setattr(
-        reclaim.Source, "note_unanswered", lambda self, now, hold_s: None
+        reclaim.SlotReclaim, "note_unanswered", lambda self, now, hold_s: None
     )
     assert _overlaps(monkeypatch, _StoreOutage) > 0
 
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -229,7 +229,7 @@
     for tick in range(160):
         site.now += peers._tick_s()
         target.in_flight = tick // 3 % 4
-        daemon._leader_role.version += tick % 40 == 0
+        daemon._leadership.version += tick % 40 == 0
         is_whole = is_always_whole or peers._is_full_report_due(site.now)
         whole += is_whole
         report = daemon._report(peers.next_sequence(), is_whole)
--- a/tests/unit/test_gateway_key_assigner.py
+++ b/tests/unit/test_gateway_key_assigner.py
@@ -53,7 +53,7 @@
     parts.control.is_unresponsive = True
     clock = [1000.0]
     monkeypatch.setattr("swiftstile.clocks.monotonic", lambda: clock[0])
-    source = reclaim.Source(current.version, clock[0])
+    source = reclaim.SlotReclaim(current.version, clock[0])
     source.is_fenced = True
     target = parts.target_table.by_id["u-1"]
     hold_table = parts.renewer.holds(builders.LOOKUPS, slotplan.SLOT_COUNT)
@@ -224,7 +224,7 @@
     parts.control.is_unreachable = True
     tries = []
     parts.control.before_send = lambda: tries.append(1)
-    source = reclaim.Source(current.version, 0.0)
+    source = reclaim.SlotReclaim(current.version, 0.0)
     source.is_fenced = True
     target = parts.target_table.by_id["u-1"]
     pieces = [range(index, index + 1) for index in range(100)]
--- a/tests/unit/test_gateway_reassignment.py
+++ b/tests/unit/test_gateway_reassignment.py
@@ -78,8 +78,8 @@
     parts.assigner._started -= _LONG_AGO_S
     await parts.assigner.tick()
     current = parts.maps.by_service[builders.LOOKUPS]
-    source = parts.assigner._sources["u-1"]
-    parts.assigner._reclaimer.start(current, "u-1", source, _RANGES, True)
+    slot_reclaim = parts.assigner._slot_reclaims["u-1"]
+    parts.assigner._reclaimer.start(current, "u-1", slot_reclaim, _RANGES, True)
     await _run_pending_tasks()
     return parts
 
@@ -211,7 +211,7 @@
         parts.assigner._store_answered_at = 0.0
 
         async def replace() -> None:
-            parts.leader_state.is_leader = False
+            parts.leadership.is_leader = False
 
         table.during_probe = replace
         await parts.assigner.tick()
@@ -227,10 +227,10 @@
         parts = assigner_parts.Parts()
         parts.start(_SLOTS)
         await parts.assigner.tick()
-        source = parts.assigner._sources["u-1"]
-        source.is_fenced = True
-        source.tokens = dict.fromkeys(_SLOTS, "warm")
-        parts.leader_state.version += 2
+        slot_reclaim = parts.assigner._slot_reclaims["u-1"]
+        slot_reclaim.is_fenced = True
+        slot_reclaim.tokens = dict.fromkeys(_SLOTS, "warm")
+        parts.leadership.version += 2
         before = parts.maps.by_service[builders.LOOKUPS]
         await parts.assigner.tick()
         after = parts.maps.by_service[builders.LOOKUPS]
@@ -252,18 +252,20 @@
         parts.assigner._started -= _LONG_AGO_S
         await parts.assigner.tick()
         current = parts.maps.by_service[builders.LOOKUPS]
-        source = parts.assigner._sources["u-1"]
-        source.is_fenced = True
+        slot_reclaim = parts.assigner._slot_reclaims["u-1"]
+        slot_reclaim.is_fenced = True
         parts.control.is_unresponsive = True
         target = parts.target_table.by_id["u-1"]
-        await parts.assigner._reclaimer.keep(current, "u-1", source, _RANGES)
+        await parts.assigner._reclaimer.keep(
+            current, "u-1", slot_reclaim, _RANGES
+        )
         assert parts.control.kept
         kept_until = clock[0] + reclaim.KEEP_HOLD_S
         parts.control.is_unresponsive = False
         await parts.assigner._reclaimer.release(
-            current, target, source, list(_RANGES)
+            current, target, slot_reclaim, list(_RANGES)
         )
-        assert set(source.tokens) == set(_SLOTS)
+        assert set(slot_reclaim.tokens) == set(_SLOTS)
         clock[0] += 0.1
         await parts.assigner.tick()
         assert parts.maps.by_service[builders.LOOKUPS].leaving == set(_SLOTS)
--- a/tests/unit/test_gateway_succession.py
+++ b/tests/unit/test_gateway_succession.py
@@ -9,7 +9,7 @@
 from swiftstile.gateway import holds
 from swiftstile.gateway import interfaces
 from swiftstile.gateway import keymap
-from swiftstile.gateway import leadership
+from swiftstile.gateway import leadership as leadership_lib
 from swiftstile.gateway import moves
 from swiftstile.gateway import reclaim
 from swiftstile.gateway import renewals
@@ -29,9 +29,9 @@
     def __init__(self, name: str = "vm-2"):
         self.row = builders.node_row(name, run=name.rjust(8, "-"))
         self.peers = gossip.Peers(self.row, lambda *_: None)
-        self.leader_state = leadership.Leadership(self.peers, None, None)
+        self.leadership = leadership_lib.Leadership(self.peers, None, None)
         self.maps = renewals.KeyMaps()
-        self.known = succession.Succession(self.leader_state, self.maps)
+        self.known = succession.Succession(self.leadership, self.maps)
         self.first = builders.peer(
             builders.node_row("vm-1", run="firstttt"), None, 0.0
         )
@@ -40,12 +40,12 @@
         )
 
     def follow(self, row: reports.NodeRow | None, version: int, vacated=0):
-        leader = leadership.LeaderRow("", "", "x", vacated)
+        leader = leadership_lib.LeaderRow("", "", "x", vacated)
         if row is not None:
-            leader = leadership.LeaderRow(row.node, row.incarnation, "x")
-        value = leadership.msgspec.msgpack.encode(leader)
-        change = interfaces.Change(leadership.LEADER_KEY, value, version)
-        self.leader_state.apply(change)
+            leader = leadership_lib.LeaderRow(row.node, row.incarnation, "x")
+        value = leadership_lib.msgspec.msgpack.encode(leader)
+        change = interfaces.Change(leadership_lib.LEADER_KEY, value, version)
+        self.leadership.apply(change)
 
     def learn(self, version: int, now: float, leaving=()) -> None:
         owners = dict.fromkeys(range(8), "u-1")
@@ -88,7 +88,7 @@
 def test_a_successor_counts_from_the_first_report_of_the_marks():
     vm = _follower()
     vm.follow(vm.row, _SECOND_ROW)
-    assert vm.leader_state.former_leader == "vm-1"
+    assert vm.leadership.former_leader == "vm-1"
     assert vm.stopped_at() == 102.0 + authority.STOPPED_AFTER_S
 
 
@@ -101,7 +101,7 @@
     vm = _follower()
     vm.follow(vm.row, _SECOND_ROW)
     vm.follow(vm.row, _SECOND_ROW)
-    assert vm.leader_state.former_leader == "vm-1"
+    assert vm.leadership.former_leader == "vm-1"
     assert vm.stopped_at() == 102.0 + authority.STOPPED_AFTER_S
 
 
@@ -160,7 +160,7 @@
     vm.learn(_PLAIN, 100.0)
     vm.receive(vm.first, _FIRST_ROW, _MARKED, 102.0)
     vm.follow(vm.row, _SECOND_ROW)
-    vm.learn(_MARKED, vm.leader_state.led_since + 0.1, _SLOTS)
+    vm.learn(_MARKED, vm.leadership.led_since + 0.1, _SLOTS)
     assert vm.stopped_at() is None
 
 
@@ -194,7 +194,7 @@
         self.vm.learn(_PLAIN, clock.now)
         self.authority = authority.PeerAuthority(
             self.vm.peers,
-            self.vm.leader_state,
+            self.vm.leadership,
             self.vm.maps,
             lambda: True,
             lambda: clock.now,
@@ -335,7 +335,7 @@
         now, vm = self._clock.now, self._third
         if now < self._taken_at or self._reassigned_at is not None:
             return
-        if not vm.leader_state.is_leader:
+        if not vm.leadership.is_leader:
             vm.follow(vm.row, _SECOND_ROW)
             vm.learn(_MARKED, now, _SLOTS)
         known = self._outstanding_grants(now)
@@ -349,7 +349,7 @@
             return None
         quorum_at = self._taken_at + 0.1
         former = moves.FormerLeader(
-            vm.leader_state.former_leader,
+            vm.leadership.former_leader,
             _ADOPTED,
             quorum_at + authority.LEADER_STOPPED_AFTER_S,
             holds.max_held_s(reclaim.KEEP_HOLD_S),
--- a/tests/unit/test_gateway_wiring.py
+++ b/tests/unit/test_gateway_wiring.py
@@ -37,7 +37,7 @@
 def _lead(daemon) -> None:
     """Makes the VM the leader, with live readers in its domain."""
     row = daemon._node
-    daemon._leader_role.row = types.SimpleNamespace(
+    daemon._leadership.row = types.SimpleNamespace(
         node=row.node, incarnation=row.incarnation
     )
     statuses = {name: reports.TableStatus(1, 0.1) for name in daemon._followers}
@@ -61,7 +61,7 @@
     # readers deliver it compressed, and only the newest.
     daemon = _daemon()
     _lead(daemon)
-    assert daemon._leader_role.is_leader
+    assert daemon._leadership.is_leader
     follower = daemon._followers[table]
     assert follower.follows_peers(clocks.monotonic()) is follows_peers
 
