--- a/src/swiftstile/gateway/arbiter.py
+++ b/src/swiftstile/gateway/arbiter.py
@@ -153,7 +153,7 @@
         name = (request.run, request.number)
         decided = self._gate.start_acquire(waiter)
         if isinstance(decided, admission.Rejection):
-            self._send_refusal(peer, request.number, decided)
+            self._send_rejection(peer, request.number, decided)
             return
         permit = self._permits[name] = _Permit(waiter)
         if isinstance(decided, targets.Target):
@@ -200,7 +200,7 @@
         error = future.exception()
         if error is not None:
             del self._permits[name]
-            self._send_refusal(peer, name[1], error.rejection)
+            self._send_rejection(peer, name[1], error.rejection)
             return
         permit.target = future.result()
         self._send_status(peer, name[1], permit)
@@ -221,7 +221,7 @@
             reply.upstream = permit.target.id
         self._send(peer, reply)
 
-    def _send_refusal(self, peer, number: int, overload) -> None:
+    def _send_rejection(self, peer, number: int, overload) -> None:
         self._meters.permits.add("refused")
         self._send(
             peer,
--- a/src/swiftstile/gateway/domain_search.py
+++ b/src/swiftstile/gateway/domain_search.py
@@ -78,7 +78,7 @@
             return [first, *open_steps, last]
         return open_steps + [SearchStep(domain, None) for domain in others[:1]]
 
-    def note_refused(
+    def note_rejected(
         self, service: ids.ServiceName, step: SearchStep, now: float
     ) -> None:
         """Records that a domain had no free slot in time."""
--- a/src/swiftstile/gateway/owners.py
+++ b/src/swiftstile/gateway/owners.py
@@ -110,9 +110,9 @@
         changed = self._maps.changed_at[service].get(index, 0.0)
         if now - changed < FIRST_GRANT_DELAY_S:
             return None, changed + FIRST_GRANT_DELAY_S - now
-        refused = self._misdirected.get((service, index))
-        if refused is not None:
-            fence, at = refused
+        report = self._misdirected.get((service, index))
+        if report is not None:
+            fence, at = report
             pause_s = HANDOVER_S if slot.is_leaving else REGRANT_S
             if fence == slot.fence and now - at < pause_s:
                 return None, at + pause_s - now
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -174,23 +174,23 @@
         """Acquires a slot of any upstream, in the planned order of domains."""
         now = clocks.monotonic()
         group = self._gate.admission.usable_targets(waiter, now)
-        refusal: outcomes.RejectedError | None = None
+        rejection: outcomes.RejectedError | None = None
         for step in self._domain_search.plan(waiter, group, now):
             waiter.domain = step.domain
             waiter.max_wait_s = step.max_wait_s
             try:
                 target = await self._acquire_in_domain(waiter, step.domain)
             except outcomes.RejectedError as error:
-                refusal = error
-                self._domain_search.note_refused(
+                rejection = error
+                self._domain_search.note_rejected(
                     waiter.service, step, clocks.monotonic()
                 )
                 continue
             if target is not None:
                 return target
-            refusal = None
-        if refusal is not None:
-            raise refusal
+            rejection = None
+        if rejection is not None:
+            raise rejection
         waiter.domain = waiter.max_wait_s = None
         return await self._gate.acquire(waiter)
 
@@ -255,7 +255,7 @@
             if reply is None:
                 return None
             if reply.status is permit_messages.PermitStatus.REFUSED:
-                raise _refused(reply, target)
+                raise _rejected_error(reply, target)
             granted = self._granted_target(waiter, target, reply)
             if granted is not None:
                 self._number_by_waiter[waiter.sequence] = number
@@ -406,7 +406,7 @@
             self._arbiter.handle_request(peer, message)
 
 
-def _refused(
+def _rejected_error(
     reply: permit_messages.PermitReply, target: targets.Target | None
 ) -> outcomes.RejectedError:
     overload = admission.Rejection(
--- a/tests/unit/test_gateway_domain_search.py
+++ b/tests/unit/test_gateway_domain_search.py
@@ -57,7 +57,7 @@
 def test_a_full_domain_is_skipped_for_a_short_time():
     search = domain_search.DomainSearch(builders.HOME)
     north = domain_search.SearchStep("north", 0.0)
-    search.note_refused(builders.LOOKUPS, north, _NOW)
+    search.note_rejected(builders.LOOKUPS, north, _NOW)
     domains = [s.domain for s in _plan(search, builders.HOME, *_OTHERS)]
     assert domains == [builders.HOME, "south", builders.HOME]
     later = _NOW + 2 * domain_search.FULL_DOMAIN_TTL_S
@@ -66,7 +66,7 @@
 
 def test_only_the_local_domain_is_tried_if_all_others_are_full():
     search = domain_search.DomainSearch(builders.HOME)
-    search.note_refused(
+    search.note_rejected(
         builders.LOOKUPS, domain_search.SearchStep("north", 0.0), _NOW
     )
     steps = _plan(search, builders.HOME, "north")
