--- a/src/swiftstile/gateway/caller_retries.py
+++ b/src/swiftstile/gateway/caller_retries.py
@@ -1,4 +1,4 @@
-"""Recognises retries of callers that were refused with a retry time.
+"""Recognises retries of callers that were rejected with a retry time.
 
 A caller's timeout runs from its first attempt, so a retry that looks like a new
 request may already be late. Nothing in the request marks it as a retry, but it
@@ -21,7 +21,7 @@
 
 
 class _ExpectedRetry:
-    """A retry that is expected from a refused caller.
+    """A retry that is expected from a rejected caller.
 
     Attributes:
         retry_at: When it is expected.
@@ -47,7 +47,7 @@
         self._swept_at = 0.0
 
     def expect_retry(self, waiter, retry_at: float) -> None:
-        """Records that a request was refused with a retry time."""
+        """Records that a request was rejected with a retry time."""
         if waiter.key is None or waiter.gives_up_at is None:
             return
         name = (waiter.service, waiter.key)
--- a/src/swiftstile/gateway/connections.py
+++ b/src/swiftstile/gateway/connections.py
@@ -34,7 +34,7 @@
 # shortest route timeout.
 UNACKNOWLEDGED_TIMEOUT_S = 1.5
 # An idle connection isn't reused if the server may close it within this time,
-# as the request could cross the close.
+# as the request could arrive after the close.
 IDLE_MARGIN_S = 1.5
 # Assumed idle timeout of a server that doesn't announce one.
 DEFAULT_IDLE_TIMEOUT_S = 5.0
--- a/src/swiftstile/gateway/dissemination.py
+++ b/src/swiftstile/gateway/dissemination.py
@@ -32,7 +32,7 @@
 # VMs with less than this share of the highest bandwidth neither assign slots
 # nor lead unless no other can: their links would be saturated.
 MIN_BANDWIDTH_RATIO = 0.5
-# Readers of a domain: one more than a single failure takes out.
+# Readers of a domain: two, so that one remains when a VM fails.
 READERS_PER_DOMAIN = 2
 # VMs of another domain that reports for its readers go to: the readers, and the
 # VM that replaces one that fails.
@@ -161,7 +161,7 @@
 
     @abc.abstractmethod
     def live_domains(self, now: float) -> set[ids.FailureDomain]:
-        """Returns the other domains known to live by reports of readers."""
+        """Returns other domains that have live VMs according to readers."""
 
     def far_leaders(self) -> list[reports.Peer]:
         """Returns the far peers that claim to be the leader."""
--- a/src/swiftstile/gateway/key_assigner.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -318,7 +318,7 @@
         for owner, slots in current.leaving_by_owner().items():
             slot_reclaim = self._slot_reclaims.get(owner)
             if slot_reclaim is None:
-                # Reclaims were dropped meanwhile: this VM is shutting down.
+                # Reclaims were cancelled meanwhile: this VM is shutting down.
                 continue
             state = self._state_of(current, owner, slot_reclaim, slots, now)
             if state is _MoveState.CLEAR:
--- a/src/swiftstile/gateway/moves.py
+++ b/src/swiftstile/gateway/moves.py
@@ -78,7 +78,8 @@
         now: The time.
         former: The VM that marked the slots, if it wasn't this one.
         quorum_since: Since when a majority has followed this VM, the leader. A
-            VM that hasn't been heard since then has no authority to renew.
+            VM from which no report has arrived since then has no authority to
+            renew.
     """
     result = OutstandingGrants(True, own.held_s, own.unanswered_s)
     for peer in peers:
--- a/src/swiftstile/gateway/permit_messages.py
+++ b/src/swiftstile/gateway/permit_messages.py
@@ -45,7 +45,7 @@
         caller_timeout_ms: Remaining time that its caller waits, if known.
         ended: Numbers of this run's requests that ended recently.
         service: The service; empty if `upstream` is named.
-        excluded: Upstreams that already refused or failed the request.
+        excluded: Upstreams that already rejected or failed the request.
         max_wait_ms: Longest wait for a slot; until the request expires if None.
     """
 
@@ -72,8 +72,8 @@
         number: Number of the permit request.
         status: The decision.
         occupied: Other requests at the upstream, if granted.
-        retry_after_ms: Time after which to retry, if refused.
-        wait_ms: Actual or expected wait, if refused.
+        retry_after_ms: Time after which to retry, if rejected.
+        wait_ms: Actual or expected wait, if rejected.
         upstream: Upstream of the granted slot, if any upstream was requested.
     """
 
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -13,9 +13,9 @@
 local domain's arbiter is asked first, those of other domains when local waiting
 costs more (`domain_search.py`).
 
-Designed for a load of two thirds to nine tenths of the upstreams' capacity,
-with some upstreams at half and some at one and a half times the mean speed,
-which leave requests that they can't queue without an answer.
+Designed for a load of two thirds to nine tenths of the upstreams' capacity.
+Some upstreams run at half and some at one and a half times the mean speed, and
+they don't answer requests that they can't queue.
 """
 
 import asyncio
@@ -74,7 +74,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the permit was granted or refused."""
+        """Whether the permit was granted or rejected."""
         reply = self.reply
         return (
             reply is not None
@@ -242,7 +242,7 @@
             arbiter: The VM that decides.
 
         Raises:
-            RejectedError: The arbiter refused the permit.
+            RejectedError: The arbiter rejected the permit request.
         """
         number = next(self._numbers)
         pending = self._pending[number] = _PendingRequest()
--- a/src/swiftstile/gateway/readers.py
+++ b/src/swiftstile/gateway/readers.py
@@ -88,7 +88,10 @@
         return self._is_large_domain
 
     def _refresh(self, now: float) -> None:
-        """Updates the cached state, once for each time: a report asks often."""
+        """Updates the cached state, at most once per timestamp.
+
+        Each report needs the state several times.
+        """
         if now == self._refreshed_at:
             return
         self._refreshed_at = now
--- a/src/swiftstile/gateway/reclaim.py
+++ b/src/swiftstile/gateway/reclaim.py
@@ -48,7 +48,7 @@
 
 
 class SlotReclaim:
-    """The move of slots away from one owner.
+    """The state of reclaiming the slots that leave one owner.
 
     Attributes:
         version: Version of the map in which the slots were marked.
@@ -59,7 +59,7 @@
         former_leader: Node of the VM that marked the slots, with the version
             of the map that it has to know, if `stopped_at` is known.
         tokens: Hand-over tokens of the slots that the owner released, by slot.
-        is_fenced: Whether the owner refuses older grants from any sender.
+        is_fenced: Whether the owner rejects older grants from any sender.
         unanswered_until: End of the holds of grants that got no answer after
             the owner was fenced. They have the same fence as the release and
             may be carried out after it.
@@ -183,7 +183,7 @@
         Args:
             current: The map in which the slots are marked as leaving.
             owner: The owner that they leave.
-            slot_reclaim: The move of these slots.
+            slot_reclaim: The state of reclaiming these slots.
             ranges: The slots, in ranges that were assigned as a whole.
             must_fence: Whether older grants may still arrive at the owner.
         """
@@ -268,7 +268,7 @@
 
         Grants under the old fence may still arrive, from a VM that sends no
         reports or because they are in flight. In this case a grant under a
-        newer fence is sent first, after which the owner refuses older grants.
+        newer fence is sent first, after which the owner rejects older grants.
         """
         address = target.upstream.address
         keys = current.keys_of_range(slot_range)
@@ -288,7 +288,7 @@
         slot_range: range,
         fence: int,
     ) -> None:
-        """Grants slots for a short time, so that older grants are refused."""
+        """Grants slots for a short time, so that older grants are rejected."""
         result = await self._grant(
             current, target, slot_reclaim, slot_range, fence, FENCING_HOLD_S, ""
         )
--- a/src/swiftstile/gateway/registry.py
+++ b/src/swiftstile/gateway/registry.py
@@ -2,7 +2,8 @@
 
 Other writers may use the same table. An entry that can't be decoded, or that
 names a service that isn't configured, is ignored and doesn't affect the others.
-After an outage of the store, missing registrations get time to be renewed.
+After an outage of the store, upstreams whose registrations are missing are
+given time to renew them.
 """
 
 import msgspec
--- a/src/swiftstile/gateway/renewals.py
+++ b/src/swiftstile/gateway/renewals.py
@@ -70,7 +70,7 @@
         by_service: The latest known maps.
         marks_by_service: Slots that are leaving, by service and slot.
         changed_at: When a slot's owner last changed, by service and slot.
-        changed: Wakes tasks that wait for a newer map.
+        changed: Signals tasks that wait for a newer map.
     """
 
     def __init__(self):
--- a/src/swiftstile/gateway/succession.py
+++ b/src/swiftstile/gateway/succession.py
@@ -1,4 +1,4 @@
-"""What a new leader may conclude from the reports of its predecessor.
+"""Derives from a former leader's reports when VMs stopped renewing slots.
 
 Slots that are leaving can be reassigned once no VM renews them any more. A
 leader knows from its own marks when that is. A new leader would have to count
--- a/src/swiftstile/gateway/transfers.py
+++ b/src/swiftstile/gateway/transfers.py
@@ -25,7 +25,7 @@
 # Several VMs of a domain may fetch from one whose link is the narrowest, 5
 # Mbit/s: 38 pieces of this size pass within the timeout of one.
 PIECE_BYTES = 8192
-# Maximum size of all rows of an answer; larger ones are refused. The whole
+# Maximum size of all rows of an answer; larger ones are rejected. The whole
 # configuration of the largest planned deployment is a tenth of it.
 MAX_BYTES = 32 << 20
 # Answers are retained for this long after their last piece was requested, in
