--- a/src/swiftstile/gateway/crash_guard.py
+++ b/src/swiftstile/gateway/crash_guard.py
@@ -28,7 +28,7 @@
     """Detects crashes and rejects the requests that cause them.
 
     Args:
-        suspects: Suspects that are known to all VMs.
+        suspect_table: Suspects that are known to all VMs.
         peers: The other VMs.
         pool: Opens connections to upstreams.
         meters: Counts suspects and rejections.
@@ -36,12 +36,12 @@
 
     def __init__(
         self,
-        suspects: suspects_lib.SuspectTable,
+        suspect_table: suspects_lib.SuspectTable,
         peers: gossip.Peers,
         pool: connections.ConnectionPool,
         meters: metrics.Meters,
     ):
-        self._suspects = suspects
+        self._suspect_table = suspect_table
         self._peers = peers
         self._pool = pool
         self._meters = meters
@@ -50,7 +50,7 @@
     @property
     def has_suspects(self) -> bool:
         """Whether any request is a suspect."""
-        return len(self._suspects) > 0
+        return len(self._suspect_table) > 0
 
     def should_remember(self, body_bytes: int) -> bool:
         """Whether it is worth the time to remember that a request was answered.
@@ -70,7 +70,9 @@
         Raises:
             CrashingRequestError: It must not be sent to any upstream.
         """
-        verdict = self._suspects.verdict(digest, now, self._is_prober(digest))
+        verdict = self._suspect_table.verdict(
+            digest, now, self._is_prober(digest)
+        )
         if verdict is suspects_lib.Verdict.REJECT:
             self._meters.crashes.add("refused")
             raise self._rejected_error(digest, now)
@@ -83,12 +85,12 @@
     def _rejected_error(
         self, digest: fingerprint.Digest, now: float
     ) -> outcomes.CrashingRequestError:
-        crashes = self._suspects.crashes(digest)
+        crashes = self._suspect_table.crashes(digest)
         error = outcomes.CrashingRequestError(
             f"{crashes} upstreams fell while they had request {digest.hex()}",
             step="look for suspects",
         )
-        error.retry_after_s = self._suspects.rejected_for_s(digest, now)
+        error.retry_after_s = self._suspect_table.rejected_for_s(digest, now)
         return error
 
     async def has_crashed(self, target: targets.Target) -> bool:
@@ -126,26 +128,26 @@
         """
         upstream = target.upstream
         crash = causes.crash_id(upstream.id, upstream.started_ms)
-        self._suspects.record_crash(digest, crash, sent_s, now)
+        self._suspect_table.record_crash(digest, crash, sent_s, now)
         self._meters.crashes.add("suspected")
         logs.logger.info(
             "request suspected of a crash",
             request=digest.hex(),
             upstream=upstream.id,
-            crashes=self._suspects.crashes(digest),
-            is_cause=digest in self._suspects.identified_causes(),
+            crashes=self._suspect_table.crashes(digest),
+            is_cause=digest in self._suspect_table.identified_causes(),
         )
 
     def may_resend(self, digest: fingerprint.Digest) -> bool:
         """Whether a request whose upstream crashed may be sent to another."""
         return (
-            self._suspects.crashes(digest)
+            self._suspect_table.crashes(digest)
             < suspects_lib.CRASHES_TO_STOP_RESENDS
         )
 
     def record_response(self, digest: fingerprint.Digest, now: float) -> None:
         """Records that an upstream answered a request."""
-        if self._suspects.record_response(digest, now):
+        if self._suspect_table.record_response(digest, now):
             self._meters.crashes.add("cleared")
             logs.logger.info("suspect answered", request=digest.hex())
 
--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -63,7 +63,7 @@
         arbiter: arbiter_lib.Arbiter,
         target_table: targets.TargetTable,
         maps: renewals.KeyMaps,
-        lease_renewals: renewals.GrantRenewer,
+        renewer: renewals.GrantRenewer,
         peer_authority: authority.PeerAuthority,
         peers: gossip.Peers,
         leadership: leadership_lib.Leadership,
@@ -91,7 +91,7 @@
         self._arbiter = arbiter
         self._target_table = target_table
         self._maps = maps
-        self._renewals = lease_renewals
+        self._renewer = renewer
         self._authority = peer_authority
         self._peers = peers
         self._leadership = leadership
@@ -124,7 +124,7 @@
             self._peers.run(self._report),
             self._server.run(),
             self._relay.run(),
-            self._renewals.run(),
+            self._renewer.run(),
             self._vm_membership.run(),
             self._gate.run(),
             self._arbiter.run(),
@@ -164,8 +164,8 @@
         self._is_leaving = True
         self._frontend.is_leaving = True
         for assigner in self._key_assigners.values():
-            assigner.forget()
-        self._renewals.stop(started)
+            assigner.drop_leader_state()
+        self._renewer.stop(started)
         self._peers.send_now(self._report(self._peers.next_sequence()))
         step_down = asyncio.create_task(self._leadership.step_down())
         await asyncio.sleep(LINGER_S)
@@ -206,13 +206,13 @@
                 service: key_map.version
                 for service, key_map in self._maps.by_service.items()
             },
-            self._renewals.leaving_holds(now),
-            sorted(self._renewals.unreachable),
+            self._renewer.leaving_holds(now),
+            sorted(self._renewer.unreachable),
             self._statuses_to_publish(now) if is_full else {},
             self._store_readers.is_reader(now),
             *self._peers.dissemination.counts_to_publish(now),
             uptime_s=round(now - self._started, 3),
-            grants_end_s=self._renewals.grants_end_s(now),
+            grants_end_s=self._renewer.grants_end_s(now),
             suspicions=self._suspect_table.report(now),
         )
 
@@ -296,7 +296,7 @@
             await self._leadership.tick()
             if not self._leadership.is_leader:
                 for assigner in self._key_assigners.values():
-                    assigner.forget()
+                    assigner.drop_leader_state()
                 continue
             await self._vm_membership.retire_unresponsive()
             await asyncio.gather(
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -86,7 +86,7 @@
         log: decision_log.BoundedLog,
         store: follow.TableFollower,
         operations: follow.TableFollower,
-        crashes: crash_guard.CrashGuard,
+        guard: crash_guard.CrashGuard,
         meters: metrics.Meters,
     ):
         self.config: model.Config | None = None
@@ -101,10 +101,10 @@
         self._log = log
         self._store = store
         self._operations = operations
-        self._crashes = crashes
+        self._crash_guard = guard
         self._meters = meters
-        self._times = work_times.WorkTimeEstimates()
-        self._shares = weighted_round_robin.WeightedRoundRobin()
+        self._work_times = work_times.WorkTimeEstimates()
+        self._round_robin = weighted_round_robin.WeightedRoundRobin()
 
     def may_run_concurrently(self, request: web_request.BaseRequest) -> bool:
         """Whether it may run concurrently with earlier ones of a connection."""
@@ -156,7 +156,7 @@
 
     def mean_service_time_s(self, service: ids.ServiceName) -> float | None:
         """Returns the mean service time of a service, or None if unmeasured."""
-        return self._times.service_mean_s(service)
+        return self._work_times.service_mean_s(service)
 
     def _route(self, request) -> tuple[model.Route, model.Config]:
         config = self.config
@@ -198,7 +198,7 @@
 
     async def _serve(self, incoming, inbound, route, config, trace):
         request, arrived = incoming.request, incoming.arrived
-        service = self._shares.next_service(route)
+        service = self._round_robin.next_service(route)
         self._budget.note_request(service, arrived)
         wait_s = route.timeout_s
         if inbound.timeout_s is not None:
@@ -206,8 +206,8 @@
         call = await self._make_call(
             request, inbound, route, config, arrived + wait_s
         )
-        if self._crashes.has_suspects:
-            call.is_probe = self._crashes.check(call.digest(), arrived)
+        if self._crash_guard.has_suspects:
+            call.is_probe = self._crash_guard.check(call.digest(), arrived)
         spec = config.services_by_name.get(service)
         lookup = None
         if spec is not None and spec.is_keyed and inbound.key is not None:
@@ -218,7 +218,7 @@
             lookup,
             arrived,
             call.deadline,
-            self._times.expected_s(route),
+            self._work_times.expected_s(route),
             inbound.key,
             None if inbound.timeout_s is None else arrived + inbound.timeout_s,
         )
@@ -294,11 +294,11 @@
                 target = await self._permits.acquire(waiter)
             except outcomes.RejectedError as error:
                 raise self._final_error(error, waiter, state) from error
-            if self._crashes.has_suspects and not call.is_probe:
+            if self._crash_guard.has_suspects and not call.is_probe:
                 # It may have been identified as a cause of crashes while it
                 # was waiting for a slot.
                 try:
-                    self._crashes.check(call.digest(), clocks.monotonic())
+                    self._crash_guard.check(call.digest(), clocks.monotonic())
                 except outcomes.CrashingRequestError as error:
                     self._permits.release(waiter, target)
                     raise self._final_error(error, waiter, state) from error
@@ -334,12 +334,12 @@
         It may not if it probably crashed the last one.
         """
         is_broken = getattr(error, "is_connection_broken", False)
-        if not is_broken or not await self._crashes.has_crashed(target):
+        if not is_broken or not await self._crash_guard.has_crashed(target):
             return True
         digest = call.digest()
         now = clocks.monotonic()
-        self._crashes.record_crash(digest, target, sent_s, now)
-        return self._crashes.may_resend(digest)
+        self._crash_guard.record_crash(digest, target, sent_s, now)
+        return self._crash_guard.may_resend(digest)
 
     def _update_target(self, error, waiter, target, state, call, now) -> None:
         """Updates the state of the target after a failed send."""
@@ -419,8 +419,8 @@
         took_s = now - sent
         self._meters.sends.add("answered")
         target.note_answer(now)
-        if self._crashes.should_remember(call.length or 0):
-            self._crashes.record_response(call.digest(), now)
+        if self._crash_guard.should_remember(call.length or 0):
+            self._crash_guard.record_response(call.digest(), now)
         if response.status < 300 and _is_service_time_only(
             waiter, target, response
         ):
@@ -429,7 +429,7 @@
             self._speed_table.add_sample(
                 target.id, took_s / prior_s / slowdown, now
             )
-            self._times.add_sample(
+            self._work_times.add_sample(
                 waiter.route, waiter.service, took_s / target.slowness
             )
         trace.add(
--- a/src/swiftstile/gateway/key_assigner.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -96,7 +96,7 @@
         peers: gossip.Peers,
         renewer: renewals.GrantRenewer,
         leadership: leadership_lib.Leadership,
-        successor: succession.Succession,
+        leader_succession: succession.Succession,
         table: interfaces.StateTable,
         follower: follow.TableFollower,
         control: interfaces.UpstreamControl,
@@ -114,7 +114,7 @@
         self._peers = peers
         self._renewer = renewer
         self._leadership = leadership
-        self._succession = successor
+        self._succession = leader_succession
         self._table = table
         self._follower = follower
         self._authority = peer_authority
@@ -138,7 +138,7 @@
         # Version of the leader's row under which `_slot_reclaims` were created.
         self._leader_version = interfaces.NEW_ROW
 
-    def forget(self) -> None:
+    def drop_leader_state(self) -> None:
         """Cancels all releases and drops the state that only a leader needs."""
         for slot_reclaim in self._slot_reclaims.values():
             slot_reclaim.cancel()
@@ -149,7 +149,7 @@
         if self._leader_version != self._leadership.version:
             # A tick lasts as long as its writes. Another VM may have led since
             # the last one, and may have let owners keep using their slots.
-            self.forget()
+            self.drop_leader_state()
             self._leader_version = self._leadership.version
         now = clocks.monotonic()
         if self._follower.failing_since is not None:
@@ -373,7 +373,7 @@
             return
         written_at = clocks.monotonic()
         version = self._maps.by_service[self._service].version
-        self.forget()
+        self.drop_leader_state()
         slots = current.leaving_by_owner()
         self._slot_reclaims = {
             owner: self._adopted_source(
@@ -540,7 +540,7 @@
                 # Another VM leads or led. It may have overwritten this write
                 # after it took effect, so no command may rely on the previous
                 # map: moves restart once a write confirms the map in force.
-                self.forget()
+                self.drop_leader_state()
             return False
         changed.version = version
         self._maps.put(self._service, changed, clocks.monotonic())
--- a/src/swiftstile/gateway_wiring.py
+++ b/src/swiftstile/gateway_wiring.py
@@ -269,7 +269,7 @@
             ),
             self._meters,
         )
-        self._renewals = renewals.GrantRenewer(
+        self._renewer = renewals.GrantRenewer(
             self._maps,
             self._target_table,
             self._peers,
@@ -297,7 +297,7 @@
             arbiter,
             self._target_table,
             self._maps,
-            self._renewals,
+            self._renewer,
             self._authority,
             self._peers,
             self._leadership,
@@ -342,7 +342,7 @@
                 self._max_ranges,
             ),
             self._peers,
-            self._renewals,
+            self._renewer,
             self._leadership,
             self._succession,
             self._adapters.state,
--- a/tests/unit/test_gateway_crash_check.py
+++ b/tests/unit/test_gateway_crash_check.py
@@ -61,7 +61,7 @@
     handler = types.SimpleNamespace(
         _permits=permits,
         _client=client,
-        _crashes=crash_guard,
+        _crash_guard=crash_guard,
         _record_send=lambda *_: None,
         _update_target=lambda *_: None,
         _may_retry=lambda *_: False,
--- a/tests/unit/test_gateway_exclusivity_concurrency.py
+++ b/tests/unit/test_gateway_exclusivity_concurrency.py
@@ -249,7 +249,7 @@
             if parts.leadership.is_leader:
                 await parts.assigner.tick()
             else:
-                parts.assigner.forget()
+                parts.assigner.drop_leader_state()
 
     def _grant_all(self) -> None:
         """Records earlier grants; if unanswered, the owner is fenced."""
--- a/tests/unit/test_gateway_growth.py
+++ b/tests/unit/test_gateway_growth.py
@@ -81,7 +81,7 @@
     """
     _assert_growth_with_vms(
         _opcodes(
-            sites, lambda site: site.daemon._renewals._update_tasks(site.now)
+            sites, lambda site: site.daemon._renewer._update_tasks(site.now)
         )
     )
 
@@ -125,7 +125,7 @@
 def test_the_cached_division_of_upstreams_follows_changes(sites):
     # The cached division must be recomputed when its inputs change.
     site = sites[0]
-    renewing, peers = site.daemon._renewals, site.daemon._peers
+    renewing, peers = site.daemon._renewer, site.daemon._peers
     renewing._update_tasks(site.now)
     before = set(renewing._tasks)
     others = [p for p in peers.by_node.values() if p.is_live(site.now)]
--- a/tests/unit/test_gateway_sharing.py
+++ b/tests/unit/test_gateway_sharing.py
@@ -13,7 +13,7 @@
 @pytest.fixture(name="site")
 def _site(monkeypatch):
     made = many_vms.LargeSiteVm(_SIZE, monkeypatch)
-    made.renewing = made.daemon._renewals
+    made.renewing = made.daemon._renewer
     made.started = []
     made.renewing._renew = lambda owner: made.started.append(owner)
     monkeypatch.setattr(renewals.asyncio, "create_task", lambda _: _Running())
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -176,7 +176,7 @@
         log=decision_log.BoundedLog(fd=1),
         store=_follower(),
         operations=operations,
-        crashes=None,
+        guard=None,
         meters=metrics.Meters(),
     )
     made.config = builders.config()
@@ -241,7 +241,7 @@
 # failed before the fix; it wasn't observed in a bench run.
 
 
-class _NoShares:
+class _NoRoundRobin:
 
     def next_service(self, route):
         return builders.LOOKUPS
@@ -256,7 +256,7 @@
 def _limited(operations: follow.TableFollower) -> handler_lib.RequestHandler:
     """Returns a handler with limits that a request may exceed."""
     made = _handler(operations)
-    made._shares, made._budget = _NoShares(), _NoBudget()
+    made._round_robin, made._budget = _NoRoundRobin(), _NoBudget()
     limits = model.Limits(max_header_bytes=100, max_body_bytes=100)
     made.config = msgspec.structs.replace(made.config, limits=limits)
     return made
