--- a/src/swiftstile/gateway/exchange.py
+++ b/src/swiftstile/gateway/exchange.py
@@ -82,7 +82,7 @@
         headers: Headers for the caller.
         body: The complete body, or None if it is streamed.
         stream: The stream of the body if `body` is None.
-        verdict: Interpretation of its status and headers.
+        metadata: Metadata from its status and headers.
         finish: Ends the exchange after streaming. Takes whether the body was
             relayed completely.
     """
@@ -91,7 +91,7 @@
     headers: list[tuple[str, str]]
     body: bytes | None
     stream: object
-    verdict: interfaces.AnswerMetadata
+    metadata: interfaces.AnswerMetadata
     finish: collections.abc.Callable[[bool], None]
 
 
@@ -200,31 +200,31 @@
     async def _receive(self, call, target, connection) -> UpstreamResponse:
         while True:
             head = await connection.next_head()
-            verdict = self._dialect.parse_answer(head.status, head.headers)
+            metadata = self._dialect.parse_answer(head.status, head.headers)
             expected_id = call.inbound.attempt_id
-            if verdict.attempt_id in ("", expected_id):
+            if metadata.attempt_id in ("", expected_id):
                 break
             # A late duplicate response to an earlier request.
             await head.payload.read()
-        if verdict.attempt_id != expected_id:
+        if metadata.attempt_id != expected_id:
             raise outcomes.UnknownOutcomeError(
                 "answer without id", step="check answer", peer=target.id
             )
-        if verdict.load is not None:
-            target.note_load(verdict.load, clocks.monotonic())
-        if verdict.kind is not interfaces.AnswerKind.RAN:
-            await self._raise_not_run(head, verdict, connection, target)
-        if not verdict.is_relayable:
+        if metadata.load is not None:
+            target.note_load(metadata.load, clocks.monotonic())
+        if metadata.kind is not interfaces.AnswerKind.RAN:
+            await self._raise_not_run(head, metadata, connection, target)
+        if not metadata.is_relayable:
             raise outcomes.UnknownOutcomeError(
                 "unsigned or encoded", step="check answer", peer=target.id
             )
-        return await self._read_response(head, verdict, target, connection)
+        return await self._read_response(head, metadata, target, connection)
 
-    async def _raise_not_run(self, head, verdict, connection, target) -> None:
+    async def _raise_not_run(self, head, metadata, connection, target) -> None:
         kind = outcomes.NotRunError
-        if verdict.kind is interfaces.AnswerKind.MISDIRECTED:
+        if metadata.kind is interfaces.AnswerKind.MISDIRECTED:
             kind = outcomes.MisdirectedError
-            if verdict.answered_by not in ("", target.id):
+            if metadata.answered_by not in ("", target.id):
                 kind = outcomes.ReplacedError
         try:
             await head.payload.read()
@@ -234,12 +234,12 @@
             # The head was complete, and only that is needed.
             connection.abort()
         error = kind(f"status {head.status}", step="send", peer=target.id)
-        load = verdict.load
+        load = metadata.load
         error.had_free_slot = load is not None and load.running < load.slots
         raise error
 
     async def _read_response(
-        self, head, verdict, target, connection
+        self, head, metadata, target, connection
     ) -> UpstreamResponse:
         headers = self._dialect.answer_headers(head.headers)
         address = target.upstream.address
@@ -258,7 +258,7 @@
             body = await head.payload.read()
             finish(True)
         return UpstreamResponse(
-            head.status, headers, body, head.payload, verdict, finish
+            head.status, headers, body, head.payload, metadata, finish
         )
 
 
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -516,7 +516,7 @@
 
 def _is_service_time_only(waiter, target, response) -> bool:
     """Whether the response time was service time only, without queueing."""
-    load = response.verdict.load
+    load = response.metadata.load
     if load is not None and load.waiting:
         return False
     return waiter.occupied < target.upstream.slots
@@ -528,7 +528,7 @@
     It is divided out of measured speeds, as the share of keys of an upstream
     depends on its long-term speed.
     """
-    load = response.verdict.load
+    load = response.metadata.load
     if load is None or not load.slowdown:
         return 1.0
     return load.slowdown
--- a/tests/unit/test_gateway_exclusivity.py
+++ b/tests/unit/test_gateway_exclusivity.py
@@ -131,7 +131,7 @@
         self._crashed = self._window(0.3)
         self._unreachable = self._window(0.4)
         # The other VM receives reports of the leader, but its own are lost.
-        self._unheard = self._window(0.3)
+        self._reports_lost = self._window(0.3)
         self._late_share = self._random.choice((0.0, 0.3, 0.9))
 
     def _window(self, share: float) -> tuple[float, float]:
@@ -207,7 +207,7 @@
         if self._is_in(self._partitioned):
             return
         self._sequence += 1
-        if not self._is_in(self._unheard):
+        if not self._is_in(self._reports_lost):
             report = self._renewer.report(self._sequence, now)
             self._peer.record_direct_report(report, now)
         version = 2 if self._marked_at else 1
@@ -315,17 +315,20 @@
         start = self._mark_at + self._random.uniform(0.05, 0.3)
         self._partitioned = (start, start + 30)
         self._unreachable = (self._mark_at, self._mark_at + 30)
-        self._paused = self._crashed = self._unheard = (0.0, 0.0)
+        self._paused = self._crashed = self._reports_lost = (0.0, 0.0)
         self._late_share = 0.0
 
 
-class _Unheard(_Model):
+class _LostReports(_Model):
     """Reports of the other VM are lost long before the slot is marked."""
 
     def _plan(self) -> None:
         super()._plan()
         self._mark_at = self._clock.now + self._random.uniform(3, 14)
-        self._unheard = (self._mark_at - self._random.uniform(0, 12), 1000.0)
+        self._reports_lost = (
+            self._mark_at - self._random.uniform(0, 12),
+            1000.0,
+        )
         self._unreachable = (self._mark_at, self._mark_at + 10)
         self._partitioned = self._paused = self._crashed = (0.0, 0.0)
 
@@ -335,8 +338,8 @@
 
 
 def test_a_vm_whose_reports_do_not_arrive_delays_nothing(monkeypatch):
-    assert _overlaps(monkeypatch, _Unheard) == 0
-    models = [_Unheard(seed) for seed in _SEEDS]
+    assert _overlaps(monkeypatch, _LostReports) == 0
+    models = [_LostReports(seed) for seed in _SEEDS]
     for model in models:
         model.play(monkeypatch)
     # If its reports have been missing for long enough, there is no wait.
@@ -352,7 +355,7 @@
     monkeypatch.setattr(
         authority.PeerAuthority, "_authorising_leader", authorising_leader
     )
-    assert _overlaps(monkeypatch, _Unheard) > 0
+    assert _overlaps(monkeypatch, _LostReports) > 0
 
 
 class _WithoutFencing(_Model):
