--- a/src/swiftstile/gateway/daemon.py
+++ b/src/swiftstile/gateway/daemon.py
@@ -15,12 +15,12 @@
 from swiftstile.gateway import coldstart
 from swiftstile.gateway import decision_log
 from swiftstile.gateway import follow
-from swiftstile.gateway import front as front_lib
+from swiftstile.gateway import frontend as frontend_lib
 from swiftstile.gateway import gate as gate_lib
 from swiftstile.gateway import gossip
 from swiftstile.gateway import handler as handler_lib
 from swiftstile.gateway import key_load
-from swiftstile.gateway import leadership
+from swiftstile.gateway import leadership as leadership_lib
 from swiftstile.gateway import membership
 from swiftstile.gateway import model
 from swiftstile.gateway import readers
@@ -56,17 +56,17 @@
     def __init__(
         self,
         node: reports.NodeRow,
-        front: front_lib.Front,
+        frontend: frontend_lib.Frontend,
         ready_listen: str,
         handler: handler_lib.RequestHandler,
         gate: gate_lib.Gate,
         arbiter: arbiter_lib.Arbiter,
         target_table: targets.TargetTable,
         maps: renewals.KeyMaps,
-        lease_renewals: renewals.GrantRenewer,
+        renewer: renewals.GrantRenewer,
         peer_authority: authority.PeerAuthority,
         peers: gossip.Peers,
-        leader_role: leadership.Leadership,
+        leadership: leadership_lib.Leadership,
         vm_membership: membership.Membership,
         registry: registry_lib.Registry,
         followers: dict[str, follow.TableFollower],
@@ -77,24 +77,24 @@
         speed_table: speeds.SpeedTable,
         key_load_table: key_load.KeyLoadTable,
         cold_limits: coldstart.ColdLimits,
-        suspect_tracker: suspects.SuspectTable,
+        suspect_table: suspects.SuspectTable,
         log: decision_log.BoundedLog,
-        make_keeper,
+        make_key_assigner,
         grace_s: float,
         meters: metrics.Meters,
     ):
         self._node = node
-        self._front = front
-        self._ready = front_lib.ReadinessServer(ready_listen, self._is_ready)
+        self._frontend = frontend
+        self._ready = frontend_lib.ReadinessServer(ready_listen, self._is_ready)
         self._handler = handler
         self._gate = gate
         self._arbiter = arbiter
         self._target_table = target_table
         self._maps = maps
-        self._renewals = lease_renewals
+        self._renewer = renewer
         self._authority = peer_authority
         self._peers = peers
-        self._leader_role = leader_role
+        self._leadership = leadership
         self._vm_membership = vm_membership
         self._registry = registry
         self._followers = followers
@@ -106,30 +106,30 @@
         self._slowness_updated_at = 0.0
         self._key_load_table = key_load_table
         self._cold_limits = cold_limits
-        self._suspect_tracker = suspect_tracker
+        self._suspect_table = suspect_table
         self._log = log
-        self._make_keeper = make_keeper
+        self._make_key_assigner = make_key_assigner
         self._grace_s = grace_s
         self.meters = meters
-        self._keepers: dict[ids.ServiceName, object] = {}
+        self._key_assigners: dict[ids.ServiceName, object] = {}
         self._started = clocks.monotonic()
         self._is_leaving = False
 
     async def run(self, stopping: asyncio.Event) -> None:
         """Serves until `stopping` is set, then completes requests in flight."""
-        await self._front.start()
+        await self._frontend.start()
         await self._ready.start()
         runs = [
             *(follower.run() for follower in self._followers.values()),
             self._peers.run(self._report),
             self._server.run(),
             self._relay.run(),
-            self._renewals.run(),
+            self._renewer.run(),
             self._vm_membership.run(),
             self._gate.run(),
             self._arbiter.run(),
             self._log.run(),
-            self._front.enforce_timeouts(),
+            self._frontend.enforce_timeouts(),
             self._run_housekeeping(),
             self._run_leader_duties(),
         ]
@@ -160,22 +160,22 @@
 
     async def _drain(self) -> None:
         started = clocks.monotonic()
-        logs.logger.info("gateway drains", in_flight=self._front.in_flight)
+        logs.logger.info("gateway drains", in_flight=self._frontend.in_flight)
         self._is_leaving = True
-        self._front.is_leaving = True
-        for keeper in self._keepers.values():
-            keeper.forget()
-        self._renewals.stop(started)
+        self._frontend.is_leaving = True
+        for assigner in self._key_assigners.values():
+            assigner.drop_leader_state()
+        self._renewer.stop(started)
         self._peers.send_now(self._report(self._peers.next_sequence()))
-        step_down = asyncio.create_task(self._leader_role.step_down())
+        step_down = asyncio.create_task(self._leadership.step_down())
         await asyncio.sleep(LINGER_S)
-        self._front.stop_listening()
-        self._front.close_idle()
+        self._frontend.stop_listening()
+        self._frontend.close_idle()
         end = started + self._grace_s - GRACE_MARGIN_S
-        while self._front.in_flight and clocks.monotonic() < end:
+        while self._frontend.in_flight and clocks.monotonic() < end:
             await asyncio.sleep(TICK_S / 2)
-        self._front.is_closed = True
-        self._front.close_idle()
+        self._frontend.is_closed = True
+        self._frontend.close_idle()
         step_down.cancel()
 
     def _report(self, sequence: int, is_full: bool = True) -> reports.Report:
@@ -192,10 +192,10 @@
         return reports.Report(
             reports.short_run(self._node.incarnation),
             sequence,
-            self._leader_role.is_leader,
+            self._leadership.is_leader,
             self._is_leaving,
             self._authority.is_authorised(now),
-            self._leader_role.version,
+            self._leadership.version,
             round(store.failing_s(now), 1),
             shared,
             local,
@@ -206,14 +206,14 @@
                 service: key_map.version
                 for service, key_map in self._maps.by_service.items()
             },
-            self._renewals.leaving_holds(now),
-            sorted(self._renewals.unreachable),
+            self._renewer.leaving_holds(now),
+            sorted(self._renewer.unreachable),
             self._statuses_to_publish(now) if is_full else {},
             self._store_readers.is_reader(now),
             *self._peers.dissemination.counts_to_publish(now),
             uptime_s=round(now - self._started, 3),
-            grants_end_s=self._renewals.grants_end_s(now),
-            suspicions=self._suspect_tracker.report(now),
+            grants_end_s=self._renewer.grants_end_s(now),
+            suspicions=self._suspect_table.report(now),
         )
 
     def _statuses_to_publish(
@@ -252,7 +252,7 @@
         if peer.report.speeds:
             self._speed_table.receive(node, peer.report.speeds, now)
         if peer.report.suspicions:
-            self._suspect_tracker.receive(
+            self._suspect_table.receive(
                 peer.report.suspicions, peer.received_at
             )
         self._gate.on_peer_report()
@@ -289,28 +289,28 @@
 
     async def _run_leader_duties(self) -> None:
         while True:
-            is_leader = self._leader_role.is_leader
+            is_leader = self._leadership.is_leader
             await pacing.sleep_aligned(TICK_S / 2 if is_leader else TICK_S)
             if self._is_leaving:
                 continue
-            await self._leader_role.tick()
-            if not self._leader_role.is_leader:
-                for keeper in self._keepers.values():
-                    keeper.forget()
+            await self._leadership.tick()
+            if not self._leadership.is_leader:
+                for assigner in self._key_assigners.values():
+                    assigner.drop_leader_state()
                 continue
             await self._vm_membership.retire_unresponsive()
             await asyncio.gather(
-                *(keeper.tick() for keeper in self._current_keepers())
+                *(assigner.tick() for assigner in self._current_key_assigners())
             )
 
-    def _current_keepers(self) -> list:
+    def _current_key_assigners(self) -> list:
         config = self._handler.config
         if config is None:
             return []
         for name, service in config.services_by_name.items():
-            if service.is_keyed and name not in self._keepers:
-                self._keepers[name] = self._make_keeper(name)
-        return list(self._keepers.values())
+            if service.is_keyed and name not in self._key_assigners:
+                self._key_assigners[name] = self._make_key_assigner(name)
+        return list(self._key_assigners.values())
 
     def apply_config(self, config: model.Config) -> None:
         """Puts a configuration in force, unless a newer one already is."""
@@ -342,9 +342,9 @@
         return {
             "node": self._node.node,
             "failure_domain": self._node.domain,
-            "in_flight": self._front.in_flight,
+            "in_flight": self._frontend.in_flight,
             "config": config.version if config else None,
-            "leads": self._leader_role.is_leader,
+            "leads": self._leadership.is_leader,
             "targets": len(self._target_table.by_id),
             "key_maps": {
                 name: key_map.version
@@ -352,7 +352,7 @@
             },
             "crashing_requests": [
                 digest.hex()
-                for digest in self._suspect_tracker.identified_causes()
+                for digest in self._suspect_table.identified_causes()
             ],
             "meters": self.meters.snapshot(),
         }
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -86,7 +86,7 @@
         log: decision_log.BoundedLog,
         store: follow.TableFollower,
         operations: follow.TableFollower,
-        crashes: crash_guard.CrashGuard,
+        guard: crash_guard.CrashGuard,
         meters: metrics.Meters,
     ):
         self.config: model.Config | None = None
@@ -94,17 +94,17 @@
         self._permits = permits
         self._client = client
         self._dialect = dialect
-        self._targets = target_table
+        self._target_table = target_table
         self._owners = key_owners
         self._budget = retry_budget
-        self._speeds = speed_table
+        self._speed_table = speed_table
         self._log = log
         self._store = store
         self._operations = operations
-        self._crashes = crashes
+        self._crash_guard = guard
         self._meters = meters
-        self._times = work_times.WorkTimeEstimates()
-        self._shares = weighted_round_robin.WeightedRoundRobin()
+        self._work_times = work_times.WorkTimeEstimates()
+        self._round_robin = weighted_round_robin.WeightedRoundRobin()
 
     def may_run_concurrently(self, request: web_request.BaseRequest) -> bool:
         """Whether it may run concurrently with earlier ones of a connection."""
@@ -156,7 +156,7 @@
 
     def mean_service_time_s(self, service: ids.ServiceName) -> float | None:
         """Returns the mean service time of a service, or None if unmeasured."""
-        return self._times.service_mean_s(service)
+        return self._work_times.service_mean_s(service)
 
     def _route(self, request) -> tuple[model.Route, model.Config]:
         config = self.config
@@ -198,7 +198,7 @@
 
     async def _serve(self, incoming, inbound, route, config, trace):
         request, arrived = incoming.request, incoming.arrived
-        service = self._shares.next_service(route)
+        service = self._round_robin.next_service(route)
         self._budget.note_request(service, arrived)
         wait_s = route.timeout_s
         if inbound.timeout_s is not None:
@@ -206,8 +206,8 @@
         call = await self._make_call(
             request, inbound, route, config, arrived + wait_s
         )
-        if self._crashes.has_suspects:
-            call.is_probe = self._crashes.check(call.digest(), arrived)
+        if self._crash_guard.has_suspects:
+            call.is_probe = self._crash_guard.check(call.digest(), arrived)
         spec = config.services_by_name.get(service)
         lookup = None
         if spec is not None and spec.is_keyed and inbound.key is not None:
@@ -218,7 +218,7 @@
             lookup,
             arrived,
             call.deadline,
-            self._times.expected_s(route),
+            self._work_times.expected_s(route),
             inbound.key,
             None if inbound.timeout_s is None else arrived + inbound.timeout_s,
         )
@@ -294,11 +294,11 @@
                 target = await self._permits.acquire(waiter)
             except outcomes.RejectedError as error:
                 raise self._final_error(error, waiter, state) from error
-            if self._crashes.has_suspects and not call.is_probe:
+            if self._crash_guard.has_suspects and not call.is_probe:
                 # It may have been identified as a cause of crashes while it
                 # was waiting for a slot.
                 try:
-                    self._crashes.check(call.digest(), clocks.monotonic())
+                    self._crash_guard.check(call.digest(), clocks.monotonic())
                 except outcomes.CrashingRequestError as error:
                     self._permits.release(waiter, target)
                     raise self._final_error(error, waiter, state) from error
@@ -334,12 +334,12 @@
         It may not if it probably crashed the last one.
         """
         is_broken = getattr(error, "is_connection_broken", False)
-        if not is_broken or not await self._crashes.has_crashed(target):
+        if not is_broken or not await self._crash_guard.has_crashed(target):
             return True
         digest = call.digest()
         now = clocks.monotonic()
-        self._crashes.record_crash(digest, target, sent_s, now)
-        return self._crashes.may_resend(digest)
+        self._crash_guard.record_crash(digest, target, sent_s, now)
+        return self._crash_guard.may_resend(digest)
 
     def _update_target(self, error, waiter, target, state, call, now) -> None:
         """Updates the state of the target after a failed send."""
@@ -353,7 +353,7 @@
                     waiter.service, call.inbound.key, now
                 )
         elif isinstance(error, outcomes.ReplacedError):
-            self._targets.mark_replaced(target, now)
+            self._target_table.mark_replaced(target, now)
             waiter.excluded.add(target.id)
         elif isinstance(error, outcomes.UpstreamUnreachableError):
             target.note_failure(now)
@@ -419,15 +419,17 @@
         took_s = now - sent
         self._meters.sends.add("answered")
         target.note_answer(now)
-        if self._crashes.should_remember(call.length or 0):
-            self._crashes.record_response(call.digest(), now)
+        if self._crash_guard.should_remember(call.length or 0):
+            self._crash_guard.record_response(call.digest(), now)
         if response.status < 300 and _is_service_time_only(
             waiter, target, response
         ):
             prior_s = work_times.default_work_s(waiter.route)
             slowdown = _slowdown(response)
-            self._speeds.add_sample(target.id, took_s / prior_s / slowdown, now)
-            self._times.add_sample(
+            self._speed_table.add_sample(
+                target.id, took_s / prior_s / slowdown, now
+            )
+            self._work_times.add_sample(
                 waiter.route, waiter.service, took_s / target.slowness
             )
         trace.add(
@@ -466,7 +468,7 @@
 
     def _record_error(self, inbound, route, error, arrived, trace) -> None:
         now = clocks.monotonic()
-        target = self._targets.by_id.get(error.peer)
+        target = self._target_table.by_id.get(error.peer)
         self._meters.refusals.add(error.reason)
         trace.add(
             decision_log.RequestDecision(
@@ -514,7 +516,7 @@
 
 def _is_service_time_only(waiter, target, response) -> bool:
     """Whether the response time was service time only, without queueing."""
-    load = response.verdict.load
+    load = response.metadata.load
     if load is not None and load.waiting:
         return False
     return waiter.occupied < target.upstream.slots
@@ -526,7 +528,7 @@
     It is divided out of measured speeds, as the share of keys of an upstream
     depends on its long-term speed.
     """
-    load = response.verdict.load
+    load = response.metadata.load
     if load is None or not load.slowdown:
         return 1.0
     return load.slowdown
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -13,9 +13,9 @@
 local domain's arbiter is asked first, those of other domains when local waiting
 costs more (`domain_search.py`).
 
-Designed for a load of two thirds to nine tenths of the upstreams' capacity,
-with some upstreams at half and some at one and a half times the mean speed,
-which leave requests that they can't queue without an answer.
+Designed for a load of two thirds to nine tenths of the upstreams' capacity.
+Some upstreams run at half and some at one and a half times the mean speed, and
+they don't answer requests that they can't queue.
 """
 
 import asyncio
@@ -74,7 +74,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the permit was granted or refused."""
+        """Whether the permit was granted or rejected."""
         reply = self.reply
         return (
             reply is not None
@@ -104,7 +104,7 @@
         peers: The other VMs.
         gate: Assigns the slots that this VM decides on itself.
         arbiter: Handles the permit requests of other VMs.
-        table: The upstreams.
+        target_table: The upstreams.
         meters: Counts permits.
         limits: Names the one VM that assigns the slots of a cold upstream.
     """
@@ -114,7 +114,7 @@
         peers: gossip.Peers,
         gate: gate_lib.Gate,
         arbiter: arbiter_lib.Arbiter,
-        table: targets.TargetTable,
+        target_table: targets.TargetTable,
         meters: metrics.Meters,
         limits: coldstart.SendLimits = coldstart.UNLIMITED,
     ):
@@ -124,7 +124,7 @@
         self._peers = peers
         self._gate = gate
         self._arbiter = arbiter
-        self._targets = table
+        self._target_table = target_table
         self._meters = meters
         self._domain_search = domain_search.DomainSearch(peers.me.domain)
         self._numbers = itertools.count(1)
@@ -174,23 +174,23 @@
         """Acquires a slot of any upstream, in the planned order of domains."""
         now = clocks.monotonic()
         group = self._gate.admission.usable_targets(waiter, now)
-        refusal: outcomes.RejectedError | None = None
+        rejection: outcomes.RejectedError | None = None
         for step in self._domain_search.plan(waiter, group, now):
             waiter.domain = step.domain
             waiter.max_wait_s = step.max_wait_s
             try:
                 target = await self._acquire_in_domain(waiter, step.domain)
             except outcomes.RejectedError as error:
-                refusal = error
-                self._domain_search.note_refused(
+                rejection = error
+                self._domain_search.note_rejected(
                     waiter.service, step, clocks.monotonic()
                 )
                 continue
             if target is not None:
                 return target
-            refusal = None
-        if refusal is not None:
-            raise refusal
+            rejection = None
+        if rejection is not None:
+            raise rejection
         waiter.domain = waiter.max_wait_s = None
         return await self._gate.acquire(waiter)
 
@@ -242,7 +242,7 @@
             arbiter: The VM that decides.
 
         Raises:
-            RejectedError: The arbiter refused the permit.
+            RejectedError: The arbiter rejected the permit request.
         """
         number = next(self._numbers)
         pending = self._pending[number] = _PendingRequest()
@@ -255,7 +255,7 @@
             if reply is None:
                 return None
             if reply.status is permit_messages.PermitStatus.REFUSED:
-                raise _refused(reply, target)
+                raise _rejected_error(reply, target)
             granted = self._granted_target(waiter, target, reply)
             if granted is not None:
                 self._number_by_waiter[waiter.sequence] = number
@@ -279,7 +279,7 @@
         now = clocks.monotonic()
         if target is not None:
             return target if waiter.owner.target(now) is target else None
-        granted = self._targets.by_id.get(reply.upstream)
+        granted = self._target_table.by_id.get(reply.upstream)
         if granted is None or not self._gate.admission.is_usable(
             granted, waiter, now
         ):
@@ -406,7 +406,7 @@
             self._arbiter.handle_request(peer, message)
 
 
-def _refused(
+def _rejected_error(
     reply: permit_messages.PermitReply, target: targets.Target | None
 ) -> outcomes.RejectedError:
     overload = admission.Rejection(
