--- a/src/swiftstile/gateway/relay.py
+++ b/src/swiftstile/gateway/relay.py
@@ -89,7 +89,7 @@
     async def handle(self, message: messages.Message) -> messages.Message:
         """See base class."""
         now = clocks.monotonic()
-        if isinstance(message, messages.ChunkRequest):
+        if isinstance(message, messages.PieceRequest):
             return self._outgoing.piece(message.number, message.offset, now)
         if not isinstance(message, messages.RowsRequest):
             return messages.Refused("expected ask-rows")
@@ -212,7 +212,7 @@
         link = self._calls.to(fetch.address)
         message = messages.RowsRequest(follower.name, follower.version)
         # Sent once: another peer may answer faster than one that timed out.
-        first = await link.call(message, messages.Chunk, PIECE_TIMEOUT_S)
+        first = await link.call(message, messages.Piece, PIECE_TIMEOUT_S)
         incoming = transfers.IncomingRows(first)
         while not incoming.is_whole:
             # The store wouldn't be faster than an answer that is already
@@ -227,12 +227,12 @@
         link: links.Link,
         fetch: _Fetch,
         incoming: transfers.IncomingRows,
-    ) -> messages.Chunk:
-        message = messages.ChunkRequest(incoming.number, incoming.received)
+    ) -> messages.Piece:
+        message = messages.PieceRequest(incoming.number, incoming.received)
         timeout_s = PIECE_TIMEOUT_S
         for _ in range(PIECE_ATTEMPTS - 1):
             try:
-                return await link.call(message, messages.Chunk, timeout_s)
+                return await link.call(message, messages.Piece, timeout_s)
             except errors.PeerTimeoutError as error:
                 # The pieces received before are kept.
                 logs.logger.info(
@@ -240,7 +240,7 @@
                 )
                 fetch.is_late = True
                 timeout_s *= 2
-        return await link.call(message, messages.Chunk, timeout_s)
+        return await link.call(message, messages.Piece, timeout_s)
 
 
 def _should_ask_peer(follower: follow.TableFollower, now: float) -> bool:
--- a/src/swiftstile/gateway/transfers.py
+++ b/src/swiftstile/gateway/transfers.py
@@ -100,7 +100,7 @@
         span: Span,
         make_rows: collections.abc.Callable[[], messages.Rows],
         now: float,
-    ) -> messages.Chunk:
+    ) -> messages.Piece:
         """Returns the first piece of an answer.
 
         Args:
@@ -114,7 +114,7 @@
             number = self._retain(span, _encode(make_rows()), now)
         return self.piece(number, 0, now)
 
-    def piece(self, number: int, offset: int, now: float) -> messages.Chunk:
+    def piece(self, number: int, offset: int, now: float) -> messages.Piece:
         """Returns a piece of an answer.
 
         Raises:
@@ -128,7 +128,7 @@
             )
         answer.used_at = now
         data = answer.data[offset : offset + PIECE_BYTES]
-        return messages.Chunk(number, len(answer.data), data)
+        return messages.Piece(number, len(answer.data), data)
 
     def _retain(self, span, data: bytes, now: float) -> int:
         self._number += 1
@@ -164,7 +164,7 @@
         size: Its size in bytes.
     """
 
-    def __init__(self, first: messages.Chunk):
+    def __init__(self, first: messages.Piece):
         if first.size > MAX_BYTES:
             raise errors.ControlMessageError(
                 f"{first.size} bytes, at most {MAX_BYTES}", step="fetch rows"
@@ -184,7 +184,7 @@
         """Whether all pieces were received."""
         return len(self._data) == self.size
 
-    def add(self, piece: messages.Chunk) -> None:
+    def add(self, piece: messages.Piece) -> None:
         """Adds the next piece.
 
         Raises:
--- a/src/swiftstile/peers/messages.py
+++ b/src/swiftstile/peers/messages.py
@@ -9,8 +9,8 @@
 
 __all__ = [
     "CODEC",
-    "Chunk",
-    "ChunkRequest",
+    "Piece",
+    "PieceRequest",
     "LocateReply",
     "LocateRequest",
     "Message",
@@ -166,25 +166,25 @@
     is_whole: bool
 
 
-class ChunkRequest(msgspec.Struct, tag="ask-piece", frozen=True):
-    """Asks for the next chunk of a reply too long for one message.
+class PieceRequest(msgspec.Struct, tag="ask-piece", frozen=True):
+    """Asks for the next piece of a reply too long for one message.
 
     Attributes:
-        number: The responder's number of the reply, from its first chunk.
-        offset: Offset of the chunk in bytes.
+        number: The responder's number of the reply, from its first piece.
+        offset: Offset of the piece in bytes.
     """
 
     number: int
     offset: int
 
 
-class Chunk(msgspec.Struct, tag="piece", frozen=True):
-    """A chunk of the encoded and compressed `Rows` that reply to `RowsRequest`.
+class Piece(msgspec.Struct, tag="piece", frozen=True):
+    """A piece of the encoded and compressed `Rows` that reply to `RowsRequest`.
 
     Attributes:
         number: The responder's number of the whole reply.
         size: Size of the whole reply in bytes.
-        data: Bytes from the requested offset on; the first chunk starts at 0.
+        data: Bytes from the requested offset on; the first piece starts at 0.
     """
 
     number: int
@@ -211,8 +211,8 @@
     | NotHolder
     | RowsRequest
     | Rows
-    | ChunkRequest
-    | Chunk
+    | PieceRequest
+    | Piece
     | Refused
 )
 
--- a/tests/unit/test_gateway_readers.py
+++ b/tests/unit/test_gateway_readers.py
@@ -302,7 +302,7 @@
     offsets = [
         request.offset
         for request in link.asked
-        if isinstance(request, messages.ChunkRequest)
+        if isinstance(request, messages.PieceRequest)
     ]
     assert dependent.version == 9
     step = transfers.PIECE_BYTES
--- a/tests/unit/test_gateway_rows_dying.py
+++ b/tests/unit/test_gateway_rows_dying.py
@@ -124,13 +124,13 @@
         running = asyncio.create_task(asking.run())
         await _until(lambda: follower.version == 7)
         (failed, _), *_ = links.asked
-        pieces = links.asked.count((failed, messages.ChunkRequest))
+        pieces = links.asked.count((failed, messages.PieceRequest))
         # The failed peer hasn't been given up yet.
         assert pieces <= relay.PIECE_ATTEMPTS - 1
         # Its fetch ends with the answer of the other peer.
         follower.failing_since = None
         await _until(lambda: not asking._fetches)
-        assert links.asked.count((failed, messages.ChunkRequest)) == pieces
+        assert links.asked.count((failed, messages.PieceRequest)) == pieces
         running.cancel()
 
     asyncio.run(scenario())
--- a/tests/unit/test_gateway_rows_racing.py
+++ b/tests/unit/test_gateway_rows_racing.py
@@ -276,7 +276,7 @@
         for one in incoming:
             try:
                 while not one.is_whole:
-                    request = messages.ChunkRequest(one.number, one.received)
+                    request = messages.PieceRequest(one.number, one.received)
                     one.add(await server.handle(request))
             except errors.ControlMessageError:
                 failed += 1
--- a/tests/unit/test_gateway_transfers.py
+++ b/tests/unit/test_gateway_transfers.py
@@ -98,14 +98,14 @@
 @pytest.mark.parametrize(
     "piece",
     [
-        messages.Chunk(2, 100, b"x"),
-        messages.Chunk(1, 99, b"x"),
-        messages.Chunk(1, 100, b""),
-        messages.Chunk(1, 100, b"x" * 91),
+        messages.Piece(2, 100, b"x"),
+        messages.Piece(1, 99, b"x"),
+        messages.Piece(1, 100, b""),
+        messages.Piece(1, 100, b"x" * 91),
     ],
 )
 def test_a_piece_that_does_not_fit_is_refused(piece):
-    incoming = transfers.IncomingRows(messages.Chunk(1, 100, b"x" * 10))
+    incoming = transfers.IncomingRows(messages.Piece(1, 100, b"x" * 10))
     with pytest.raises(errors.ControlMessageError):
         incoming.add(piece)
 
@@ -113,15 +113,15 @@
 def test_rows_that_grow_beyond_bounds_are_refused(monkeypatch):
     monkeypatch.setattr(transfers, "MAX_BYTES", 10_000)
     data = zlib.compress(b"\0" * 100_000)
-    incoming = transfers.IncomingRows(messages.Chunk(1, len(data), data))
+    incoming = transfers.IncomingRows(messages.Piece(1, len(data), data))
     with pytest.raises(errors.ControlMessageError):
         incoming.rows()
     with pytest.raises(errors.ControlMessageError):
-        transfers.IncomingRows(messages.Chunk(1, 10_001, b"x"))
+        transfers.IncomingRows(messages.Piece(1, 10_001, b"x"))
 
 
 @hypothesis.given(strategies.binary(min_size=1, max_size=200))
 def test_any_bytes_are_rows_or_an_error(data):
-    incoming = transfers.IncomingRows(messages.Chunk(1, len(data), data))
+    incoming = transfers.IncomingRows(messages.Piece(1, len(data), data))
     with pytest.raises(errors.ControlMessageError):
         incoming.rows()
