--- a/src/swiftstile/gateway/domain_search.py
+++ b/src/swiftstile/gateway/domain_search.py
@@ -17,7 +17,7 @@
 __all__ = ["DomainSearch", "SearchStep"]
 
 # A domain without a free slot isn't asked again for this long, which is less
-# than the work time of a request.
+# than the service time of a request.
 FULL_DOMAIN_TTL_S = 0.05
 
 
--- a/src/swiftstile/gateway/handler.py
+++ b/src/swiftstile/gateway/handler.py
@@ -22,10 +22,10 @@
 from swiftstile.gateway import outcomes
 from swiftstile.gateway import owners
 from swiftstile.gateway import permits as permits_lib
+from swiftstile.gateway import service_times
 from swiftstile.gateway import speeds
 from swiftstile.gateway import targets
 from swiftstile.gateway import weighted_round_robin
-from swiftstile.gateway import work_times
 
 __all__ = ["RequestHandler"]
 
@@ -103,7 +103,7 @@
         self._operations = operations
         self._crash_guard = guard
         self._meters = meters
-        self._work_times = work_times.WorkTimeEstimates()
+        self._service_times = service_times.ServiceTimeEstimates()
         self._round_robin = weighted_round_robin.WeightedRoundRobin()
 
     def may_run_concurrently(self, request: web_request.BaseRequest) -> bool:
@@ -156,7 +156,7 @@
 
     def mean_service_time_s(self, service: ids.ServiceName) -> float | None:
         """Returns the mean service time of a service, or None if unmeasured."""
-        return self._work_times.service_mean_s(service)
+        return self._service_times.mean_of_service_s(service)
 
     def _route(self, request) -> tuple[model.Route, model.Config]:
         config = self.config
@@ -218,7 +218,7 @@
             lookup,
             arrived,
             call.deadline,
-            self._work_times.expected_s(route),
+            self._service_times.expected_s(route),
             inbound.key,
             None if inbound.timeout_s is None else arrived + inbound.timeout_s,
         )
@@ -424,12 +424,12 @@
         if response.status < 300 and _is_service_time_only(
             waiter, target, response
         ):
-            prior_s = work_times.default_work_s(waiter.route)
+            prior_s = service_times.default_service_time_s(waiter.route)
             slowdown = _slowdown(response)
             self._speed_table.add_sample(
                 target.id, took_s / prior_s / slowdown, now
             )
-            self._work_times.add_sample(
+            self._service_times.add_sample(
                 waiter.route, waiter.service, took_s / target.slowness
             )
         trace.add(
--- a/src/swiftstile/gateway/interfaces.py
+++ b/src/swiftstile/gateway/interfaces.py
@@ -222,7 +222,7 @@
         running: Requests in service.
         waiting: Queued requests.
         slots: Requests that it can serve at the same time.
-        slowdown: Ratio of current to usual work time; None if not reported.
+        slowdown: Ratio of current to usual service time; None if not reported.
     """
 
     running: int
--- a/src/swiftstile/gateway/key_assigner.py
+++ b/src/swiftstile/gateway/key_assigner.py
@@ -340,7 +340,7 @@
         """
         started_ms = self._started_ms(set(placed.values()))
         if self._restarted_owners(current):
-            # A fence belongs to one incarnation of an owner: the other slots
+            # A fence belongs to one run of an owner: the other slots
             # of the restarted one have to be assigned again first.
             return
         leaves = {current.slots[index].owner for index in placed}
--- a/src/swiftstile/gateway/permit_messages.py
+++ b/src/swiftstile/gateway/permit_messages.py
@@ -38,7 +38,7 @@
             `service` in the arbiter's failure domain.
         age_ms: Time since the caller's request arrived.
         remaining_ms: Time until the request expires.
-        expected_ms: Expected work time at an upstream of mean speed.
+        expected_ms: Expected service time at an upstream of mean speed.
         objective_ms: Latency objective of its route.
         priority: Its priority; 0 is the most urgent.
         key: Its key, if it has one.
@@ -92,7 +92,7 @@
         run: Short name of the requesting run.
         ended: Numbers of the requests.
         penalty_ms: Remaining penalty of the upstream of the last request.
-        slowdown_percent: Current work time there in percent of the usual, as
+        slowdown_percent: Current service time there in percent of the usual, as
             reported in its answer; None if not reported.
     """
 
--- a/src/swiftstile/gateway/permits.py
+++ b/src/swiftstile/gateway/permits.py
@@ -363,7 +363,7 @@
         Args:
             number: Number of the permit request.
             penalty_s: Remaining penalty of its upstream, in seconds.
-            slowdown: Current over usual work time there, if known.
+            slowdown: Current over usual service time there, if known.
         """
         arbiter = self._arbiter_by_number.pop(number)
         ended = self._ended_by_node.setdefault(
--- a/src/swiftstile/gateway/speeds.py
+++ b/src/swiftstile/gateway/speeds.py
@@ -130,7 +130,7 @@
 
 
 class SpeedTable:
-    """Ratios of measured to expected work time, by upstream."""
+    """Ratios of measured to expected service time, by upstream."""
 
     def __init__(self):
         self._own: dict[model.UpstreamId, _DecayingSum] = {}
@@ -139,7 +139,7 @@
     def add_sample(
         self, upstream: model.UpstreamId, ratio: float, now: float
     ) -> None:
-        """Adds the ratio of actual to expected work time of one answer."""
+        """Adds the ratio of actual to expected service time of one answer."""
         entry = self._own.setdefault(upstream, _DecayingSum())
         entry.decay(now)
         entry.total += min(max(ratio, MIN_RATIO), MAX_RATIO)
--- a/src/swiftstile/gateway/targets.py
+++ b/src/swiftstile/gateway/targets.py
@@ -212,11 +212,11 @@
         self._penalty_until = max(self._penalty_until, now + wait_s)
 
     def reported_slowdown(self, now: float) -> float | None:
-        """Returns the ratio of current to usual work time, if recent."""
+        """Returns the ratio of current to usual service time, if recent."""
         return self._slowdown if now < self._slowdown_until else None
 
     def note_slowdown(self, slowdown: float, now: float) -> None:
-        """Records a reported ratio of current to usual work time."""
+        """Records a reported ratio of current to usual service time."""
         self._slowdown = max(slowdown, 0.1)
         self._slowdown_until = now + SLOWDOWN_TTL_S
 
