--- a/tests/domain_player.py
+++ b/tests/domain_simulation.py
@@ -10,7 +10,7 @@
 from swiftstile.gateway import reports
 from tests import gateway_builders as builders
 
-__all__ = ["DomainPlayer"]
+__all__ = ["DomainSimulation"]
 
 TICK_S = 0.05
 _READERS = 2
@@ -19,18 +19,18 @@
 class _Wire:
     """Replaces a VM's socket."""
 
-    def __init__(self, player: "DomainPlayer", number: int):
-        self._player = player
+    def __init__(self, simulation: "DomainSimulation", number: int):
+        self._simulation = simulation
         self._number = number
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        self._player.deliver(self._number, address[1], data)
+        self._simulation.deliver(self._number, address[1], data)
 
 
 class _Vm:
     """One VM, and counts of what it received."""
 
-    def __init__(self, player: "DomainPlayer", number: int):
+    def __init__(self, simulation: "DomainSimulation", number: int):
         self.row = builders.node_row(
             f"vm-{number:03d}",
             run=f"{number:08x}",
@@ -39,7 +39,7 @@
             link_mbps=1000.0 - number,
         )
         self.peers = gossip.Peers(self.row, lambda peer, now: None)
-        self.peers._transport = _Wire(player, number)
+        self.peers._transport = _Wire(simulation, number)
         self.is_down = False
         self.datagrams = self.bytes = self.wakeups = 0
         self._woken_at = -1.0
@@ -52,7 +52,7 @@
         self.peers._receive(data, ("127.0.0.1", 1))
 
 
-class DomainPlayer:
+class DomainSimulation:
     """A failure domain whose VMs exchange reports.
 
     Attributes:
@@ -79,7 +79,7 @@
         if not vm.is_down and (sender, receiver) not in self.cut:
             vm.receive(data, self.now)
 
-    def play(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         """Simulates a span of time."""
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
--- a/tests/unit/test_dispatch.py
+++ b/tests/unit/test_dispatch.py
@@ -65,10 +65,10 @@
         await _settle()
         newer = route.owners.assignment.moved({}, 1)
         route.owners.update(newer)
-        told = route.owners.oldest_in_flight()
+        oldest = route.owners.oldest_in_flight()
         choice.target.release()
         await asyncio.wait([waiting])
-        assert all(version >= told for version in forwarder.versions)
+        assert all(version >= oldest for version in forwarder.versions)
         assert route.owners.oldest_in_flight() == newer.version
 
     asyncio.run(scenario())
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -94,10 +94,10 @@
 
 
 def _write_trace(lines, name: str, succeeded: bool) -> None:
-    story = decision_log.RequestTrace(lines)
-    story.add(decision_log.RequestDecision(id=name, event="sent"))
-    story.add(decision_log.RequestDecision(id=name, event="answered"))
-    story.finish(succeeded)
+    trace = decision_log.RequestTrace(lines)
+    trace.add(decision_log.RequestDecision(id=name, event="sent"))
+    trace.add(decision_log.RequestDecision(id=name, event="answered"))
+    trace.finish(succeeded)
 
 
 def _written(fd: int) -> list[dict]:
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -484,8 +484,8 @@
     def ratio(name: str, now: float) -> float:
         return table.ratios(now).get(name, speeds.DEFAULT_RATIO)
 
-    told = {model.UpstreamId("u-1"): (200, 300)}
-    table.receive(model.NodeId("vm-2"), told, 0.0)
+    samples = {model.UpstreamId("u-1"): (200, 300)}
+    table.receive(model.NodeId("vm-2"), samples, 0.0)
     assert ratio("u-1", 0.0) > 2.0
     assert ratio("u-1", 30.0) == 1.0
     for _ in range(20):
@@ -507,8 +507,8 @@
     for _ in range(40):
         table.add_sample(asked, 0.2, 0.0)
         table.add_sample(slow, 0.4, 0.0)
-    told = table.placement_ratios(members, 0.0)
-    assert told[asked] < told[unasked] < told[slow]
+    ratios = table.placement_ratios(members, 0.0)
+    assert ratios[asked] < ratios[unasked] < ratios[slow]
 
 
 def test_one_unanswered_request_makes_a_target_slow():
--- a/tests/unit/test_gateway_domain_reports.py
+++ b/tests/unit/test_gateway_domain_reports.py
@@ -5,110 +5,114 @@
 
 from swiftstile.gateway import domain_reports
 from swiftstile.gateway import reports
-from tests import domain_player
+from tests import domain_simulation
 from tests import gateway_builders as builders
 
 
 def test_all_vms_know_each_other_though_reports_go_to_few(monkeypatch):
-    player = domain_player.DomainPlayer(40, monkeypatch)
-    player.play(3.0)
+    simulation = domain_simulation.DomainSimulation(40, monkeypatch)
+    simulation.run(3.0)
     for number in (0, 1, 2, 20, 39):
-        assert player.live_peers_of(number) == 39
+        assert simulation.live_peers_of(number) == 39
 
 
 @pytest.mark.parametrize("count", [4, 12, 40, 144])
 def test_wakeups_of_an_ordinary_vm_dont_grow_with_the_number_of_vms(
     count, monkeypatch
 ):
-    player = domain_player.DomainPlayer(count, monkeypatch, leader=5)
-    player.play(3.0)
-    player.reset_counts()
-    player.play(2.0)
-    ordinary = player.vms[count - 1]
+    simulation = domain_simulation.DomainSimulation(
+        count, monkeypatch, leader=5
+    )
+    simulation.run(3.0)
+    simulation.reset_counts()
+    simulation.run(2.0)
+    ordinary = simulation.vms[count - 1]
     # With reports from all others it would be woken at each tick, 20 times a
     # second.
     assert ordinary.datagrams / 2.0 <= 50
-    assert player.live_peers_of(count - 1) == count - 1
+    assert simulation.live_peers_of(count - 1) == count - 1
 
 
 def test_datagrams_grow_linearly_with_vms(monkeypatch):
     sent = {}
     for count in (20, 80):
-        player = domain_player.DomainPlayer(count, monkeypatch)
-        player.play(3.0)
-        player.reset_counts()
-        player.play(2.0)
-        sent[count] = sum(vm.datagrams for vm in player.vms)
+        simulation = domain_simulation.DomainSimulation(count, monkeypatch)
+        simulation.run(3.0)
+        simulation.reset_counts()
+        simulation.run(2.0)
+        sent[count] = sum(vm.datagrams for vm in simulation.vms)
     assert sent[80] < 8 * sent[20]
 
 
 def test_vms_stay_live_when_all_readers_fail(monkeypatch):
-    player = domain_player.DomainPlayer(40, monkeypatch)
-    player.play(3.0)
-    for reader in player.vms[:2]:
+    simulation = domain_simulation.DomainSimulation(40, monkeypatch)
+    simulation.run(3.0)
+    for reader in simulation.vms[:2]:
         reader.is_down = True
     for _ in range(40):
-        player.play(0.1)
-        assert player.live_peers_of(39) >= 37
-    assert player.live_peers_of(39) == 37
+        simulation.run(0.1)
+        assert simulation.live_peers_of(39) >= 37
+    assert simulation.live_peers_of(39) == 37
 
 
 def test_a_vm_whose_reports_miss_the_readers_reports_to_all(monkeypatch):
-    player = domain_player.DomainPlayer(40, monkeypatch)
-    player.play(3.0)
-    player.cut |= {(39, reader) for reader in range(3)}
-    player.play(3.0)
-    assert player.live_peers_of(38) == 39
+    simulation = domain_simulation.DomainSimulation(40, monkeypatch)
+    simulation.run(3.0)
+    simulation.cut |= {(39, reader) for reader in range(3)}
+    simulation.run(3.0)
+    assert simulation.live_peers_of(38) == 39
 
 
 def test_a_vm_that_receives_no_reader_reports_to_all(monkeypatch):
-    player = domain_player.DomainPlayer(40, monkeypatch)
-    player.play(3.0)
-    player.cut |= {(reader, 39) for reader in range(2)}
-    player.play(3.0)
-    assert player.live_peers_of(38) == 39
+    simulation = domain_simulation.DomainSimulation(40, monkeypatch)
+    simulation.run(3.0)
+    simulation.cut |= {(reader, 39) for reader in range(2)}
+    simulation.run(3.0)
+    assert simulation.live_peers_of(38) == 39
     # It knew the others by the readers' batches; they report to readers only.
-    assert player.live_peers_of(39) < 39
+    assert simulation.live_peers_of(39) < 39
 
 
 def test_a_forwarded_report_keeps_its_age(monkeypatch):
-    player = domain_player.DomainPlayer(40, monkeypatch)
-    player.play(3.0)
-    last = player.vms[39]
+    simulation = domain_simulation.DomainSimulation(40, monkeypatch)
+    simulation.run(3.0)
+    last = simulation.vms[39]
     last.is_down = True
-    failed_at = player.now
-    player.play(0.9)
-    known = player.vms[20].peers.by_node[last.row.node]
+    failed_at = simulation.now
+    simulation.run(0.9)
+    known = simulation.vms[20].peers.by_node[last.row.node]
     assert known.received_at <= failed_at + 0.001
 
 
 def test_the_leader_receives_reports_directly(monkeypatch):
-    player = domain_player.DomainPlayer(40, monkeypatch, leader=30)
-    player.play(3.0)
-    leader = player.vms[30].peers
+    simulation = domain_simulation.DomainSimulation(40, monkeypatch, leader=30)
+    simulation.run(3.0)
+    leader = simulation.vms[30].peers
     assert all(
-        peer.reported_directly(player.now, 0.5)
+        peer.reported_directly(simulation.now, 0.5)
         for peer in leader.by_node.values()
     )
 
 
 def test_a_leader_reports_directly_to_all(monkeypatch):
-    player = domain_player.DomainPlayer(40, monkeypatch, leader=30)
-    player.play(3.0)
+    simulation = domain_simulation.DomainSimulation(40, monkeypatch, leader=30)
+    simulation.run(3.0)
     for number in (0, 20, 39):
-        leader = player.vms[number].peers.by_node[player.vms[30].row.node]
-        assert leader.reported_directly(player.now, 0.5)
+        leader = simulation.vms[number].peers.by_node[
+            simulation.vms[30].row.node
+        ]
+        assert leader.reported_directly(simulation.now, 0.5)
 
 
 def test_a_malformed_batch_is_dropped(monkeypatch):
-    player = domain_player.DomainPlayer(14, monkeypatch)
-    player.play(1.0)
-    receiver = player.vms[3]
+    simulation = domain_simulation.DomainSimulation(14, monkeypatch)
+    simulation.run(1.0)
+    receiver = simulation.vms[3]
     for data in (b"b\x93\x01", b"b" + msgspec.msgpack.encode([["x", 1]])):
-        receiver.receive(data, player.now)
+        receiver.receive(data, simulation.now)
     counts = receiver.peers._meters.control_messages
     assert counts.get("report-dropped") == 2
-    assert player.live_peers_of(3) == 13
+    assert simulation.live_peers_of(3) == 13
 
 
 def test_large_batches_are_split():
--- a/tests/unit/test_gateway_exclusivity_concurrency.py
+++ b/tests/unit/test_gateway_exclusivity_concurrency.py
@@ -66,7 +66,7 @@
         return self._model_clock.now
 
 
-class _World:
+class _SlotState:
     """Which owners hold which slots, and which own them in the map.
 
     Attributes:
@@ -112,29 +112,29 @@
         work_s: Maximum time until the running work has ended.
     """
 
-    def __init__(self, world: _World):
-        self._world = world
-        self._draw = world.draw.uniform
-        self.unanswered_share = world.draw.choice((0.0, 0.2, 0.6))
-        self.open_s = world.draw.choice((0.0, 0.05, 0.4))
-        self.work_s = world.draw.choice((0.02, 0.5, 1.4))
+    def __init__(self, slot_state: _SlotState):
+        self._slot_state = slot_state
+        self._draw = slot_state.draw.uniform
+        self.unanswered_share = slot_state.draw.choice((0.0, 0.2, 0.6))
+        self.open_s = slot_state.draw.choice((0.0, 0.05, 0.4))
+        self.work_s = slot_state.draw.choice((0.02, 0.5, 1.4))
 
     def _is_unanswered(self) -> bool:
-        return self._world.draw.random() < self.unanswered_share
+        return self._slot_state.draw.random() < self.unanswered_share
 
     async def grant(
         self, address, upstream, keys, fence, hold_s, token, on_send
     ):
         await asyncio.sleep(self._draw(0, self.open_s))
         on_send()
-        world, slots = self._world, _slots_of(keys)
-        arrived = world.clock.now
+        slot_state, slots = self._slot_state, _slots_of(keys)
+        arrived = slot_state.clock.now
         if self._is_unanswered():
             arrived += self._draw(0, _GRANT_TIMEOUT_S)
-            if world.draw.random() < 0.7:
+            if slot_state.draw.random() < 0.7:
                 asyncio.get_running_loop().call_later(
                     self._draw(_GRANT_TIMEOUT_S, 2.0),
-                    world.grant,
+                    slot_state.grant,
                     upstream,
                     slots,
                     fence,
@@ -143,7 +143,7 @@
                 )
             await asyncio.sleep(_GRANT_TIMEOUT_S)
             raise errors.PeerTimeoutError("timed out", step="grant")
-        is_held = world.grant(upstream, slots, fence, hold_s, arrived)
+        is_held = slot_state.grant(upstream, slots, fence, hold_s, arrived)
         await asyncio.sleep(self._draw(0.001, 0.02))
         if is_held:
             return interfaces.GrantResult.HELD
@@ -155,7 +155,7 @@
             await asyncio.sleep(_RELEASE_TIMEOUT_S)
             raise errors.PeerTimeoutError("timed out", step="release")
         for slot in _slots_of(keys):
-            self._world.until[upstream, slot] = 0.0
+            self._slot_state.until[upstream, slot] = 0.0
         # The release is answered when the running work has ended.
         await asyncio.sleep(self._draw(0.001, self.work_s))
         return "warm"
@@ -169,17 +169,17 @@
 class _Store(builders.MemoryTable):
     """A store with delays, outages and lost answers."""
 
-    def __init__(self, world: _World):
+    def __init__(self, slot_state: _SlotState):
         super().__init__()
-        self._world = world
-        self._lost_answer_share = world.draw.choice((0.0, 0.2))
+        self._slot_state = slot_state
+        self._lost_answer_share = slot_state.draw.choice((0.0, 0.2))
         self.outage = (0.0, 0.0)
 
     def is_unavailable(self) -> bool:
-        return self.outage[0] <= self._world.clock.now < self.outage[1]
+        return self.outage[0] <= self._slot_state.clock.now < self.outage[1]
 
     async def _wait(self) -> None:
-        await asyncio.sleep(self._world.draw.uniform(0.001, 0.25))
+        await asyncio.sleep(self._slot_state.draw.uniform(0.001, 0.25))
         if self.is_unavailable():
             raise errors.PlatformUnavailableError("outage", step="call")
 
@@ -190,8 +190,8 @@
     async def write(self, conditions, writes):
         await self._wait()
         version = await super().write(conditions, writes)
-        await asyncio.sleep(self._world.draw.uniform(0.001, 0.05))
-        if self._world.draw.random() < self._lost_answer_share:
+        await asyncio.sleep(self._slot_state.draw.uniform(0.001, 0.05))
+        if self._slot_state.draw.random() < self._lost_answer_share:
             raise errors.OutcomeUnknownError("lost", step="write")
         return version
 
@@ -200,7 +200,7 @@
         for write in writes:
             if write.key == _KEY:
                 slots = keymap.decode(write.value, version).slots
-                self._world.note_map([slot.owner for slot in slots])
+                self._slot_state.note_map([slot.owner for slot in slots])
         return version
 
 
@@ -217,7 +217,7 @@
     def __init__(self, seed: int):
         self._draw = random.Random(seed)
         self._clock = _Clock()
-        self.world = _World(self._clock, self._draw)
+        self.slot_state = _SlotState(self._clock, self._draw)
         self._marks: list[tuple[float, list[int]]] = []
 
     def play(self, monkeypatch) -> "_Model":
@@ -230,7 +230,7 @@
         return self
 
     async def _play(self) -> None:
-        store, upstreams = _Store(self.world), _Upstreams(self.world)
+        store, upstreams = _Store(self.slot_state), _Upstreams(self.slot_state)
         self._parts = parts = assigner_parts.Parts(
             table=store, control=upstreams, max_ranges=self.max_ranges
         )
@@ -265,7 +265,7 @@
         granted_at = self._clock.now - self._draw.uniform(0, renewals.HOLD_S)
         end(every, granted_at, renewals.HOLD_S)
         for slot in every:
-            self.world.until["u-1", slot] = granted_at + renewals.HOLD_S
+            self.slot_state.until["u-1", slot] = granted_at + renewals.HOLD_S
 
     def _plan(self, store: _Store, upstreams: _Upstreams) -> None:
         draw, loop = self._draw, asyncio.get_running_loop()
@@ -348,7 +348,7 @@
 def _overlaps(monkeypatch, kind=_Model, seeds=_SEEDS) -> int:
     """Returns the number of runs in which two owners had a slot."""
     models = _play_all(monkeypatch, kind, seeds)
-    return sum(model.world.overlaps > 0 for model in models)
+    return sum(model.slot_state.overlaps > 0 for model in models)
 
 
 # Commands for single slots, and for up to five adjacent slots at a time.
@@ -360,9 +360,9 @@
     monkeypatch.setattr(keyplan, "MIN_BLOCKS_PER_OWNER", 1)
     monkeypatch.setattr(kind, "max_ranges", max_ranges)
     models = _play_all(monkeypatch, kind)
-    assert [model.world.overlaps for model in models] == [0] * len(models)
+    assert [model.slot_state.overlaps for model in models] == [0] * len(models)
     # Most moves were completed.
-    moved = sum(model.world.owners[0] != "u-1" for model in models)
+    moved = sum(model.slot_state.owners[0] != "u-1" for model in models)
     assert moved > 0.8 * len(models)
 
 
--- a/tests/unit/test_gateway_report_sizes.py
+++ b/tests/unit/test_gateway_report_sizes.py
@@ -16,7 +16,7 @@
 from swiftstile.gateway import gossip
 from swiftstile.gateway import model
 from swiftstile.gateway import reports
-from tests import domain_player
+from tests import domain_simulation
 from tests import gateway_builders as builders
 
 _VMS, _UPSTREAMS = 89, 464
@@ -123,13 +123,13 @@
 
 
 def test_a_leader_that_reclaims_keys_sends_small_reports(monkeypatch):
-    player = domain_player.DomainPlayer(40, monkeypatch, leader=5)
+    simulation = domain_simulation.DomainSimulation(40, monkeypatch, leader=5)
     held = {name: reports.Hold(4.9, 0.5) for name in _NAMES[:140]}
-    player.leader_holds = {builders.LOOKUPS: held}
-    player.play(1.0)
-    player.reset_counts()
-    player.play(2.0)
+    simulation.leader_holds = {builders.LOOKUPS: held}
+    simulation.run(1.0)
+    simulation.reset_counts()
+    simulation.run(2.0)
     # Reports of the leader and batches of two readers.
-    assert player.vms[39].bytes / 2.0 < 60_000
-    leader = player.vms[5].row.node
-    assert player.vms[39].peers.by_node[leader].report.holds is None
+    assert simulation.vms[39].bytes / 2.0 < 60_000
+    leader = simulation.vms[5].row.node
+    assert simulation.vms[39].peers.by_node[leader].report.holds is None
