--- a/src/swiftstile/ids.py
+++ b/src/swiftstile/ids.py
@@ -33,7 +33,7 @@
 Key = typing.NewType("Key", str)
 # Unsigned 64-bit position of a key in the hash space.
 KeyHash = typing.NewType("KeyHash", int)
-# Incremented at each takeover of a coordinator lease.
+# Incremented at each take-over of a coordinator lease.
 Epoch = typing.NewType("Epoch", int)
 # Version of the assignment in which a slice was assigned to its owner.
 Fence = typing.NewType("Fence", int)
--- a/tests/integration/test_gateway_many.py
+++ b/tests/integration/test_gateway_many.py
@@ -6,9 +6,8 @@
 from tests.integration import gateways
 from tests.integration import users_standins
 
-# Time for starting two dozen processes, and one round of calls that must all
-# succeed at each of them: over 30 s beside two bench runs and another such
-# test, 12 s alone.
+# Time for starting two dozen processes and one round of calls that must all
+# succeed at each of them: 12 s on an idle machine, over 30 s on a busy one.
 _START_S = 120
 # Eight in each of three domains: more than read the store independently, and
 # more in other domains than form a full mesh.
--- a/tests/integration/test_gateway_stale.py
+++ b/tests/integration/test_gateway_stale.py
@@ -78,8 +78,7 @@
 
     Callers would get a final 404 for its routes: the follower had the newest
     row, so the configuration counted as current though the one in force was
-    older. This test failed before the fix. The platform states that its store
-    accepts only valid configurations, and it wasn't observed in a bench run.
+    older. The platform states that its store accepts only valid configurations.
     """
 
     async def scenario(site):
--- a/tests/unit/test_gateway_rows_dying.py
+++ b/tests/unit/test_gateway_rows_dying.py
@@ -3,8 +3,7 @@
 While the store refuses a VM, a peer delivers the first piece of a table and
 fails; the next piece is requested three times, with a doubled timeout each. As
 there was only one fetch for each table, the VM kept its old rows for 3.5 s more
-though each of its other peers had newer ones. These tests failed before the
-fix; it wasn't observed in a bench run.
+though each of its other peers had newer ones.
 """
 
 import asyncio
--- a/tests/unit/test_gateway_stale.py
+++ b/tests/unit/test_gateway_stale.py
@@ -237,8 +237,7 @@
 # Guards against final answers 413 and 431, as 404 is, for requests that a newer
 # configuration allows. The operator raises a limit; the store refuses this VM,
 # or a peer publishes the newer row; a request beyond the old limit arrives.
-# Only routes were checked for whether the configuration is current. These tests
-# failed before the fix; it wasn't observed in a bench run.
+# Only routes were checked for whether the configuration is current.
 
 
 class _NoRoundRobin:
